--- a/src/placement/EngineAdapters.cpp
+++ b/src/placement/EngineAdapters.cpp
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "placement/EnginePlacement.h"
-#include "placement/EnginePlacementFigures.h"
+#include "placement/EnginePlacementConstants.h"
 
 namespace fernlift::placement
 {
@@ -25,31 +25,31 @@
             waiting.emplace_back (m_demands.at (key).waitingSince, &key);
     }
     std::ranges::stable_sort (waiting, {}, &decltype (waiting)::value_type::first);
-    AskedEngines asked;
+    PolledEngines polled;
     for (const auto& [since, key] : waiting)
-        planAdapter (*key, asked, commands, now);
+        planAdapter (*key, polled, commands, now);
 }
 
-void EnginePlacement::planAdapter (const TargetKey& key, AskedEngines& asked,
+void EnginePlacement::planAdapter (const TargetKey& key, PolledEngines& polled,
                                    std::vector<EngineCommand>& commands, base::TimePoint now)
 {
     Engine* evictor = nullptr;
-    AdapterVictim victim;
-    std::size_t looked = 0;
-    for (const EngineIndex::Holder& holder : m_index.placesOf (key.service, key.model).holders)
+    EvictableAdapter candidate;
+    std::size_t visited = 0;
+    for (const EngineIndex::Holder& holder : m_index.locationsOf (key.service, key.model).holders)
     {
-        if (++looked > kMostHoldersForAdapter)
+        if (++visited > kMostHoldersForAdapter)
             break;
         Engine& engine = *holder.engine;
         const EngineSpecIndex* spec = specOf (engine);
         if (spec == nullptr)
             return;
-        const bool hasPlace = holder.takenAdapterPlaces < spec->spec().adapterSlots;
-        const bool isUnknown = mayBeAsked (engine) || isAnswerDue (engine);
-        if (isUnknown && (hasPlace || evictor == nullptr))
+        const bool hasFreeSlot = holder.usedAdapterSlots < spec->spec().adapterSlots;
+        const bool isUnknown = mayBePolled (engine) || isReportDue (engine);
+        if (isUnknown && (hasFreeSlot || evictor == nullptr))
         {
             // Each engine is asked for one adapter: the next one is asked for the next.
-            if (! asked.insert (&engine).second)
+            if (! polled.insert (&engine).second)
                 continue;
             if (! engine.isPolled)
                 poll (engine, commands, now);
@@ -57,45 +57,45 @@
         }
         if (! mayTakeOrder (engine))
             continue;
-        if (hasPlace)
+        if (hasFreeSlot)
         {
             send (engine, { true, key.model, key.adapter, "requests wait for it" }, commands, now);
             ++m_adapterOrders;
             m_adapterWait += now - m_demands.at (key).waitingSince;
             return;
         }
-        const std::optional<AdapterVictim> here = adapterVictim (engine);
-        if (here && (evictor == nullptr || here->askedAt < victim.askedAt))
+        const std::optional<EvictableAdapter> here = adapterToEvict (engine);
+        if (here && (evictor == nullptr || here->requestedAt < candidate.requestedAt))
         {
             evictor = &engine;
-            victim = *here;
+            candidate = *here;
         }
     }
     if (evictor != nullptr)
     {
-        send (*evictor, { false, victim.model, victim.adapter, "not asked for longest" }, commands,
-              now);
+        send (*evictor, { false, candidate.model, candidate.adapter, "not asked for longest" },
+              commands, now);
     }
 }
 
-std::optional<EnginePlacement::AdapterVictim> EnginePlacement::adapterVictim (
+std::optional<EnginePlacement::EvictableAdapter> EnginePlacement::adapterToEvict (
     const Engine& engine) const
 {
-    std::optional<AdapterVictim> oldest;
+    std::optional<EvictableAdapter> oldest;
     for (const std::string& adapter : adaptersOf (engine))
     {
         const std::size_t slash = adapter.find ('/');
-        AdapterVictim victim{ adapter.substr (0, slash), adapter.substr (slash + 1), {} };
-        const auto found = m_demands.find ({ engine.service, victim.model, victim.adapter });
+        EvictableAdapter candidate{ adapter.substr (0, slash), adapter.substr (slash + 1), {} };
+        const auto found = m_demands.find ({ engine.service, candidate.model, candidate.adapter });
         if (found != m_demands.end())
         {
             const TargetDemand& demand = found->second;
             if (demand.waiting > 0 || demand.running > 0)
                 continue;
-            victim.askedAt = demand.askedAt;
+            candidate.requestedAt = demand.requestedAt;
         }
-        if (! oldest || victim.askedAt < oldest->askedAt)
-            oldest = std::move (victim);
+        if (! oldest || candidate.requestedAt < oldest->requestedAt)
+            oldest = std::move (candidate);
     }
     return oldest;
 }
--- a/src/placement/EngineCrowds.cpp
+++ b/src/placement/EngineCongestion.cpp
@@ -9,7 +9,7 @@
 #include <algorithm>
 
 #include "placement/EnginePlacement.h"
-#include "placement/EnginePlacementFigures.h"
+#include "placement/EnginePlacementConstants.h"
 
 namespace fernlift::placement
 {
@@ -21,23 +21,23 @@
 
 }  // namespace
 
-double EnginePlacement::crowdLimit (const config::EngineSpec& spec)
+double EnginePlacement::congestionLimit (const config::EngineSpec& spec)
 {
-    return kFilledSlots * spec.slots;
+    return kMaxSlotShare * spec.slots;
 }
 
-double EnginePlacement::crowdLimit (const Engine& engine) const
+double EnginePlacement::congestionLimit (const Engine& engine) const
 {
     const EngineSpecIndex* spec = specOf (engine);
-    return spec == nullptr ? 0 : crowdLimit (spec->spec());
+    return spec == nullptr ? 0 : congestionLimit (spec->spec());
 }
 
 double EnginePlacement::requestsOf (const Engine& engine) const
 {
-    return engine.crowdRound == m_round ? engine.requests : 0;
+    return engine.requestsRound == m_round ? engine.requests : 0;
 }
 
-void EnginePlacement::measureCrowds()
+void EnginePlacement::measureCongestion()
 {
     // Most engines hold no model that is in use at a time: they are not looked at.
     const auto visitInUse = [this] (const auto& visit)
@@ -46,7 +46,7 @@
         {
             if (view.requests() == 0)
                 continue;
-            for (const EngineIndex::Holder& holder : view.places->holders)
+            for (const EngineIndex::Holder& holder : view.locations->holders)
                 visit (*holder.engine, view);
         }
     };
@@ -54,13 +54,13 @@
         [this] (Engine& engine, const ModelView& view)
         {
             engine.requests = requestsOf (engine) + view.requestsAtHolder();
-            engine.crowdRound = m_round;
+            engine.requestsRound = m_round;
         });
     visitInUse ([this] (const Engine& engine, ModelView& view)
-                { view.room += roomFor (engine, view); });
+                { view.capacity += capacityFor (engine, view); });
 }
 
-void EnginePlacement::measureStreams()
+void EnginePlacement::measureStreamDurations()
 {
     struct Sums
     {
@@ -83,15 +83,15 @@
     }
 }
 
-double EnginePlacement::roomFor (const Engine& engine, const ModelView& view) const
+double EnginePlacement::capacityFor (const Engine& engine, const ModelView& view) const
 {
     const double others = requestsOf (engine) - view.requestsAtHolder();
-    return std::max (crowdLimit (engine) - others, 0.0);
+    return std::max (congestionLimit (engine) - others, 0.0);
 }
 
-bool EnginePlacement::isCrowdedWithout (const Engine& engine, const ModelView& view) const
+bool EnginePlacement::isCongestedWithout (const Engine& engine, const ModelView& view) const
 {
-    return view.requests() > 0 && view.requests() > view.room - roomFor (engine, view);
+    return view.requests() > 0 && view.requests() > view.capacity - capacityFor (engine, view);
 }
 
 }  // namespace fernlift::placement
--- a/src/placement/EngineIndex.cpp
+++ b/src/placement/EngineIndex.cpp
@@ -8,13 +8,13 @@
 
 bool EngineIndex::Holder::operator<(const Holder& other) const
 {
-    return std::tie (takenAdapterPlaces, engine->id)
-           < std::tie (other.takenAdapterPlaces, other.engine->id);
+    return std::tie (usedAdapterSlots, engine->id)
+           < std::tie (other.usedAdapterSlots, other.engine->id);
 }
 
 bool EngineIndex::update (EngineState& engine)
 {
-    IndexedHoldings present = holdingsOf (engine);
+    IndexedModels present = heldModelsOf (engine);
     if (present == engine.indexed)
         return false;
     dropAll (engine);
@@ -29,19 +29,19 @@
     engine.indexed = {};
 }
 
-IndexedHoldings EngineIndex::holdingsOf (const EngineState& engine)
+IndexedModels EngineIndex::heldModelsOf (const EngineState& engine)
 {
-    IndexedHoldings holdings;
+    IndexedModels heldModels;
     if (! engine.isUsable)
-        return holdings;
-    holdings.service = engine.service;
+        return heldModels;
+    heldModels.service = engine.service;
     for (const auto& [model, state] : engine.models)
     {
         if (isRoutable (engine, model))
-            holdings.models.push_back (model);
+            heldModels.models.push_back (model);
     }
     std::set<std::string> adapters = adaptersOf (engine);
-    holdings.takenAdapterPlaces = adapters.size();
+    heldModels.usedAdapterSlots = adapters.size();
     if (engine.unanswered && ! engine.unanswered->order.adapter.empty())
     {
         const engine::ServiceOrder& order = engine.unanswered->order;
@@ -50,58 +50,61 @@
     for (const std::string& adapter : adapters)
     {
         const std::string_view model = std::string_view (adapter).substr (0, adapter.find ('/'));
-        if (std::ranges::find (holdings.models, model) != holdings.models.end())
-            holdings.adapters.push_back (adapter);
+        if (std::ranges::find (heldModels.models, model) != heldModels.models.end())
+            heldModels.adapters.push_back (adapter);
     }
-    holdings.copies.assign (engine.inMemory.begin(), engine.inMemory.end());
-    std::ranges::copy_if (engine.onDisk, std::back_inserter (holdings.copies),
+    heldModels.copies.assign (engine.inMemory.begin(), engine.inMemory.end());
+    std::ranges::copy_if (engine.onDisk, std::back_inserter (heldModels.copies),
                           [&] (const std::string& model)
                           { return ! engine.inMemory.contains (model); });
-    return holdings;
+    return heldModels;
 }
 
 void EngineIndex::addAll (EngineState& engine)
 {
-    const IndexedHoldings& holdings = engine.indexed;
-    for (const std::string& model : holdings.models)
+    const IndexedModels& heldModels = engine.indexed;
+    for (const std::string& model : heldModels.models)
     {
-        placesFor (holdings.service, model)
-            .holders.insert ({ holdings.takenAdapterPlaces, &engine });
+        locationsFor (heldModels.service, model)
+            .holders.insert ({ heldModels.usedAdapterSlots, &engine });
     }
-    for (const std::string& model : holdings.copies)
-        placesFor (holdings.service, model).copies.insert (&engine);
-    for (const std::string& adapter : holdings.adapters)
-        ++m_adapters[{ holdings.service, adapter }];
+    for (const std::string& model : heldModels.copies)
+        locationsFor (heldModels.service, model).copies.insert (&engine);
+    for (const std::string& adapter : heldModels.adapters)
+        ++m_adapters[{ heldModels.service, adapter }];
 }
 
 void EngineIndex::dropAll (EngineState& engine)
 {
-    const IndexedHoldings& holdings = engine.indexed;
-    for (const std::string& model : holdings.models)
-        placesFor (holdings.service, model)
-            .holders.erase ({ holdings.takenAdapterPlaces, &engine });
-    for (const std::string& model : holdings.copies)
-        placesFor (holdings.service, model).copies.erase (&engine);
-    for (const std::string& adapter : holdings.adapters)
+    const IndexedModels& heldModels = engine.indexed;
+    for (const std::string& model : heldModels.models)
+        locationsFor (heldModels.service, model)
+            .holders.erase ({ heldModels.usedAdapterSlots, &engine });
+    for (const std::string& model : heldModels.copies)
+        locationsFor (heldModels.service, model).copies.erase (&engine);
+    for (const std::string& adapter : heldModels.adapters)
     {
-        const auto found = m_adapters.find (ServiceModelOrder::Names (holdings.service, adapter));
+        const auto found = m_adapters.find (ServiceModelOrder::Names (heldModels.service, adapter));
         if (--found->second == 0)
             m_adapters.erase (found);
     }
 }
 
-EngineIndex::Places& EngineIndex::placesFor (std::string_view service, std::string_view model)
+EngineIndex::ModelLocations& EngineIndex::locationsFor (std::string_view service,
+                                                        std::string_view model)
 {
     const ServiceModelOrder::Names names{ service, model };
-    const auto found = m_places.lower_bound (names);
-    if (found != m_places.end() && ! ServiceModelOrder() (names, found->first))
+    const auto found = m_locations.lower_bound (names);
+    if (found != m_locations.end() && ! ServiceModelOrder() (names, found->first))
         return found->second;
-    return m_places.emplace_hint (found, ServiceModel (service, model), Places())->second;
+    return m_locations.emplace_hint (found, ServiceModel (service, model), ModelLocations())
+        ->second;
 }
 
-const EngineIndex::Places& EngineIndex::placesOf (std::string_view service, std::string_view model)
+const EngineIndex::ModelLocations& EngineIndex::locationsOf (std::string_view service,
+                                                             std::string_view model)
 {
-    return placesFor (service, model);
+    return locationsFor (service, model);
 }
 
 bool EngineIndex::hasAdapter (std::string_view service, std::string_view model,
--- a/src/placement/EngineIndex.h
+++ b/src/placement/EngineIndex.h
@@ -50,14 +50,14 @@
     /** An engine that takes requests for a model. */
     struct Holder
     {
-        std::size_t takenAdapterPlaces = 0;
+        std::size_t usedAdapterSlots = 0;
         EngineState* engine = nullptr;
 
         bool operator<(const Holder& other) const;
     };
 
     /** Where a model is. */
-    struct Places
+    struct ModelLocations
     {
         std::set<Holder> holders;             ///< Those with the most free adapter places first.
         std::set<EngineState*, ById> copies;  ///< With its weights in host memory or on disk.
@@ -69,18 +69,19 @@
     void remove (EngineState& engine);
 
     /** Stays where it is for as long as the index lives. */
-    [[nodiscard]] const Places& placesOf (std::string_view service, std::string_view model);
+    [[nodiscard]] const ModelLocations& locationsOf (std::string_view service,
+                                                     std::string_view model);
     /** Whether a holder of the model has the adapter, or an order for it is under way there. */
     [[nodiscard]] bool hasAdapter (std::string_view service, std::string_view model,
                                    std::string_view adapter) const;
 
 private:
-    [[nodiscard]] static IndexedHoldings holdingsOf (const EngineState& engine);
-    [[nodiscard]] Places& placesFor (std::string_view service, std::string_view model);
+    [[nodiscard]] static IndexedModels heldModelsOf (const EngineState& engine);
+    [[nodiscard]] ModelLocations& locationsFor (std::string_view service, std::string_view model);
     void addAll (EngineState& engine);
     void dropAll (EngineState& engine);
 
-    std::map<ServiceModel, Places, ServiceModelOrder> m_places;
+    std::map<ServiceModel, ModelLocations, ServiceModelOrder> m_locations;
     /// Engines that have an adapter, by service and MODEL/ADAPTER; never 0.
     std::map<ServiceModel, std::uint32_t, ServiceModelOrder> m_adapters;
 };
--- a/src/placement/EngineIndexTest.cpp
+++ b/src/placement/EngineIndexTest.cpp
@@ -22,7 +22,7 @@
 std::vector<std::string> holdersOf (EngineIndex& index, const std::string& model)
 {
     std::vector<std::string> ids;
-    for (const EngineIndex::Holder& holder : index.placesOf ("llm", model).holders)
+    for (const EngineIndex::Holder& holder : index.locationsOf ("llm", model).holders)
         ids.push_back (holder.engine->id);
     return ids;
 }
@@ -86,10 +86,10 @@
     engine.onDisk = { "m1", "m2" };
     EngineIndex index;
     index.update (engine);
-    EXPECT_EQ (index.placesOf ("llm", "m1").copies.size(), 1U);
-    EXPECT_EQ (index.placesOf ("llm", "m2").copies.size(), 1U);
+    EXPECT_EQ (index.locationsOf ("llm", "m1").copies.size(), 1U);
+    EXPECT_EQ (index.locationsOf ("llm", "m2").copies.size(), 1U);
     index.remove (engine);
-    EXPECT_TRUE (index.placesOf ("llm", "m1").copies.empty());
+    EXPECT_TRUE (index.locationsOf ("llm", "m1").copies.empty());
 }
 
 }  // namespace
--- a/src/placement/EngineNeeds.cpp
+++ b/src/placement/EngineNeeds.cpp
@@ -8,7 +8,7 @@
 #include <utility>
 
 #include "placement/EnginePlacement.h"
-#include "placement/EnginePlacementFigures.h"
+#include "placement/EnginePlacementConstants.h"
 
 namespace fernlift::placement
 {
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-bool EnginePlacement::isHeldBack (const ModelView& view)
+bool EnginePlacement::isThrottled (const ModelView& view)
 {
     return view.holders() > 0 && view.holders() == view.rateLimitedHolders
            && view.demand.waiting > 0;
@@ -46,17 +46,17 @@
                                                                  const config::EngineSpec& spec)
 {
     const ModelDemand& demand = view.demand;
-    const double limit = crowdLimit (spec);
+    const double limit = congestionLimit (spec);
     std::size_t bySlots = roundedUp (view.requests() / limit);
     // Its holders run requests for other models, too.
-    if (view.holders() > 0 && view.requests() > view.room)
-        bySlots =
-            std::max (bySlots, view.holders() + roundedUp ((view.requests() - view.room) / limit));
+    if (view.holders() > 0 && view.requests() > view.capacity)
+        bySlots = std::max (bySlots,
+                            view.holders() + roundedUp ((view.requests() - view.capacity) / limit));
     ReplicaTargets targets;
     const std::size_t byTokens =
-        roundedUp (demand.tokensPerSecond / (kTokensReadPerSecond * kReadingShare));
+        roundedUp (demand.tokensPerSecond / (kPrefillTokensPerSecond * kMaxPrefillShare));
     targets.needed = std::max (bySlots, byTokens);
-    const std::size_t byRate = demand.perSecond >= kRequestsForSpare ? 2 : 1;
+    const std::size_t byRate = demand.perSecond >= kSpareRequestsPerSecond ? 2 : 1;
     targets.spare = std::max (targets.needed, byRate);
     return targets;
 }
@@ -91,7 +91,7 @@
     const ModelDemand& demand = view.demand;
     // Callers of a rare model would get what its one engine takes in its need, a request in
     // seconds, for as long as that lasts.
-    const std::size_t supply = (isHeldBack (view) ? 0 : view.holders()) + view.coming;
+    const std::size_t supply = (isThrottled (view) ? 0 : view.holders()) + view.pendingLoads;
     if (supply == 0 && demand.waiting == 0)
         return;
     ModelNeed need;
@@ -104,25 +104,27 @@
     if (supply < targets.needed)
     {
         // Engines that would be reading at a time, beyond those that hold it.
-        const double reading = demand.tokensPerSecond / kTokensReadPerSecond
-                               - kReadingShare * static_cast<double> (supply);
-        const double excess = view.holders() == 0 ? 0 : view.requests() - view.room;
+        const double reading = demand.tokensPerSecond / kPrefillTokensPerSecond
+                               - kMaxPrefillShare * static_cast<double> (supply);
+        const double excess = view.holders() == 0 ? 0 : view.requests() - view.capacity;
         const double unanswered = demand.waiting + demand.unread;
-        const double crowd = std::max ({ unanswered, reading, excess });
-        const double gain = kReplicaHorizonSeconds * crowd / static_cast<double> (supply + 1);
+        const double excessRequests = std::max ({ unanswered, reading, excess });
+        const double gain =
+            kReplicaHorizonSeconds * excessRequests / static_cast<double> (supply + 1);
         const bool isMissing = supply == 0 && view.holders() == 0;
-        need.highestCost = isMissing ? kFirstCost + kCostForSecond * base::toSeconds (need.age)
-                                     : std::clamp (gain, kHighestSpareCost, kHighestReplicaCost);
-        need.isForCrowd = ! isMissing;
+        need.maxCost = isMissing ? kFirstCost + kCostForSecond * base::toSeconds (need.age)
+                                 : std::clamp (gain, kHighestSpareCost, kHighestReplicaCost);
+        need.relievesCongestion = ! isMissing;
         needs.insert (needs.end(), std::min (targets.needed - supply, kMostNeedsOfModel), need);
         return;
     }
     const auto added = m_spareAddedAt.find (model);
-    const bool isTooSoon = added != m_spareAddedAt.end() && now - added->second < kSparePause;
+    const bool isTooSoon =
+        added != m_spareAddedAt.end() && now - added->second < kSpareReplicaInterval;
     if (supply >= targets.spare || isTooSoon)
         return;
     need.isSpare = true;
-    need.highestCost = kHighestSpareCost;
+    need.maxCost = kHighestSpareCost;
     needs.push_back (need);
 }
 
--- a/src/placement/EnginePlacement.cpp
+++ b/src/placement/EnginePlacement.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "placement/EnginePlacementFigures.h"
+#include "placement/EnginePlacementConstants.h"
 
 namespace fernlift::placement
 {
@@ -48,8 +48,8 @@
     }
     for (const std::string& id : gone)
         refreshRow (id, nullptr, now);
-    std::erase_if (m_earlyHoldings,
-                   [&] (const auto& item) { return now - item.second.toldAt > kHoldingsAge; });
+    std::erase_if (m_earlyHeldModels, [&] (const auto& item)
+                   { return now - item.second.receivedAt > kOrderEffectLifetime; });
 }
 
 void EnginePlacement::refreshRow (const std::string& instance, const cell::RoutableInstance* row,
@@ -60,8 +60,8 @@
         const auto found = m_engines.find (instance);
         if (found == m_engines.end())
             return;
-        m_store.onGivenUp (instance);
-        forget (found->second);
+        m_store.onAbandoned (instance);
+        removeFromIndexes (found->second);
         m_engines.erase (found);
         return;
     }
@@ -75,9 +75,9 @@
         engine.pollAt = now;
         engine.ordersFrom = m_options.ordersFrom (instance);
     }
-    const bool isLaterIncarnation = forgetEarlier (engine, *row, now);
+    const bool isLaterIncarnation = resetForNewIncarnation (engine, *row, now);
     if (isNew || isLaterIncarnation)
-        takeFirstHoldings (engine, row->instance, now);
+        applyInitialState (engine, row->instance, now);
     const bool isUsable = ! row->instance.isDraining && ! row->isSilent;
     const bool isSame = ! isNew && engine.isUsable == isUsable
                         && engine.address == row->instance.address
@@ -87,44 +87,44 @@
     engine.address = row->instance.address;
     engine.service = row->instance.service;
     engine.isUsable = isUsable;
-    noteChange (engine);
+    updateDerivedState (engine);
 }
 
-void EnginePlacement::takeFirstHoldings (Engine& engine, const cell::ServiceInstance& instance,
+void EnginePlacement::applyInitialState (Engine& engine, const cell::ServiceInstance& instance,
                                          base::TimePoint now)
 {
-    if (const auto early = m_earlyHoldings.extract (engine.id))
+    if (const auto early = m_earlyHeldModels.extract (engine.id))
     {
-        takeHoldings (engine, early.mapped().holdings, now);
+        applyHeartbeat (engine, early.mapped().heldModels, now);
         return;
     }
     if (! instance.isReported)
         return;
     EngineHoldings agreed;
     agreed.models = instance.models;
-    take (engine, agreed, now);
-    engine.hasTold = false;  // Its copies are not known.
+    applyHeldModels (engine, agreed, now);
+    engine.hasReported = false;  // Its copies are not known.
 }
 
-void EnginePlacement::forget (Engine& engine)
+void EnginePlacement::removeFromIndexes (Engine& engine)
 {
     endPoll (engine);
     m_index.remove (engine);
-    m_attended.erase (engine.id);
-    m_unknown.erase (engine.id);
-    m_untold.erase (engine.id);
-    m_unshown.erase (engine.id);
+    m_withOrders.erase (engine.id);
+    m_unknownSequence.erase (engine.id);
+    m_unreported.erase (engine.id);
+    m_changed.erase (engine.id);
 }
 
-bool EnginePlacement::forgetEarlier (Engine& engine, const cell::RoutableInstance& row,
-                                     base::TimePoint now)
+bool EnginePlacement::resetForNewIncarnation (Engine& engine, const cell::RoutableInstance& row,
+                                              base::TimePoint now)
 {
     const base::UnixMilliseconds startedAt = row.instance.startedAt;
     const bool isLaterIncarnation = engine.startedAt != 0 && engine.startedAt != startedAt;
     if (isLaterIncarnation)
     {
-        m_store.onGivenUp (engine.id);
-        forget (engine);
+        m_store.onAbandoned (engine.id);
+        removeFromIndexes (engine);
         // Orders to the earlier one that are on their way still could reach this one.
         const base::TimePoint ordersFrom = engine.ordersFrom;
         std::string id = std::move (engine.id);
@@ -137,7 +137,7 @@
     return isLaterIncarnation;
 }
 
-void EnginePlacement::noteChange (Engine& engine)
+void EnginePlacement::updateDerivedState (Engine& engine)
 {
     if (m_index.update (engine))
     {
@@ -157,32 +157,33 @@
         else
             engines.erase (engine.id);
     };
-    note (m_attended, engine.unanswered || engine.modelOrder || engine.doubtful
-                          || ! engine.reservedFor.empty());
-    note (m_unknown, engine.isUsable && ! engine.sequence);
-    note (m_untold, engine.isUsable && ! engine.hasTold);
-    m_unshown.insert (engine.id);
+    note (m_withOrders, engine.unanswered || engine.modelOrder || engine.unconfirmed
+                            || ! engine.reservedFor.empty());
+    note (m_unknownSequence, engine.isUsable && ! engine.sequence);
+    note (m_unreported, engine.isUsable && ! engine.hasReported);
+    m_changed.insert (engine.id);
 }
 
 bool EnginePlacement::hasUnshown (base::TimePoint now) const
 {
-    return ! m_unshown.empty()
+    return ! m_changed.empty()
            || (! m_adaptersDueAt.empty() && m_adaptersDueAt.begin()->first <= now);
 }
 
 std::set<std::string> EnginePlacement::takeUnshown (base::TimePoint now)
 {
-    std::set<std::string> engines = std::exchange (m_unshown, {});
+    std::set<std::string> engines = std::exchange (m_changed, {});
     while (! m_adaptersDueAt.empty() && m_adaptersDueAt.begin()->first <= now)
         engines.insert (m_adaptersDueAt.extract (m_adaptersDueAt.begin()).value().second);
     return engines;
 }
 
-void EnginePlacement::take (Engine& engine, const EngineHoldings& holdings, base::TimePoint now)
+void EnginePlacement::applyHeldModels (Engine& engine, const EngineHoldings& heldModels,
+                                       base::TimePoint now)
 {
-    engine.hasTold = true;
+    engine.hasReported = true;
     std::map<std::string, HeldState> held;
-    for (const cell::HeldModel& model : holdings.models)
+    for (const cell::HeldModel& model : heldModels.models)
     {
         HeldState& state = held[model.model];
         state.version = model.version;
@@ -192,12 +193,13 @@
     // What was told was seen a while ago: what is newer than that stays.
     for (const auto& [name, state] : engine.models)
     {
-        const bool isFresh = now - state.confirmedAt < kHoldingsAge && ! isUnloading (engine, name);
+        const bool isFresh =
+            now - state.confirmedAt < kOrderEffectLifetime && ! isUnloading (engine, name);
         if (isFresh)
             held.try_emplace (name, state);
     }
     std::erase_if (engine.adaptersDue,
-                   [&] (const auto& item) { return now - item.second > kHoldingsAge; });
+                   [&] (const auto& item) { return now - item.second > kOrderEffectLifetime; });
     engine.models = std::move (held);
     if (! engine.modelOrder)
         return;
@@ -222,37 +224,37 @@
     const EngineSpecIndex* spec = specOf (engine);
     const config::EngineModel* model =
         spec == nullptr ? nullptr : spec->findModel (pending.order.model);
-    const std::size_t atOnce = m_store.underWay();
+    const std::size_t concurrent = m_store.underWay();
     if (pending.isFromStore && isHeld && model != nullptr)
         m_store.onEnd (engine.id, model->loadTime, now);
     else
-        m_store.onGivenUp (engine.id);
+        m_store.onAbandoned (engine.id);
     if (isHeld == pending.order.isLoad)
     {
-        m_done.push_back (
-            { pending.order, pending.isFromStore, now - pending.sentAt, atOnce, m_store.limit() });
+        m_done.push_back ({ pending.order, pending.isFromStore, now - pending.sentAt, concurrent,
+                            m_store.limit() });
     }
 }
 
-void EnginePlacement::onHeartbeat (const std::string& instance, const EngineHoldings& holdings,
+void EnginePlacement::onHeartbeat (const std::string& instance, const EngineHoldings& heldModels,
                                    base::TimePoint now)
 {
     const auto found = m_engines.find (instance);
     if (found == m_engines.end())
     {
-        m_earlyHoldings[instance] = { holdings, now };
+        m_earlyHeldModels[instance] = { heldModels, now };
         return;
     }
-    takeHoldings (found->second, holdings, now);
-    noteChange (found->second);
+    applyHeartbeat (found->second, heldModels, now);
+    updateDerivedState (found->second);
 }
 
-void EnginePlacement::takeHoldings (Engine& engine, const EngineHoldings& holdings,
-                                    base::TimePoint now)
+void EnginePlacement::applyHeartbeat (Engine& engine, const EngineHoldings& heldModels,
+                                      base::TimePoint now)
 {
-    engine.inMemory = holdings.inMemory;
-    engine.onDisk = holdings.onDisk;
-    take (engine, holdings, now);
+    engine.inMemory = heldModels.inMemory;
+    engine.onDisk = heldModels.onDisk;
+    applyHeldModels (engine, heldModels, now);
 }
 
 void EnginePlacement::onDemand (std::uint64_t router,
@@ -262,19 +264,19 @@
     {
         const TargetKey key{ demand.service, demand.model, demand.adapter };
         TargetDemand& target = m_demands[key];
-        target.arrivals.add (demand.arrivals, kRateMemory, now);
-        target.promptTokens.add (static_cast<double> (demand.promptTokens), kRateMemory, now);
+        target.arrivals.add (demand.arrivals, kRateWindow, now);
+        target.promptTokens.add (static_cast<double> (demand.promptTokens), kRateWindow, now);
         if (demand.arrivals > 0 || demand.waiting > 0 || demand.running > 0)
-            target.askedAt = now;
+            target.requestedAt = now;
         const bool wasWaiting = target.waiting > 0;
         setDemand (target, router, demand);
         if (target.waiting > 0 && ! wasWaiting)
             target.waitingSince = now;
-        noteDemand (key, target);
+        updateWaitingAdapters (key, target);
     }
 }
 
-void EnginePlacement::noteDemand (const TargetKey& key, const TargetDemand& target)
+void EnginePlacement::updateWaitingAdapters (const TargetKey& key, const TargetDemand& target)
 {
     if (! key.adapter.empty() && target.waiting > 0)
         m_waitingAdapters.insert (key);
@@ -287,7 +289,7 @@
     for (auto& [key, target] : m_demands)
     {
         setDemand (target, router, {});
-        noteDemand (key, target);
+        updateWaitingAdapters (key, target);
     }
 }
 
@@ -301,12 +303,12 @@
     const bool isExpected = engine.unanswered && engine.unanswered->order == order;
     if (! isExpected)
         return;
-    takeAnswer (engine, order, outcome, now);
-    noteChange (engine);
+    applyAnswer (engine, order, outcome, now);
+    updateDerivedState (engine);
 }
 
-void EnginePlacement::takeAnswer (Engine& engine, const ServiceOrder& order, OrderOutcome outcome,
-                                  base::TimePoint now)
+void EnginePlacement::applyAnswer (Engine& engine, const ServiceOrder& order, OrderOutcome outcome,
+                                   base::TimePoint now)
 {
     PendingOrder pending = std::move (*engine.unanswered);
     engine.unanswered.reset();
@@ -314,10 +316,10 @@
     {
         case OrderOutcome::kUnderWay:
             engine.sequence = order.expectedSequence.value_or (0) + 1;
-            noteUnderWay (engine, std::move (pending), now);
+            onOrderAccepted (engine, std::move (pending), now);
             return;
         case OrderOutcome::kAlreadyHolds:
-            noteDone (engine, order, now);
+            applyCompletedOrder (engine, order, now);
             return;
         case OrderOutcome::kOtherInstance:
             engine.isUsable = false;
@@ -330,13 +332,13 @@
         case OrderOutcome::kBusy:
         case OrderOutcome::kFenced:
             engine.sequence.reset();
-            engine.doubtful = std::move (pending);
-            engine.pollAt = now + kReportAge;
+            engine.unconfirmed = std::move (pending);
+            engine.pollAt = now + kMaxReportLag;
             return;
     }
 }
 
-void EnginePlacement::noteUnderWay (Engine& engine, PendingOrder pending, base::TimePoint now)
+void EnginePlacement::onOrderAccepted (Engine& engine, PendingOrder pending, base::TimePoint now)
 {
     const ServiceOrder& order = pending.order;
     if (order.adapter.empty())
@@ -350,11 +352,12 @@
     }
     else
     {
-        noteDone (engine, order, now);
+        applyCompletedOrder (engine, order, now);
     }
 }
 
-void EnginePlacement::noteDone (Engine& engine, const ServiceOrder& order, base::TimePoint now)
+void EnginePlacement::applyCompletedOrder (Engine& engine, const ServiceOrder& order,
+                                           base::TimePoint now)
 {
     // Where this guess about the sequence is wrong, the next order is refused and a report asked
     // for.
@@ -397,44 +400,45 @@
     if (found == m_engines.end())
         return;
     endPoll (found->second);
-    takeReport (found->second, report, now);
-    noteChange (found->second);
+    applyReport (found->second, report, now);
+    updateDerivedState (found->second);
 }
 
-void EnginePlacement::takeReport (Engine& engine, const engine::ServiceReport& report,
-                                  base::TimePoint now)
+void EnginePlacement::applyReport (Engine& engine, const engine::ServiceReport& report,
+                                   base::TimePoint now)
 {
     const bool isOfOther =
         report.startedAt != 0 && engine.startedAt != 0 && report.startedAt != engine.startedAt;
     if (isOfOther)
     {
-        engine.pollAt = now + kPollPause;
+        engine.pollAt = now + kPollInterval;
         return;
     }
     if (engine.unanswered)
         return;  // An order went out meanwhile.
     engine.sequence = report.sequence;
-    EngineHoldings holdings;
+    EngineHoldings heldModels;
     for (const engine::ReportedModel& model : report.models)
     {
-        holdings.models.push_back ({ model.name, model.version, model.adapters });
+        heldModels.models.push_back ({ model.name, model.version, model.adapters });
     }
     const bool wasTaken =
-        engine.doubtful && report.sequence > engine.doubtful->order.expectedSequence.value_or (0);
-    if (wasTaken && report.isBusy && engine.doubtful->order.adapter.empty())
+        engine.unconfirmed
+        && report.sequence > engine.unconfirmed->order.expectedSequence.value_or (0);
+    if (wasTaken && report.isBusy && engine.unconfirmed->order.adapter.empty())
     {
-        beginModelOrder (engine, std::move (*engine.doubtful), now);
+        beginModelOrder (engine, std::move (*engine.unconfirmed), now);
     }
-    engine.doubtful.reset();
-    take (engine, holdings, now);
+    engine.unconfirmed.reset();
+    applyHeldModels (engine, heldModels, now);
     const bool isSettled =
-        engine.modelOrder && ! report.isBusy && now - engine.modelOrder->sentAt > kReportAge;
+        engine.modelOrder && ! report.isBusy && now - engine.modelOrder->sentAt > kMaxReportLag;
     if (isSettled)
         endModelOrder (engine, engine.models.contains (engine.modelOrder->order.model), now);
     if (report.isBusy && ! engine.modelOrder)
     {
         engine.sequence.reset();  // Somebody else's order: look again.
-        engine.pollAt = now + kReportAge;
+        engine.pollAt = now + kMaxReportLag;
     }
 }
 
@@ -445,7 +449,7 @@
         return;
     Engine& engine = found->second;
     endPoll (engine);
-    engine.pollAt = now + kPollPause;
+    engine.pollAt = now + kPollInterval;
     // Planned before it was known whether it answers: another one may.
     if (! engine.sequence && ! engine.reservedFor.empty())
         dropPlan (engine);
@@ -458,7 +462,7 @@
     pollWhereNeeded (commands, now);
     expireOrders (now);
     continuePlans (commands, now);
-    lookAtModels (now);
+    updateModelViews (now);
     planModels (commands, now);
     planAdapters (commands, now);
     fillFreeMemory (commands, now);
@@ -478,20 +482,20 @@
 
 void EnginePlacement::pollWhereNeeded (std::vector<EngineCommand>& commands, base::TimePoint now)
 {
-    const auto mayAsk = [&] (const Engine& engine)
+    const auto mayPoll = [&] (const Engine& engine)
     { return engine.isUsable && ! engine.unanswered && ! engine.isPolled && now >= engine.pollAt; };
-    for (const std::string& id : m_attended)
+    for (const std::string& id : m_withOrders)
     {
         Engine& engine = m_engines.at (id);
         const bool isLate =
-            engine.modelOrder && now - engine.modelOrder->sentAt > kLatestModelOrder;
-        if (m_polls < kMostPolls && (! engine.sequence || isLate) && mayAsk (engine))
+            engine.modelOrder && now - engine.modelOrder->sentAt > kModelOrderTimeout;
+        if (m_polls < kMostPolls && (! engine.sequence || isLate) && mayPoll (engine))
             poll (engine, commands, now);
     }
-    for (const std::string& id : m_unknown)
+    for (const std::string& id : m_unknownSequence)
     {
         Engine& engine = m_engines.at (id);
-        if (! mayAsk (engine))
+        if (! mayPoll (engine))
             continue;
         if (m_polls >= kMostPolls || ! m_pollsWithoutNeed.take (now))
             return;
@@ -504,7 +508,7 @@
 {
     engine.isPolled = true;
     engine.polledAt = now;
-    engine.pollAt = now + kPollPause;
+    engine.pollAt = now + kPollInterval;
     ++m_polls;
     commands.emplace_back (PollEngine{ engine.id, engine.address });
 }
@@ -517,22 +521,22 @@
 
 void EnginePlacement::expireOrders (base::TimePoint now)
 {
-    for (const std::string& id : std::set (m_attended))
+    for (const std::string& id : std::set (m_withOrders))
     {
         Engine& engine = m_engines.at (id);
         if (! engine.unanswered || now - engine.unanswered->sentAt < kOrderTimeout)
             continue;
-        engine.doubtful = std::move (engine.unanswered);
+        engine.unconfirmed = std::move (engine.unanswered);
         engine.unanswered.reset();
         engine.sequence.reset();
-        engine.pollAt = now + kReportAge;
-        noteChange (engine);
+        engine.pollAt = now + kMaxReportLag;
+        updateDerivedState (engine);
     }
 }
 
 void EnginePlacement::continuePlans (std::vector<EngineCommand>& commands, base::TimePoint now)
 {
-    for (const std::string& id : std::set (m_attended))
+    for (const std::string& id : std::set (m_withOrders))
     {
         Engine& engine = m_engines.at (id);
         if (engine.reservedFor.empty())
@@ -545,7 +549,7 @@
             dropPlan (engine);
             continue;
         }
-        if (mayBeAsked (engine))
+        if (mayBePolled (engine))
             poll (engine, commands, now);
         if (! mayTakeOrder (engine))
             continue;
@@ -557,14 +561,14 @@
                                     const config::EngineModel& model,
                                     std::vector<EngineCommand>& commands, base::TimePoint now)
 {
-    for (const std::string& victim : engine.withdrawn)
+    for (const std::string& evicted : engine.withdrawn)
     {
-        if (! engine.models.contains (victim))
+        if (! engine.models.contains (evicted))
             continue;
         // Routers hear that the model goes before it does.
-        if (now - engine.withdrawnAt >= kWithdrawalTime)
+        if (now - engine.withdrawnAt >= kWithdrawalDelay)
         {
-            send (engine, { false, victim, "", "makes way for " + model.name }, commands, now);
+            send (engine, { false, evicted, "", "makes way for " + model.name }, commands, now);
         }
         return;
     }
@@ -587,10 +591,10 @@
 {
     engine.reservedFor.clear();
     engine.withdrawn.clear();
-    noteChange (engine);
+    updateDerivedState (engine);
 }
 
-void EnginePlacement::send (Engine& engine, const Intention& intention,
+void EnginePlacement::send (Engine& engine, const PlannedOrder& intention,
                             std::vector<EngineCommand>& commands, base::TimePoint now)
 {
     ServiceOrder order;
@@ -605,7 +609,7 @@
     const bool isFromStore =
         order.isLoad && order.adapter.empty() && ! isLocal (engine, intention.model);
     engine.unanswered = PendingOrder{ order, now, isFromStore };
-    noteChange (engine);
+    updateDerivedState (engine);
     commands.emplace_back (
         SendEngineOrder{ engine.address, std::move (order), isFromStore, intention.reason });
 }
--- a/src/placement/EnginePlacement.h
+++ b/src/placement/EnginePlacement.h
@@ -24,7 +24,7 @@
 #include "config/ServiceCatalogue.h"
 #include "engine/ServiceEngine.h"
 #include "placement/EngineIndex.h"
-#include "placement/EnginePlacementFigures.h"
+#include "placement/EnginePlacementConstants.h"
 #include "placement/EngineSpecIndex.h"
 #include "placement/EngineState.h"
 #include "placement/ModelView.h"
@@ -43,7 +43,7 @@
     std::deque<base::TimePoint> earlierStoreLoads;
     /// Loads from the weight store that may begin in `storeWindow`, in shares of what its rate
     /// allows.
-    double storeShare = 1.05;
+    double storeRateFactor = 1.05;
     base::Duration storeWindow = base::seconds (5);
     /// Models that no engine holds and none has a copy of are fetched before anybody asks for them,
     /// while the weight store has places to spare.
@@ -106,7 +106,7 @@
     /// The same for one instance, whose row has changed; null: it is gone.
     void refreshRow (const std::string& instance, const cell::RoutableInstance* row,
                      base::TimePoint now);
-    void onHeartbeat (const std::string& instance, const EngineHoldings& holdings,
+    void onHeartbeat (const std::string& instance, const EngineHoldings& heldModels,
                       base::TimePoint now);
     /// Replaces what one router reported before.
     void onDemand (std::uint64_t router, const std::vector<cell::EngineDemand>& demands,
@@ -165,14 +165,14 @@
         std::uint32_t waiting = 0;  ///< Sum over `byRouter`, as are the next two.
         std::uint32_t running = 0;
         std::uint32_t unread = 0;
-        base::TimePoint askedAt{};       ///< Last time that anybody asked for it.
+        base::TimePoint requestedAt{};   ///< Last time that anybody asked for it.
         base::TimePoint waitingSince{};  ///< Zero: nobody waits.
         base::DecayingRate arrivals;
         base::DecayingRate promptTokens;
     };
 
     /// Models of an engine that make way, and what losing them costs in seconds of waiting.
-    struct Victims
+    struct Evictions
     {
         std::vector<std::string> models;
         double cost = 0;
@@ -183,32 +183,32 @@
     static void setDemand (TargetDemand& target, std::uint64_t router,
                            const cell::EngineDemand& demand);
     /// Keeps m_waitingAdapters.
-    void noteDemand (const TargetKey& key, const TargetDemand& target);
+    void updateWaitingAdapters (const TargetKey& key, const TargetDemand& target);
     /// Brings what is derived from the engine up to date; called after each change of it.
-    void noteChange (Engine& engine);
+    void updateDerivedState (Engine& engine);
     /// Nothing of the engine is noted any more.
-    void forget (Engine& engine);
+    void removeFromIndexes (Engine& engine);
     /// Works out m_models from demands and engines.
-    void lookAtModels (base::TimePoint now);
+    void updateModelViews (base::TimePoint now);
     void countDemands (base::TimePoint now);
-    void countComing();
+    void countPendingLoads();
     void countRateLimited();
     /// Works out what a load at the engine would cost others.
-    void weigh (Engine& engine, base::TimePoint now);
+    void updateEvictionInputs (Engine& engine, base::TimePoint now);
     /// Works out how many requests each engine has, of all its models together, and what room that
     /// leaves for each model.
-    void measureCrowds();
+    void measureCongestion();
     /// Works out how long streams of each service take.
-    void measureStreams();
+    void measureStreamDurations();
     /// Requests that an engine can run before its streams become slow.
-    [[nodiscard]] static double crowdLimit (const config::EngineSpec& spec);
-    [[nodiscard]] double crowdLimit (const Engine& engine) const;
+    [[nodiscard]] static double congestionLimit (const config::EngineSpec& spec);
+    [[nodiscard]] double congestionLimit (const Engine& engine) const;
     /// Requests of the engine as of the round.
     [[nodiscard]] double requestsOf (const Engine& engine) const;
-    /// Of crowdLimit(), what requests for other models than the one of the view leave.
-    [[nodiscard]] double roomFor (const Engine& engine, const ModelView& view) const;
+    /// Of congestionLimit(), what requests for other models than the one of the view leave.
+    [[nodiscard]] double capacityFor (const Engine& engine, const ModelView& view) const;
     /// Whether the other holders would be crowded without this one.
-    [[nodiscard]] bool isCrowdedWithout (const Engine& engine, const ModelView& view) const;
+    [[nodiscard]] bool isCongestedWithout (const Engine& engine, const ModelView& view) const;
     [[nodiscard]] const ModelView& viewOf (std::string_view service, std::string_view model) const;
     ModelView& viewFor (const std::string& service, const std::string& model);
     [[nodiscard]] const EngineSpecIndex* specOf (const Engine& engine) const;
@@ -219,9 +219,9 @@
     /// The same, and the engine's sequence is known.
     [[nodiscard]] bool mayTakeOrder (const Engine& engine) const;
     /// An order may go out once the engine has told its sequence, for which it may be asked now.
-    [[nodiscard]] bool mayBeAsked (const Engine& engine) const;
+    [[nodiscard]] bool mayBePolled (const Engine& engine) const;
     /// It was asked a moment ago.
-    [[nodiscard]] bool isAnswerDue (const Engine& engine) const;
+    [[nodiscard]] bool isReportDue (const Engine& engine) const;
     [[nodiscard]] static bool isLocal (const Engine& engine, const std::string& model);
     [[nodiscard]] static double loadSeconds (const Engine& engine,
                                              const config::EngineModel& model);
@@ -229,9 +229,9 @@
     /// Loads from the weight store that are under way or planned.
     [[nodiscard]] std::size_t storeLoads() const;
 
-    [[nodiscard]] double adapterTrouble (const Engine& engine, const EngineSpecIndex& spec,
-                                         base::TimePoint now) const;
-    [[nodiscard]] double blockedCopies (const Engine& engine, base::TimePoint now) const;
+    [[nodiscard]] double adapterDelayCost (const Engine& engine, const EngineSpecIndex& spec,
+                                           base::TimePoint now) const;
+    [[nodiscard]] double blockedCopyCost (const Engine& engine, base::TimePoint now) const;
 
     /// Replicas of a model that the demand asks for.
     struct ReplicaTargets
@@ -240,7 +240,7 @@
         std::size_t spare = 0;   ///< For a crash or a burst; at least as many as needed.
     };
     /// Whether requests wait although it is held: only engines that state a rate hold it.
-    [[nodiscard]] static bool isHeldBack (const ModelView& view);
+    [[nodiscard]] static bool isThrottled (const ModelView& view);
     [[nodiscard]] static ReplicaTargets replicaTargets (const ModelView& view,
                                                         const config::EngineSpec& spec);
 
@@ -248,11 +248,11 @@
     struct ModelNeed
     {
         ServiceModel model;
-        double highestCost = 0;  ///< That the load may have, in seconds of waiting.
-        base::Duration age{};    ///< How long a request has waited for a model nobody holds.
+        double maxCost = 0;    ///< That the load may have, in seconds of waiting.
+        base::Duration age{};  ///< How long a request has waited for a model nobody holds.
         bool isSpare = false;
-        bool isForCrowd = false;        ///< Only an engine with few requests helps.
-        double requestsForReplica = 0;  ///< Orders needs: the most pressing first.
+        bool relievesCongestion = false;  ///< Only an engine with few requests helps.
+        double requestsForReplica = 0;    ///< Orders needs: the most pressing first.
     };
     /// What should be loaded, the most pressing first.
     [[nodiscard]] std::vector<ModelNeed> modelNeeds (base::TimePoint now) const;
@@ -273,16 +273,17 @@
     void planModels (std::vector<EngineCommand>& commands, base::TimePoint now);
     /// Engines that could load the model: all of them, or only those with a copy while the weight
     /// store is not open for it.
-    [[nodiscard]] std::vector<Engine*> enginesToWeigh (const ModelNeed& need, base::TimePoint now);
+    [[nodiscard]] std::vector<Engine*> candidateEngines (const ModelNeed& need,
+                                                         base::TimePoint now);
     /// Reserves one of these engines for the model unless that costs too much; false when none can
     /// take it now.
     bool planModel (const ModelNeed& need, std::span<Engine* const> engines, base::TimePoint now);
     /// Whether it has too many requests for a replica that is to relieve other engines.
-    [[nodiscard]] bool isTooCrowded (const Engine& engine) const;
+    [[nodiscard]] bool isTooBusyToRelieve (const Engine& engine) const;
     /// What its requests cost those for a model that comes, in seconds.
-    [[nodiscard]] double crowdCost (const Engine& engine) const;
+    [[nodiscard]] double congestionCost (const Engine& engine) const;
     /// An engine with a copy of the model that is busy for a moment; worth waiting for.
-    [[nodiscard]] bool isLocalSoon (const ModelView& view) const;
+    [[nodiscard]] bool isCopyAvailableSoon (const ModelView& view) const;
     /// Loads models that nobody holds from engines' own copies into memory that is free.
     void fillFreeMemory (std::vector<EngineCommand>& commands, base::TimePoint now);
     [[nodiscard]] const config::EngineModel* modelToFillWith (const Engine& engine,
@@ -294,63 +295,65 @@
     void fetchAhead (const config::Service& service, base::TimePoint now);
     void planAdapters (std::vector<EngineCommand>& commands, base::TimePoint now);
     /// Engines that were asked for a report on behalf of an adapter in this run.
-    using AskedEngines = std::set<const Engine*>;
-    void planAdapter (const TargetKey& key, AskedEngines& asked,
+    using PolledEngines = std::set<const Engine*>;
+    void planAdapter (const TargetKey& key, PolledEngines& polled,
                       std::vector<EngineCommand>& commands, base::TimePoint now);
     /// The adapter of an engine that was not asked for longest, and when; none while all are in
     /// use.
-    struct AdapterVictim
+    struct EvictableAdapter
     {
         std::string model;
         std::string adapter;
-        base::TimePoint askedAt{};  ///< Zero: never.
+        base::TimePoint requestedAt{};  ///< Zero: never.
     };
-    [[nodiscard]] std::optional<AdapterVictim> adapterVictim (const Engine& engine) const;
+    [[nodiscard]] std::optional<EvictableAdapter> adapterToEvict (const Engine& engine) const;
     /// What must make way for a model; none when it cannot be done.
-    [[nodiscard]] std::optional<Victims> victimsFor (const Engine& engine,
-                                                     const EngineSpecIndex& spec,
-                                                     const config::EngineModel& model,
-                                                     base::TimePoint now) const;
+    [[nodiscard]] std::optional<Evictions> evictionsFor (const Engine& engine,
+                                                         const EngineSpecIndex& spec,
+                                                         const config::EngineModel& model,
+                                                         base::TimePoint now) const;
     /// What losing a model here costs; none when it must stay.
-    [[nodiscard]] std::optional<double> costOfLosing (const Engine& engine, const HeldState& held,
+    [[nodiscard]] std::optional<double> evictionCost (const Engine& engine, const HeldState& held,
                                                       base::TimePoint now) const;
     /// Time that an unload of a model waits for its streams.
     [[nodiscard]] double drainSeconds (const std::string& service, const ModelView& view) const;
     /// Whether the rate of the weight store allows a load to begin now.
     [[nodiscard]] bool mayLoadFromStore (const std::string& service, base::TimePoint now);
     /// Whether the store serves another load at full speed, and leaves so many places free.
-    [[nodiscard]] bool hasStorePlace (std::size_t spare = 0) const;
+    [[nodiscard]] bool hasStoreSlot (std::size_t spare = 0) const;
     /// What to order, and why.
-    struct Intention
+    struct PlannedOrder
     {
         bool isLoad = true;
         std::string model;
         std::string adapter;
         std::string reason;
     };
-    void send (Engine& engine, const Intention& intention, std::vector<EngineCommand>& commands,
+    void send (Engine& engine, const PlannedOrder& intention, std::vector<EngineCommand>& commands,
                base::TimePoint now);
 
     // What answers and reports change.
     /// Forgets what is known of an earlier incarnation than that of the row; whether there was one.
-    bool forgetEarlier (Engine& engine, const cell::RoutableInstance& row, base::TimePoint now);
+    bool resetForNewIncarnation (Engine& engine, const cell::RoutableInstance& row,
+                                 base::TimePoint now);
     /// Takes over the models that it holds.
-    void take (Engine& engine, const EngineHoldings& holdings, base::TimePoint now);
+    void applyHeldModels (Engine& engine, const EngineHoldings& heldModels, base::TimePoint now);
     /// The same with copies of weights.
-    void takeHoldings (Engine& engine, const EngineHoldings& holdings, base::TimePoint now);
+    void applyHeartbeat (Engine& engine, const EngineHoldings& heldModels, base::TimePoint now);
     /// Takes over what is known of an engine that was just agreed on.
-    void takeFirstHoldings (Engine& engine, const cell::ServiceInstance& instance,
+    void applyInitialState (Engine& engine, const cell::ServiceInstance& instance,
                             base::TimePoint now);
-    void noteUnderWay (Engine& engine, PendingOrder pending, base::TimePoint now);
+    void onOrderAccepted (Engine& engine, PendingOrder pending, base::TimePoint now);
     void beginModelOrder (Engine& engine, PendingOrder pending, base::TimePoint now);
     /// The model order of the engine is over; `isHeld` tells whether the engine holds the model.
     void endModelOrder (Engine& engine, bool isHeld, base::TimePoint now);
-    void noteDone (Engine& engine, const engine::ServiceOrder& order, base::TimePoint now);
+    void applyCompletedOrder (Engine& engine, const engine::ServiceOrder& order,
+                              base::TimePoint now);
     /// The adapter is held from then on.
     void expectAdapter (Engine& engine, std::string adapter, base::TimePoint due);
-    void takeReport (Engine& engine, const engine::ServiceReport& report, base::TimePoint now);
-    void takeAnswer (Engine& engine, const engine::ServiceOrder& order,
-                     engine::OrderOutcome outcome, base::TimePoint now);
+    void applyReport (Engine& engine, const engine::ServiceReport& report, base::TimePoint now);
+    void applyAnswer (Engine& engine, const engine::ServiceOrder& order,
+                      engine::OrderOutcome outcome, base::TimePoint now);
 
     EnginePlacementOptions m_options;
     std::uint64_t m_servicesVersion = 0;
@@ -358,19 +361,19 @@
     std::map<std::string, EngineSpecIndex, std::less<>> m_specs;  ///< Of m_catalogue's services.
     std::map<std::string, Engine> m_engines;
     EngineIndex m_index;  ///< Of m_engines.
-    struct EarlyHoldings
+    struct EarlyHeldModels
     {
-        EngineHoldings holdings;
-        base::TimePoint toldAt{};
+        EngineHoldings heldModels;
+        base::TimePoint receivedAt{};
     };
     /// Told by engines that are not in m_engines yet: the first heartbeat comes before the cell has
     /// agreed on them, and the next one that tells may be long in coming.
-    std::map<std::string, EarlyHoldings> m_earlyHoldings;
+    std::map<std::string, EarlyHeldModels> m_earlyHeldModels;
     // Ids of those engines that
-    std::set<std::string> m_attended;  ///< have an order under way or planned, or one in doubt;
-    std::set<std::string> m_unknown;   ///< are usable and whose sequence is not known;
-    std::set<std::string> m_untold;    ///< are usable and have not told what they hold;
-    std::set<std::string> m_unshown;   ///< have changed since takeUnshown().
+    std::set<std::string> m_withOrders;  ///< have an order under way or planned, or one in doubt;
+    std::set<std::string> m_unknownSequence;  ///< are usable and whose sequence is not known;
+    std::set<std::string> m_unreported;       ///< are usable and have not told what they hold;
+    std::set<std::string> m_changed;          ///< have changed since takeUnshown().
     /// When adapters come, by time; takeUnshown() drops what is past.
     std::set<std::pair<base::TimePoint, std::string>> m_adaptersDueAt;
     std::uint64_t m_adapterOrders = 0;
@@ -381,12 +384,12 @@
     std::map<TargetKey, TargetDemand> m_demands;
     std::set<TargetKey> m_waitingAdapters;  ///< Of m_demands, that requests wait for.
     base::TimePoint m_now{};                ///< Of the last decision.
-    std::uint64_t m_round = 0;              ///< Counts calls of lookAtModels().
-    /// As of the last lookAtModels(). Only ever grows: HeldState points into it.
+    std::uint64_t m_round = 0;              ///< Counts calls of updateModelViews().
+    /// As of the last updateModelViews(). Only ever grows: HeldState points into it.
     std::map<ServiceModel, ModelView, ServiceModelOrder> m_models;
     std::deque<base::TimePoint> m_storeLoads;  ///< When loads from the store were ordered.
     StoreConcurrency m_store;
-    bool m_hasStorePlace = true;  ///< As of the last lookAtModels() or plan.
+    bool m_hasStoreSlot = true;  ///< As of the last updateModelViews() or plan.
     /// Time that the longest streams of a service take, by service; as of the last round.
     std::map<std::string, double> m_streamSeconds;
     std::map<ServiceModel, base::TimePoint> m_spareAddedAt;
--- a/src/placement/EnginePlacementFiguresTest.cpp
+++ b/src/placement/EnginePlacementFiguresTest.cpp
@@ -65,12 +65,12 @@
     return rows;
 }
 
-EngineHoldings holdingsOf (int engine)
+EngineHoldings heldModelsOf (int engine)
 {
-    EngineHoldings holdings;
+    EngineHoldings heldModels;
     for (int offset = 0; offset < 2; ++offset)
-        holdings.models.push_back ({ modelName ((2 * engine + offset) % (kModels - 20)), 1, {} });
-    return holdings;
+        heldModels.models.push_back ({ modelName ((2 * engine + offset) % (kModels - 20)), 1, {} });
+    return heldModels;
 }
 
 void reportDemand (EnginePlacement& placement, base::TimePoint now)
@@ -96,7 +96,7 @@
     const auto rows = largeTable();
     placement.refresh (rows, now);
     for (int number = 0; number < kEngines; ++number)
-        placement.onHeartbeat (engineName (number), holdingsOf (number), now);
+        placement.onHeartbeat (engineName (number), heldModelsOf (number), now);
 
     constexpr int kRounds = 200;
     const auto began = std::chrono::steady_clock::now();
@@ -129,14 +129,14 @@
     placement.setServices (1, { largeService() });
     const auto rows = largeTable();
     placement.refresh (rows, now);
-    const auto tell = [&] (int number)
+    const auto sendHeartbeat = [&] (int number)
     {
-        EngineHoldings holdings = holdingsOf (number);
+        EngineHoldings heldModels = heldModelsOf (number);
         for (int copy = 0; copy < kCopies; ++copy)
-            holdings.onDisk.insert (modelName ((number + 37 * copy) % (kModels - 20)));
-        placement.onHeartbeat (engineName (number), holdings, now);
+            heldModels.onDisk.insert (modelName ((number + 37 * copy) % (kModels - 20)));
+        placement.onHeartbeat (engineName (number), heldModels, now);
         engine::ServiceReport report;
-        for (const cell::HeldModel& model : holdings.models)
+        for (const cell::HeldModel& model : heldModels.models)
             report.models.push_back ({ model.model, 1, {} });
         placement.onReport (engineName (number), report, now);
     };
@@ -157,7 +157,7 @@
         placement.refresh ({}, now);
         placement.refresh (rows, now);
         for (int number = 0; number < kEngines; ++number)
-            tell (number);
+            sendHeartbeat (number);
         placement.onDemand (1, demands, now);
         now += base::seconds (1);
         const auto began = std::chrono::steady_clock::now();
--- a/src/placement/EnginePlacementTest.cpp
+++ b/src/placement/EnginePlacementTest.cpp
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 
 #include "placement/EnginePlacement.h"
-#include "placement/EnginePlacementFigures.h"
+#include "placement/EnginePlacementConstants.h"
 
 namespace fernlift::placement
 {
@@ -53,17 +53,17 @@
         row.instance.address = id + ":80";
         m_rows[id] = row;
         m_placement.refresh (m_rows, m_now);
-        hear (id, models);
+        sendHeartbeat (id, models);
         report (id, models, 0);
     }
-    void hear (const std::string& id, const std::vector<std::string>& models,
-               const std::set<std::string>& onDisk = {})
+    void sendHeartbeat (const std::string& id, const std::vector<std::string>& models,
+                        const std::set<std::string>& onDisk = {})
     {
-        EngineHoldings holdings;
+        EngineHoldings heldModels;
         for (const std::string& model : models)
-            holdings.models.push_back ({ model, 1, {} });
-        holdings.onDisk = onDisk;
-        m_placement.onHeartbeat (id, holdings, m_now);
+            heldModels.models.push_back ({ model, 1, {} });
+        heldModels.onDisk = onDisk;
+        m_placement.onHeartbeat (id, heldModels, m_now);
     }
     void report (const std::string& id, const std::vector<std::string>& models,
                  std::uint64_t sequence, bool isBusy = false)
@@ -124,7 +124,7 @@
         m_rows[row.instance.id] = row;
     }
     m_placement.refresh (m_rows, m_now);
-    std::set<std::string> asked;
+    std::set<std::string> polled;
     std::vector<std::string> last;
     for (std::size_t round = 0; round <= kEngines / kMostPolls; ++round)
     {
@@ -135,11 +135,11 @@
                 last.push_back (poll->instance);
         }
         EXPECT_LE (last.size(), kMostPolls);
-        asked.insert (last.begin(), last.end());
+        polled.insert (last.begin(), last.end());
         for (const std::string& id : last)
             report (id, {}, 0);
     }
-    EXPECT_EQ (asked.size(), kEngines);
+    EXPECT_EQ (polled.size(), kEngines);
 }
 
 TEST_F (EnginePlacementTest, TheEngineThatIsNeededIsAskedForItsReportFirst)
@@ -155,7 +155,7 @@
     }
     m_placement.refresh (m_rows, m_now);
     for (const auto& [id, row] : m_rows)
-        hear (id, { id == "e1999" ? "m2" : "m1" });
+        sendHeartbeat (id, { id == "e1999" ? "m2" : "m1" });
     static_cast<void> (orders());  // Others are asked meanwhile.
     demand ("m2", 1, 0, "a1");
     EXPECT_TRUE (polls ("e1999"));
@@ -180,26 +180,26 @@
         m_rows[row.instance.id] = row;
     }
     m_placement.refresh (m_rows, m_now);
-    std::size_t asked = 0;
+    std::size_t polled = 0;
     for (int round = 0; round < kSeconds * 10; ++round)
     {
         for (const EngineCommand& command : m_placement.decide (m_now))
         {
             if (const auto* poll = std::get_if<PollEngine> (&command))
             {
-                ++asked;
+                ++polled;
                 report (poll->instance, {}, 0);
             }
         }
         wait (base::milliseconds (100));
     }
-    EXPECT_LE (asked, kMostAtOnce + kSeconds * kPerSecond);
-    EXPECT_GE (asked, kMostAtOnce);
+    EXPECT_LE (polled, kMostAtOnce + kSeconds * kPerSecond);
+    EXPECT_GE (polled, kMostAtOnce);
 }
 
 TEST_F (EnginePlacementTest, WhatAnEngineToldBeforeItWasAgreedOnIsKnown)
 {
-    hear ("e1", { "m1" }, { "m2" });
+    sendHeartbeat ("e1", { "m1" }, { "m2" });
     cell::RoutableInstance row;
     row.instance.id = "e1";
     row.instance.service = "llm";
@@ -248,7 +248,7 @@
     m_placement.refresh (m_rows, m_now);
     static_cast<void> (orders());
     // Its first heartbeat comes before the cell has agreed that it is another one.
-    hear ("e1", { "m2" });
+    sendHeartbeat ("e1", { "m2" });
     row.instance.startedAt = 2;
     row.instance.isReported = true;
     row.instance.models = { { "m2", 1, {} } };
@@ -286,7 +286,7 @@
     row.instance = { "e1", "llm", "e1:80", "z", 8, false, false, {} };
     m_rows["e1"] = row;
     m_placement.refresh (m_rows, m_now);
-    hear ("e1", { "m1" });
+    sendHeartbeat ("e1", { "m1" });
     demand ("m2", 1);
     EXPECT_TRUE (polls ("e1"));
     EXPECT_TRUE (orders().empty());
@@ -307,7 +307,7 @@
     EXPECT_TRUE (orders().empty());
     answer (sent[0], engine::OrderOutcome::kUnderWay);
     EXPECT_TRUE (orders().empty());
-    hear ("e1", { "m1", "m2" });
+    sendHeartbeat ("e1", { "m1", "m2" });
     const auto next = orders();
     ASSERT_EQ (next.size(), 1U);
     EXPECT_EQ (next[0].adapter, "a1");
@@ -318,19 +318,19 @@
 {
     addEngine ("e1", { "m1", "m2" });
     wait (base::seconds (30));
-    hear ("e1", { "m1", "m2" });
+    sendHeartbeat ("e1", { "m1", "m2" });
     demand ("m3", 1);
     EXPECT_TRUE (orders().empty());  // Routers hear of the withdrawal first.
     const auto held = m_placement.routableModels ("e1", m_now);
     ASSERT_TRUE (held);
     EXPECT_EQ (held->size(), 1U);
-    wait (kWithdrawalTime);
+    wait (kWithdrawalDelay);
     const auto unload = orders();
     ASSERT_EQ (unload.size(), 1U);
     EXPECT_FALSE (unload[0].isLoad);
     answer (unload[0], engine::OrderOutcome::kUnderWay);
     EXPECT_TRUE (orders().empty());  // Still held.
-    hear ("e1", { unload[0].model == "m1" ? "m2" : "m1" });
+    sendHeartbeat ("e1", { unload[0].model == "m1" ? "m2" : "m1" });
     const auto load = orders();
     ASSERT_EQ (load.size(), 1U);
     EXPECT_TRUE (load[0].isLoad);
@@ -346,7 +346,7 @@
     for (int round = 0; round < 10; ++round)
     {
         EXPECT_TRUE (orders().empty());
-        wait (kWithdrawalTime);
+        wait (kWithdrawalDelay);
     }
 }
 
@@ -359,7 +359,7 @@
     demand ("m5", 0);
     demand ("m3", 1);
     EXPECT_TRUE (orders().empty());
-    wait (kWithdrawalTime);
+    wait (kWithdrawalDelay);
     const auto unload = orders();
     ASSERT_EQ (unload.size(), 1U);
     EXPECT_FALSE (unload[0].isLoad);
@@ -374,7 +374,7 @@
     ASSERT_EQ (sent.size(), 1U);
     answer (sent[0], engine::OrderOutcome::kUnknown);
     EXPECT_TRUE (orders().empty());
-    wait (kReportAge);
+    wait (kMaxReportLag);
     EXPECT_TRUE (polls ("e1"));
     report ("e1", { "m1" }, 0);  // Not taken so far.
     const auto again = orders();
@@ -388,11 +388,11 @@
     demand ("m2", 1);
     const auto sent = orders();
     answer (sent.at (0), engine::OrderOutcome::kUnknown);
-    wait (kReportAge);
+    wait (kMaxReportLag);
     EXPECT_TRUE (polls ("e1"));
     report ("e1", { "m1" }, 1, true);
     EXPECT_TRUE (orders().empty());
-    hear ("e1", { "m1", "m2" });
+    sendHeartbeat ("e1", { "m1", "m2" });
     EXPECT_TRUE (orders().empty());
 }
 
@@ -409,7 +409,8 @@
         {
             ++loads;
             answer (order, engine::OrderOutcome::kUnderWay);
-            hear (order.instance, { order.model });  // Done at once: only the rate holds back.
+            sendHeartbeat (order.instance,
+                           { order.model });  // Done at once: only the rate holds back.
         }
         wait (base::milliseconds (90));
     }
@@ -423,7 +424,7 @@
     {
         const std::string id = "e" + std::to_string (number);
         addEngine (id, {});
-        hear (id, {}, { "m" + std::to_string (number) });
+        sendHeartbeat (id, {}, { "m" + std::to_string (number) });
     }
     EXPECT_EQ (orders().size(), 30U);  // Free memory is filled with what nobody holds.
 }
@@ -498,7 +499,7 @@
     m_placement.onDemand (1, { { "llm", "m2", "", 0, 0, 1, 0 }, { "llm", "m3", "", 0, 0, 1, 0 } },
                           m_now);
     demand ("m1", 0, 5);
-    wait (kWithdrawalTime);
+    wait (kWithdrawalDelay);
     EXPECT_TRUE (orders().empty());
 }
 
@@ -507,19 +508,19 @@
     addEngine ("e1", { "m1", "m2" });
     addEngine ("e2", { "m4", "m5" });
     wait (base::seconds (30));
-    hear ("e1", { "m1", "m2" }, { "m3" });
-    hear ("e2", { "m4", "m5" });
+    sendHeartbeat ("e1", { "m1", "m2" }, { "m3" });
+    sendHeartbeat ("e2", { "m4", "m5" });
     m_placement.onDemand (1, { { "llm", "m1", "a1", 1, 0, 1 } }, m_now);
     const auto adapter = orders();
     ASSERT_EQ (adapter.size(), 1U);
     EXPECT_EQ (adapter[0].instance, "e1");
     demand ("m3", 1);
     EXPECT_TRUE (orders().empty());
-    wait (kWithdrawalTime);
+    wait (kWithdrawalDelay);
     EXPECT_TRUE (orders().empty()) << "e2 would have to load it from the store";
     answer (adapter[0], engine::OrderOutcome::kUnderWay);
     EXPECT_TRUE (orders().empty());
-    wait (kWithdrawalTime);
+    wait (kWithdrawalDelay);
     const auto unload = orders();
     ASSERT_EQ (unload.size(), 1U);
     EXPECT_EQ (unload[0].instance, "e1");
@@ -535,13 +536,13 @@
     for (int number = 1; number <= 20; ++number)
         copies.insert ("m" + std::to_string (number));
     addEngine ("e-busy", {});
-    hear ("e-busy", {}, copies);
+    sendHeartbeat ("e-busy", {}, copies);
     demand ("m1", 1);
     const auto first = orders();
     ASSERT_EQ (first.size(), 1);
     answer (first[0], engine::OrderOutcome::kUnderWay);
     addEngine ("e-idle", { "m29", "m30" });
-    hear ("e-idle", { "m29", "m30" }, { "m21" });
+    sendHeartbeat ("e-idle", { "m29", "m30" }, { "m21" });
     // The others have waited for longer, by less than they would wait for the store.
     for (int number = 2; number <= 20; ++number)
         demand ("m" + std::to_string (number), 2);
@@ -612,10 +613,10 @@
     ASSERT_EQ (sent.size(), 1U);
     EXPECT_EQ (sent[0].model, "m3");
     answer (sent[0], engine::OrderOutcome::kUnderWay);
-    hear (sent[0].instance, { sent[0].instance == "e1" ? "m1" : "m2", "m3" });
+    sendHeartbeat (sent[0].instance, { sent[0].instance == "e1" ? "m1" : "m2", "m3" });
     wait (base::seconds (30));
-    hear ("e1", { "m1" });
-    hear ("e2", { "m2" });
+    sendHeartbeat ("e1", { "m1" });
+    sendHeartbeat ("e2", { "m2" });
     EXPECT_TRUE (orders().empty());
 }
 
--- a/src/placement/EnginePlans.cpp
+++ b/src/placement/EnginePlans.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "placement/EnginePlacement.h"
-#include "placement/EnginePlacementFigures.h"
+#include "placement/EnginePlacementConstants.h"
 
 namespace fernlift::placement
 {
@@ -15,20 +15,20 @@
 
 // Costs are in seconds of a request that waits.
 constexpr double kUnloadCost = 0.3;
-constexpr double kSpareReplicaCost = 0.2;
+constexpr double kSurplusReplicaCost = 0.2;
 /// A replica beyond those that requests need, which a burst may need.
-constexpr double kReserveReplicaCost = 2.0;
+constexpr double kStandbyReplicaCost = 2.0;
 constexpr double kNeededReplicaCost = 30.0;
 /// Held more than once from the beginning, so it probably was busy; nobody has asked yet.
 constexpr double kUnknownReplicaCost = 1.0;
 /// The next request for the model waits for a load.
 constexpr double kLastReplicaCost = 1.5;
 constexpr double kCheapestLastReplicaCost = 0.3;
-constexpr double kAdapterTroubleCost = 4.0;
+constexpr double kAdapterDelayCost = 4.0;
 /// A model that only this engine could load quickly waits until the load from the store is done.
 constexpr double kBlockedCopyCost = 1.0;
 /// Requests for a model that comes to an engine at its limit are answered this much later.
-constexpr double kCrowdCost = 1.0;
+constexpr double kCongestionCost = 1.0;
 /// Part of an engine's limit that requests may take where a replica is to relieve others.
 constexpr double kHighestShareForReplica = 0.5;
 /// Loading ahead of requests may cost this much beside the load itself.
@@ -41,11 +41,11 @@
 /// The same before anybody has asked for a model: loads that begin then may not be done when the
 /// first requests come.
 constexpr std::size_t kIdleEnginesForFetch = 4;
-constexpr base::Duration kAdapterUse = base::seconds (10);
+constexpr base::Duration kAdapterUseWindow = base::seconds (10);
 /// Seconds of silence after which the last replica of a model is worth the least.
-constexpr double kForgottenAfter = 20.0;
+constexpr double kIdleSecondsToMinCost = 20.0;
 /// A request waits this long for an engine that has a copy rather than for the weight store.
-constexpr base::Duration kPatienceForCopy = base::milliseconds (1500);
+constexpr base::Duration kMaxWaitForCopy = base::milliseconds (1500);
 /// Plans of a round that may look at every engine: more would hold up the leader's event loop.
 constexpr std::size_t kMostFullPlansInRound = 12;
 /// The same in a large cell, in engines looked at for all plans of a round, some 1 us each; with
@@ -58,28 +58,28 @@
 {
     const std::size_t most =
         std::min (kMostFullPlansInRound * m_engines.size(), kMostEnginesInRound);
-    std::size_t lookedAt = 0;
+    std::size_t visited = 0;
     for (const ModelNeed& need : modelNeeds (now))
     {
-        if (lookedAt >= most)
+        if (visited >= most)
             break;
-        const std::vector<Engine*> engines = enginesToWeigh (need, now);
-        lookedAt += engines.size();
+        const std::vector<Engine*> engines = candidateEngines (need, now);
+        visited += engines.size();
         if (planModel (need, engines, now) && need.isSpare)
             m_spareAddedAt[need.model] = now;
     }
     continuePlans (commands, now);
 }
 
-std::vector<EnginePlacement::Engine*> EnginePlacement::enginesToWeigh (const ModelNeed& need,
-                                                                       base::TimePoint now)
+std::vector<EnginePlacement::Engine*> EnginePlacement::candidateEngines (const ModelNeed& need,
+                                                                         base::TimePoint now)
 {
     const auto& [service, name] = need.model;
     const ModelView& view = viewOf (service, name);
     const bool isMissing = view.holders() == 0;
-    const bool waitsForCopy = isMissing && need.age < kPatienceForCopy && isLocalSoon (view);
-    if (waitsForCopy || ! m_hasStorePlace || ! mayLoadFromStore (service, now))
-        return { view.places->copies.begin(), view.places->copies.end() };
+    const bool waitsForCopy = isMissing && need.age < kMaxWaitForCopy && isCopyAvailableSoon (view);
+    if (waitsForCopy || ! m_hasStoreSlot || ! mayLoadFromStore (service, now))
+        return { view.locations->copies.begin(), view.locations->copies.end() };
     std::vector<Engine*> engines;
     engines.reserve (m_engines.size());
     for (auto& [id, engine] : m_engines)
@@ -92,59 +92,59 @@
 {
     const auto& [service, name] = need.model;
     Engine* best = nullptr;
-    Victims bestVictims;
+    Evictions bestEvictions;
     double lowest = 0;
     for (Engine* const each : engines)
     {
         const Engine& engine = *each;
         // One whose sequence is not known is asked for it once it is chosen.
-        const bool mayBeOrdered = mayTakeOrder (engine) || mayBeAsked (engine);
+        const bool mayBeOrdered = mayTakeOrder (engine) || mayBePolled (engine);
         const bool isCandidate = engine.service == service && engine.reservedFor.empty()
                                  && mayBeOrdered && ! engine.models.contains (name)
                                  && ! m_rateLimited.contains (engine.id)
-                                 && ! (need.isForCrowd && isTooCrowded (engine));
+                                 && ! (need.relievesCongestion && isTooBusyToRelieve (engine));
         if (! isCandidate)
             continue;
-        weigh (*each, now);
+        updateEvictionInputs (*each, now);
         const EngineSpecIndex* spec = specOf (engine);
         const config::EngineModel* model = spec == nullptr ? nullptr : spec->findModel (name);
         if (model == nullptr)
             return false;
-        std::optional<Victims> victims = victimsFor (engine, *spec, *model, now);
-        if (! victims)
+        std::optional<Evictions> evictions = evictionsFor (engine, *spec, *model, now);
+        if (! evictions)
             continue;
-        double cost = victims->cost + loadSeconds (engine, *model) + engine.adapterTrouble
-                      + crowdCost (engine);
+        double cost = evictions->cost + loadSeconds (engine, *model) + engine.adapterDelayCost
+                      + congestionCost (engine);
         if (! isLocal (engine, name))
-            cost += engine.blockedCopies;
-        if (cost > need.highestCost || (best != nullptr && cost >= lowest))
+            cost += engine.blockedCopyCost;
+        if (cost > need.maxCost || (best != nullptr && cost >= lowest))
             continue;
         best = each;
-        bestVictims = std::move (*victims);
+        bestEvictions = std::move (*evictions);
         lowest = cost;
     }
     if (best == nullptr)
         return false;
     best->reservedFor = name;
-    best->withdrawn = { bestVictims.models.begin(), bestVictims.models.end() };
+    best->withdrawn = { bestEvictions.models.begin(), bestEvictions.models.end() };
     best->withdrawnAt = now;
-    noteChange (*best);
-    ++viewFor (service, name).coming;
-    m_hasStorePlace = hasStorePlace();
+    updateDerivedState (*best);
+    ++viewFor (service, name).pendingLoads;
+    m_hasStoreSlot = hasStoreSlot();
     return true;
 }
 
-bool EnginePlacement::isTooCrowded (const Engine& engine) const
+bool EnginePlacement::isTooBusyToRelieve (const Engine& engine) const
 {
-    return requestsOf (engine) > kHighestShareForReplica * crowdLimit (engine);
+    return requestsOf (engine) > kHighestShareForReplica * congestionLimit (engine);
 }
 
-double EnginePlacement::crowdCost (const Engine& engine) const
+double EnginePlacement::congestionCost (const Engine& engine) const
 {
-    return kCrowdCost * requestsOf (engine) / std::max (crowdLimit (engine), 1.0);
+    return kCongestionCost * requestsOf (engine) / std::max (congestionLimit (engine), 1.0);
 }
 
-bool EnginePlacement::isLocalSoon (const ModelView& view) const
+bool EnginePlacement::isCopyAvailableSoon (const ModelView& view) const
 {
     const auto loadsFromStore = [] (const Engine& engine)
     {
@@ -153,20 +153,20 @@
                || (! engine.reservedFor.empty() && ! isLocal (engine, engine.reservedFor));
     };
     return std::ranges::any_of (
-        view.places->copies, [&] (const Engine* engine)
+        view.locations->copies, [&] (const Engine* engine)
         { return m_now >= engine->ordersFrom && ! loadsFromStore (*engine); });
 }
 
-double EnginePlacement::blockedCopies (const Engine& engine, base::TimePoint now) const
+double EnginePlacement::blockedCopyCost (const Engine& engine, base::TimePoint now) const
 {
     double cost = 0;
     const auto count = [&] (const std::string& name)
     {
         const ModelView& view = viewOf (engine.service, name);
-        const bool isOnlyHere = view.isMissing() && view.places->copies.size() == 1;
-        const base::TimePoint askedAt = view.demand.askedAt;
-        const bool isWanted =
-            askedAt != base::TimePoint{} && base::toSeconds (now - askedAt) < kForgottenAfter;
+        const bool isOnlyHere = view.isMissing() && view.locations->copies.size() == 1;
+        const base::TimePoint requestedAt = view.demand.requestedAt;
+        const bool isWanted = requestedAt != base::TimePoint{}
+                              && base::toSeconds (now - requestedAt) < kIdleSecondsToMinCost;
         if (isOnlyHere && isWanted)
             cost += kBlockedCopyCost;
     };
@@ -185,7 +185,7 @@
     if (! m_options.fetchesAhead)
         return;
     // What an engine has is known once it has told; a new leader hears of all within one interval.
-    if (! m_untold.empty())
+    if (! m_unreported.empty())
         return;
     for (const config::Service& service : m_catalogue.services)
     {
@@ -198,7 +198,7 @@
 void EnginePlacement::fetchAhead (const config::Service& service, base::TimePoint now)
 {
     // One place stays free for what requests wait for.
-    constexpr std::size_t kSparePlaces = 1;
+    constexpr std::size_t kSpareSlots = 1;
     const bool isInUse = ! m_demands.empty();
     const std::size_t share = isInUse ? kEnginesForFetch : kIdleEnginesForFetch;
     const std::size_t most = std::max<std::size_t> (m_engines.size() / share, 1);
@@ -206,23 +206,23 @@
     {
         const ServiceModel key{ service.name, model.name };
         const ModelView& view = viewOf (service.name, model.name);
-        const bool isNowhere = view.isMissing() && view.places->copies.empty();
+        const bool isNowhere = view.isMissing() && view.locations->copies.empty();
         if (! isNowhere || m_fetched.contains (key))
             continue;
         // Looks at every engine: for each of 330 models, held or not, it took half of a round.
-        if (! hasStorePlace (isInUse ? kSparePlaces : 0) || storeLoads() >= most)
+        if (! hasStoreSlot (isInUse ? kSpareSlots : 0) || storeLoads() >= most)
             return;
         ModelNeed need;
         need.model = key;
-        need.highestCost = base::toSeconds (model.loadTime) + kHighestFetchCost;
-        if (! planModel (need, enginesToWeigh (need, now), now))
+        need.maxCost = base::toSeconds (model.loadTime) + kHighestFetchCost;
+        if (! planModel (need, candidateEngines (need, now), now))
             return;
         m_fetched.insert (key);
     }
 }
 
-double EnginePlacement::adapterTrouble (const Engine& engine, const EngineSpecIndex& spec,
-                                        base::TimePoint now) const
+double EnginePlacement::adapterDelayCost (const Engine& engine, const EngineSpecIndex& spec,
+                                          base::TimePoint now) const
 {
     // No adapter can come to an engine while it loads a model.
     for (const auto& [name, state] : engine.models)
@@ -230,11 +230,12 @@
         const config::EngineModel* model = spec.findModel (name);
         if (model == nullptr || model->adapters == 0)
             continue;
-        const base::TimePoint askedAt =
-            state.view == nullptr ? base::TimePoint{} : state.view->demand.askedAt;
-        const bool isInUse = askedAt != base::TimePoint{} && now - askedAt < kAdapterUse;
+        const base::TimePoint requestedAt =
+            state.view == nullptr ? base::TimePoint{} : state.view->demand.requestedAt;
+        const bool isInUse =
+            requestedAt != base::TimePoint{} && now - requestedAt < kAdapterUseWindow;
         if (isInUse)
-            return kAdapterTroubleCost;
+            return kAdapterDelayCost;
     }
     return 0;
 }
@@ -248,18 +249,18 @@
     return base::toSeconds (model.loadTime);
 }
 
-std::optional<EnginePlacement::Victims> EnginePlacement::victimsFor (
+std::optional<EnginePlacement::Evictions> EnginePlacement::evictionsFor (
     const Engine& engine, const EngineSpecIndex& spec, const config::EngineModel& model,
     base::TimePoint now) const
 {
-    Victims victims;
+    Evictions evictions;
     double free = engine.freeMemory;
     if (free >= model.memoryMb)
-        return victims;
+        return evictions;
     std::vector<std::pair<double, std::string_view>> candidates;
     for (const auto& [name, state] : engine.models)
     {
-        if (const auto cost = costOfLosing (engine, state, now))
+        if (const auto cost = evictionCost (engine, state, now))
             candidates.emplace_back (*cost, name);
     }
     std::ranges::sort (candidates);
@@ -271,20 +272,20 @@
         if (held == nullptr)
             continue;
         free += held->memoryMb;
-        victims.cost += cost + kUnloadCost;
-        victims.models.emplace_back (name);
+        evictions.cost += cost + kUnloadCost;
+        evictions.models.emplace_back (name);
     }
     if (free < model.memoryMb)
         return std::nullopt;
-    return victims;
+    return evictions;
 }
 
-std::optional<double> EnginePlacement::costOfLosing (const Engine& engine, const HeldState& held,
+std::optional<double> EnginePlacement::evictionCost (const Engine& engine, const HeldState& held,
                                                      base::TimePoint now) const
 {
     const ModelView& view = *held.view;
     const ModelDemand& demand = view.demand;
-    const bool isUnknown = demand.askedAt == base::TimePoint{};
+    const bool isUnknown = demand.requestedAt == base::TimePoint{};
     if (view.holders() > 1)
     {
         if (isUnknown)
@@ -292,10 +293,10 @@
         const ReplicaTargets targets = replicaTargets (view, specOf (engine)->spec());
         const double drain = drainSeconds (engine.service, view);
         // Without this one the others would be crowded, and it would be loaded again.
-        if (targets.needed >= view.holders() || isCrowdedWithout (engine, view))
+        if (targets.needed >= view.holders() || isCongestedWithout (engine, view))
             return kNeededReplicaCost + drain;
-        const bool isReserve = targets.spare >= view.holders();
-        return (isReserve ? kReserveReplicaCost : kSpareReplicaCost) + drain;
+        const bool isStandby = targets.spare >= view.holders();
+        return (isStandby ? kStandbyReplicaCost : kSurplusReplicaCost) + drain;
     }
     if (isUnknown)
         return kCheapestLastReplicaCost;
@@ -303,8 +304,9 @@
         return std::nullopt;
     if (demand.running > 0)
         return kLastReplicaCost + drainSeconds (engine.service, view);
-    const double idle = base::toSeconds (now - demand.askedAt);
-    return std::max (kLastReplicaCost * (1 - idle / kForgottenAfter), kCheapestLastReplicaCost);
+    const double idle = base::toSeconds (now - demand.requestedAt);
+    return std::max (kLastReplicaCost * (1 - idle / kIdleSecondsToMinCost),
+                     kCheapestLastReplicaCost);
 }
 
 double EnginePlacement::drainSeconds (const std::string& service, const ModelView& view) const
@@ -323,7 +325,7 @@
     for (const auto& [key, view] : m_models)
     {
         if (view.isMissing())
-            engines.insert (view.places->copies.begin(), view.places->copies.end());
+            engines.insert (view.locations->copies.begin(), view.locations->copies.end());
     }
     return engines;
 }
@@ -333,17 +335,17 @@
     for (Engine* const each : enginesToFill())
     {
         Engine& engine = *each;
-        if (! engine.reservedFor.empty() || ! mayTakeOrder (engine) || ! engine.hasTold)
+        if (! engine.reservedFor.empty() || ! mayTakeOrder (engine) || ! engine.hasReported)
             continue;
         const EngineSpecIndex* spec = specOf (engine);
         if (spec == nullptr)
             continue;
-        weigh (engine, now);
+        updateEvictionInputs (engine, now);
         const config::EngineModel* model = modelToFillWith (engine, *spec);
         if (model == nullptr)
             continue;
         send (engine, { true, model->name, "", "memory is free" }, commands, now);
-        ++viewFor (engine.service, model->name).coming;
+        ++viewFor (engine.service, model->name).pendingLoads;
     }
 }
 
--- a/src/placement/EnginePlayTestSupport.h
+++ b/src/placement/EnginePlayTestSupport.h
@@ -85,17 +85,17 @@
         std::vector<Running> running;
         std::optional<Order> order;
         std::uint64_t sequence = 0;
-        base::TimePoint toldAt{};
+        base::TimePoint heartbeatAt{};
     };
 
     void tick();
-    void arrive (const std::vector<PlayedRate>& rates);
+    void addArrivals (const std::vector<PlayedRate>& rates);
     void sendWaiting();
-    void work (Engine& engine);
-    void carryOut (Engine& engine);
-    void take (const SendEngineOrder& order);
+    void advanceStreams (Engine& engine);
+    void advanceOrder (Engine& engine);
+    void acceptOrder (const SendEngineOrder& order);
     void reportDemand();
-    void tell (Engine& engine);
+    void sendHeartbeat (Engine& engine);
     /// The holder with the fewest streams, as routers see it; null: none.
     [[nodiscard]] Engine* holderOf (const std::string& model);
     [[nodiscard]] base::TimePoint start() const { return base::TimePoint (base::seconds (1000)); }
--- a/src/placement/EnginePlayTestSupportTest.cpp
+++ b/src/placement/EnginePlayTestSupportTest.cpp
@@ -77,7 +77,7 @@
     row.instance.service = kService;
     m_rows[engine.id] = row;
     m_placement.refresh (m_rows, m_now);
-    tell (engine);
+    sendHeartbeat (engine);
 }
 
 void EnginePlay::replace (std::size_t number)
@@ -94,12 +94,12 @@
     const base::TimePoint end = m_now + duration;
     while (m_now < end)
     {
-        arrive (rates);
+        addArrivals (rates);
         tick();
     }
 }
 
-void EnginePlay::arrive (const std::vector<PlayedRate>& rates)
+void EnginePlay::addArrivals (const std::vector<PlayedRate>& rates)
 {
     for (const PlayedRate& rate : rates)
     {
@@ -118,17 +118,17 @@
     sendWaiting();
     for (Engine& engine : m_engines)
     {
-        work (engine);
-        carryOut (engine);
-        if (m_now - engine.toldAt >= kHeartbeat)
-            tell (engine);
+        advanceStreams (engine);
+        advanceOrder (engine);
+        if (m_now - engine.heartbeatAt >= kHeartbeat)
+            sendHeartbeat (engine);
     }
     if (m_isUrgent || m_now - m_reportedAt >= kDemandInterval)
         reportDemand();
     for (const EngineCommand& command : m_placement.decide (m_now))
     {
         if (const auto* order = std::get_if<SendEngineOrder> (&command))
-            take (*order);
+            acceptOrder (*order);
     }
 }
 
@@ -166,7 +166,7 @@
     m_waiting = std::move (left);
 }
 
-void EnginePlay::work (Engine& engine)
+void EnginePlay::advanceStreams (Engine& engine)
 {
     const double step = kStepMilliseconds
                         + kStepMillisecondsForStream * static_cast<double> (engine.running.size());
@@ -185,7 +185,7 @@
     std::erase_if (engine.running, [] (const Running& running) { return running.tokensLeft <= 0; });
 }
 
-void EnginePlay::carryOut (Engine& engine)
+void EnginePlay::advanceOrder (Engine& engine)
 {
     if (! engine.order)
         return;
@@ -205,10 +205,10 @@
         engine.held.erase (order.model);
     }
     engine.order.reset();
-    tell (engine);
+    sendHeartbeat (engine);
 }
 
-void EnginePlay::take (const SendEngineOrder& command)
+void EnginePlay::acceptOrder (const SendEngineOrder& command)
 {
     const auto isMeant = [&] (const Engine& engine) { return engine.id == command.order.instance; };
     const auto engine = std::ranges::find_if (m_engines, isMeant);
@@ -226,18 +226,18 @@
     m_placement.onOrderAnswer (command.order, engine::OrderOutcome::kUnderWay, m_now);
 }
 
-void EnginePlay::tell (Engine& engine)
+void EnginePlay::sendHeartbeat (Engine& engine)
 {
-    engine.toldAt = m_now;
-    EngineHoldings holdings;
+    engine.heartbeatAt = m_now;
+    EngineHoldings heldModels;
     engine::ServiceReport report;
     for (const std::string& model : engine.held)
     {
-        holdings.models.push_back ({ model, 1, {} });
+        heldModels.models.push_back ({ model, 1, {} });
         report.models.push_back ({ model, 1, {} });
     }
-    holdings.onDisk = engine.copies;
-    m_placement.onHeartbeat (engine.id, holdings, m_now);
+    heldModels.onDisk = engine.copies;
+    m_placement.onHeartbeat (engine.id, heldModels, m_now);
     report.sequence = engine.sequence;
     report.isBusy = engine.order.has_value();
     m_placement.onReport (engine.id, report, m_now);
--- a/src/placement/EngineState.h
+++ b/src/placement/EngineState.h
@@ -39,15 +39,15 @@
 };
 
 /// What EngineIndex has noted of an engine; empty while it takes no requests.
-struct IndexedHoldings
+struct IndexedModels
 {
     std::string service;
-    std::vector<std::string> models;     ///< That routers may send requests for there.
-    std::vector<std::string> adapters;   ///< MODEL/ADAPTER of these, held or on their way.
-    std::vector<std::string> copies;     ///< Models in host memory or on disk.
-    std::size_t takenAdapterPlaces = 0;  ///< Adapters of all its models.
+    std::vector<std::string> models;    ///< That routers may send requests for there.
+    std::vector<std::string> adapters;  ///< MODEL/ADAPTER of these, held or on their way.
+    std::vector<std::string> copies;    ///< Models in host memory or on disk.
+    std::size_t usedAdapterSlots = 0;   ///< Adapters of all its models.
 
-    bool operator== (const IndexedHoldings&) const = default;
+    bool operator== (const IndexedModels&) const = default;
 };
 
 struct EngineState
@@ -58,14 +58,14 @@
     base::UnixMilliseconds startedAt = 0;   ///< Of the incarnation; 0: it does not tell.
     bool isUsable = false;                  ///< Takes requests and orders.
     base::TimePoint ordersFrom{};           ///< No order goes out before.
-    bool hasTold = false;                   ///< A heartbeat or report has come.
+    bool hasReported = false;               ///< A heartbeat or report has come.
     std::optional<std::uint64_t> sequence;  ///< Orders it has taken, as far as is known.
     std::map<std::string, HeldState> models;
     std::set<std::string> inMemory;
     std::set<std::string> onDisk;
     std::optional<PendingOrder> unanswered;              ///< One at a time.
     std::optional<PendingOrder> modelOrder;              ///< Taken, for a model, not finished.
-    std::optional<PendingOrder> doubtful;                ///< Perhaps taken; the next report tells.
+    std::optional<PendingOrder> unconfirmed;             ///< Perhaps taken; the next report tells.
     std::map<std::string, base::TimePoint> adaptersDue;  ///< MODEL/ADAPTER; held from then on.
     std::string reservedFor;          ///< Model that is to be loaded after unloads.
     std::set<std::string> withdrawn;  ///< Models that routers no longer are told of.
@@ -73,17 +73,17 @@
     bool isPolled = false;  ///< A report was asked for and has not come.
     base::TimePoint polledAt{};
     base::TimePoint pollAt{};  ///< No report is asked for before.
-    IndexedHoldings indexed;   ///< Written by EngineIndex only.
+    IndexedModels indexed;     ///< Written by EngineIndex only.
 
     // Of one round of decisions, and not valid in a later one:
-    std::uint64_t crowdRound = 0;    ///< Of the next member.
-    double requests = 0;             ///< That wait for its models or run there, as far as is known.
-    std::uint64_t weighedRound = 0;  ///< Of the next members.
-    double freeMemory = 0;           ///< For models, in megabytes.
-    double adapterTrouble = 0;       ///< What a load costs those who want adapters of its models.
+    std::uint64_t requestsRound = 0;  ///< Of the next member.
+    double requests = 0;  ///< That wait for its models or run there, as far as is known.
+    std::uint64_t evictionInputsRound = 0;  ///< Of the next members.
+    double freeMemory = 0;                  ///< For models, in megabytes.
+    double adapterDelayCost = 0;  ///< What a load costs those who want adapters of its models.
     /// What a load from the store costs those who want models of which only this engine has a
     /// copy, and could load it soon.
-    double blockedCopies = 0;
+    double blockedCopyCost = 0;
 };
 
 /// MODEL/ADAPTER.
--- a/src/placement/EngineViews.cpp
+++ b/src/placement/EngineViews.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "placement/EnginePlacement.h"
-#include "placement/EnginePlacementFigures.h"
+#include "placement/EnginePlacementConstants.h"
 
 namespace fernlift::placement
 {
@@ -30,17 +30,17 @@
     target.byRouter.emplace (router, demand);
 }
 
-void EnginePlacement::lookAtModels (base::TimePoint now)
+void EnginePlacement::updateModelViews (base::TimePoint now)
 {
     ++m_round;
     for (auto& [key, view] : m_models)
-        view = ModelView (*view.places);
+        view = ModelView (*view.locations);
     countDemands (now);
-    countComing();
+    countPendingLoads();
     countRateLimited();
-    measureCrowds();
-    measureStreams();
-    m_hasStorePlace = hasStorePlace();
+    measureCongestion();
+    measureStreamDurations();
+    m_hasStoreSlot = hasStoreSlot();
 }
 
 void EnginePlacement::countDemands (base::TimePoint now)
@@ -51,9 +51,9 @@
         total.waiting += target.waiting;
         total.running += target.running;
         total.unread += target.unread;
-        total.askedAt = std::max (total.askedAt, target.askedAt);
-        total.perSecond += target.arrivals.perSecond (kRateMemory, now);
-        total.tokensPerSecond += target.promptTokens.perSecond (kRateMemory, now);
+        total.requestedAt = std::max (total.requestedAt, target.requestedAt);
+        total.perSecond += target.arrivals.perSecond (kRateWindow, now);
+        total.tokensPerSecond += target.promptTokens.perSecond (kRateWindow, now);
         if (target.waiting == 0)
             continue;
         const bool isFirst = total.waitingSince == base::TimePoint{};
@@ -62,25 +62,25 @@
     }
 }
 
-void EnginePlacement::countComing()
+void EnginePlacement::countPendingLoads()
 {
-    for (const std::string& id : m_attended)
+    for (const std::string& id : m_withOrders)
     {
         const Engine& engine = m_engines.at (id);
         if (! engine.isUsable)
             continue;
-        std::set<std::string> coming;
+        std::set<std::string> pendingLoads;
         if (! engine.reservedFor.empty())
-            coming.insert (engine.reservedFor);
-        for (const auto* pending : { &engine.unanswered, &engine.modelOrder, &engine.doubtful })
+            pendingLoads.insert (engine.reservedFor);
+        for (const auto* pending : { &engine.unanswered, &engine.modelOrder, &engine.unconfirmed })
         {
             if (*pending && (*pending)->order.isLoad && (*pending)->order.adapter.empty())
-                coming.insert ((*pending)->order.model);
+                pendingLoads.insert ((*pending)->order.model);
         }
-        for (const std::string& model : coming)
+        for (const std::string& model : pendingLoads)
         {
             if (! engine.models.contains (model))
-                ++viewFor (engine.service, model).coming;
+                ++viewFor (engine.service, model).pendingLoads;
         }
     }
 }
@@ -92,21 +92,21 @@
         const auto found = m_engines.find (id);
         if (found == m_engines.end())
             continue;
-        const IndexedHoldings& holdings = found->second.indexed;
-        for (const std::string& model : holdings.models)
-            ++viewFor (holdings.service, model).rateLimitedHolders;
+        const IndexedModels& heldModels = found->second.indexed;
+        for (const std::string& model : heldModels.models)
+            ++viewFor (heldModels.service, model).rateLimitedHolders;
     }
 }
 
-void EnginePlacement::weigh (Engine& engine, base::TimePoint now)
+void EnginePlacement::updateEvictionInputs (Engine& engine, base::TimePoint now)
 {
     const EngineSpecIndex* spec = specOf (engine);
-    if (spec == nullptr || engine.weighedRound == m_round)
+    if (spec == nullptr || engine.evictionInputsRound == m_round)
         return;
-    engine.weighedRound = m_round;
+    engine.evictionInputsRound = m_round;
     engine.freeMemory = spec->modelMemory() - usedMemory (engine, *spec);
-    engine.adapterTrouble = adapterTrouble (engine, *spec, now);
-    engine.blockedCopies = blockedCopies (engine, now);
+    engine.adapterDelayCost = adapterDelayCost (engine, *spec, now);
+    engine.blockedCopyCost = blockedCopyCost (engine, now);
 }
 
 ModelView& EnginePlacement::viewFor (const std::string& service, const std::string& model)
@@ -115,24 +115,24 @@
     const auto found = m_models.lower_bound (names);
     if (found != m_models.end() && ! ServiceModelOrder() (names, found->first))
         return found->second;
-    const ModelView view (m_index.placesOf (service, model));
+    const ModelView view (m_index.locationsOf (service, model));
     return m_models.emplace_hint (found, ServiceModel (service, model), view)->second;
 }
 
 const ModelView& EnginePlacement::viewOf (std::string_view service, std::string_view model) const
 {
-    static const EngineIndex::Places kNowhere;
-    static const ModelView kNobody (kNowhere);
+    static const EngineIndex::ModelLocations kNoLocations;
+    static const ModelView kNoView (kNoLocations);
     const auto found = m_models.find (ServiceModelOrder::Names (service, model));
-    return found == m_models.end() ? kNobody : found->second;
+    return found == m_models.end() ? kNoView : found->second;
 }
 
 EnginePlacementStatus EnginePlacement::status() const
 {
     EnginePlacementStatus status;
     status.engines = m_engines.size();
-    status.unknownEngines = m_unknown.size();
-    status.attendedEngines = m_attended.size();
+    status.unknownEngines = m_unknownSequence.size();
+    status.attendedEngines = m_withOrders.size();
     status.waitingAdapters = m_waitingAdapters.size();
     status.adapterOrders = m_adapterOrders;
     status.adapterWait = m_adapterWait;
@@ -149,12 +149,12 @@
         const bool isPlanned =
             ! engine.reservedFor.empty() && ! isLocal (engine, engine.reservedFor);
         return isPlanned || loads (engine.unanswered) || loads (engine.modelOrder)
-               || loads (engine.doubtful);
+               || loads (engine.unconfirmed);
     };
-    return static_cast<std::size_t> (std::ranges::count_if (m_attended, usesStore));
+    return static_cast<std::size_t> (std::ranges::count_if (m_withOrders, usesStore));
 }
 
-bool EnginePlacement::hasStorePlace (std::size_t spare) const
+bool EnginePlacement::hasStoreSlot (std::size_t spare) const
 {
     const auto most =
         static_cast<std::size_t> (kStoreLoadShare * static_cast<double> (m_engines.size()));
@@ -179,7 +179,7 @@
     for (const auto& [name, state] : engine.models)
         count (name);
     std::set<std::string_view> counted;
-    for (const auto* pending : { &engine.unanswered, &engine.modelOrder, &engine.doubtful })
+    for (const auto* pending : { &engine.unanswered, &engine.modelOrder, &engine.unconfirmed })
     {
         if (! *pending || ! (*pending)->order.isLoad)
             continue;
@@ -201,15 +201,15 @@
     return isFree (engine) && engine.sequence;
 }
 
-bool EnginePlacement::mayBeAsked (const Engine& engine) const
+bool EnginePlacement::mayBePolled (const Engine& engine) const
 {
     return isFree (engine) && ! engine.sequence && ! engine.isPolled && m_now >= engine.pollAt;
 }
 
-bool EnginePlacement::isAnswerDue (const Engine& engine) const
+bool EnginePlacement::isReportDue (const Engine& engine) const
 {
     return isFree (engine) && ! engine.sequence && engine.isPolled
-           && m_now - engine.polledAt < kUsualReportTime;
+           && m_now - engine.polledAt < kReportTimeout;
 }
 
 bool EnginePlacement::isLocal (const Engine& engine, const std::string& model)
@@ -225,7 +225,8 @@
     }
     const auto found = m_specs.find (service);
     const double seconds = std::chrono::duration<double> (m_options.storeWindow).count();
-    const double allowed = m_options.storeShare * found->second.spec().loadsPerSecond * seconds;
+    const double allowed =
+        m_options.storeRateFactor * found->second.spec().loadsPerSecond * seconds;
     return static_cast<double> (m_storeLoads.size()) + 1 <= allowed;
 }
 
@@ -233,7 +234,7 @@
                                       const std::vector<cell::HeldModel>& shown) const
 {
     const auto found = m_engines.find (instance);
-    if (found == m_engines.end() || ! found->second.hasTold)
+    if (found == m_engines.end() || ! found->second.hasReported)
         return true;
     const Engine& engine = found->second;
     const bool isPlain = engine.adaptersDue.empty() && engine.withdrawn.empty()
@@ -251,7 +252,7 @@
     const std::string& instance, base::TimePoint now) const
 {
     const auto found = m_engines.find (instance);
-    if (found == m_engines.end() || ! found->second.hasTold)
+    if (found == m_engines.end() || ! found->second.hasReported)
         return std::nullopt;
     const Engine& engine = found->second;
     std::vector<cell::HeldModel> models;
--- a/src/placement/Eviction.cpp
+++ b/src/placement/Eviction.cpp
@@ -21,7 +21,7 @@
     engine::Megabytes memory = 0;
 };
 
-bool mayGo (const Plan& plan, const ReplicaView& view, int urgency)
+bool mayEvict (const Plan& plan, const ReplicaView& view, int urgency)
 {
     if (plan.isAbandonedLoad (view))
         return true;
@@ -36,14 +36,14 @@
 
 std::optional<Candidate> candidateFor (const Plan& plan, const ReplicaView& view, int urgency)
 {
-    if (! mayGo (plan, view, urgency))
+    if (! mayEvict (plan, view, urgency))
         return std::nullopt;
     Candidate candidate{ &view, plan.isInUse (view), view.idleFor, view.replica.memory };
     for (const ReplicaView* adapter : plan.adaptersOn (view.replica.id))
     {
         if (plan.isUnloading (*adapter))
             continue;
-        if (! mayGo (plan, *adapter, urgency))
+        if (! mayEvict (plan, *adapter, urgency))
             return std::nullopt;
         candidate.isInUse = candidate.isInUse || plan.isInUse (*adapter);
         candidate.idleFor = std::min (candidate.idleFor, adapter->idleFor);
@@ -52,11 +52,11 @@
     return candidate;
 }
 
-std::vector<Candidate> candidatesOn (const Plan& plan, const Plan::Room& room, int urgency,
-                                     base::ReplicaId kept)
+std::vector<Candidate> candidatesOn (const Plan& plan, const Plan::PlannedRunner& planned,
+                                     int urgency, base::ReplicaId kept)
 {
     std::vector<Candidate> candidates;
-    for (const ReplicaView* view : room.replicas)
+    for (const ReplicaView* view : planned.replicas)
     {
         if (view->replica.id == kept)
             continue;
@@ -73,33 +73,33 @@
 
 bool isCovered (const EvictionChoice& choice, const ReplicaView& view)
 {
-    return std::any_of (choice.victims.begin(), choice.victims.end(),
-                        [&] (const ReplicaView* victim)
-                        { return victim->replica.id == view.replica.baseReplica; });
+    return std::any_of (choice.evictions.begin(), choice.evictions.end(),
+                        [&] (const ReplicaView* evicted)
+                        { return evicted->replica.id == view.replica.baseReplica; });
 }
 
 }  // namespace
 
-std::optional<EvictionChoice> chooseVictims (const Plan& plan, const Plan::Room& room,
-                                             engine::Megabytes memory, int urgency,
-                                             base::ReplicaId kept)
+std::optional<EvictionChoice> chooseEvictions (const Plan& plan, const Plan::PlannedRunner& planned,
+                                               engine::Megabytes memory, int urgency,
+                                               base::ReplicaId kept)
 {
     EvictionChoice choice;
-    choice.runner = room.runner->runner;
+    choice.runner = planned.runner->runner;
     choice.shortestIdle = base::Duration::max();
-    const engine::Megabytes available = room.free + room.comingFree;
-    for (const Candidate& candidate : candidatesOn (plan, room, urgency, kept))
+    const engine::Megabytes available = planned.free + planned.beingFreed;
+    for (const Candidate& candidate : candidatesOn (plan, planned, urgency, kept))
     {
         if (available + choice.memoryFreed >= memory)
             break;
         if (isCovered (choice, *candidate.view))
             continue;
-        choice.victims.push_back (candidate.view);
+        choice.evictions.push_back (candidate.view);
         choice.interruptsUse = choice.interruptsUse || candidate.isInUse;
         choice.shortestIdle = std::min (choice.shortestIdle, candidate.idleFor);
         choice.memoryFreed += candidate.memory;
     }
-    if (choice.victims.empty() || available + choice.memoryFreed < memory)
+    if (choice.evictions.empty() || available + choice.memoryFreed < memory)
         return std::nullopt;
     return choice;
 }
--- a/src/placement/Needs.cpp
+++ b/src/placement/Needs.cpp
@@ -17,7 +17,7 @@
     std::uint32_t slots = 0;
     for (const ReplicaView* view : usable)
     {
-        slots = std::max (slots, plan.roomOf (view->replica.runner)->runner->slots);
+        slots = std::max (slots, plan.plannedRunnerOf (view->replica.runner)->runner->slots);
     }
     return slots == 0 ? kAssumedSlots : slots;
 }
--- a/src/placement/Placement.cpp
+++ b/src/placement/Placement.cpp
@@ -34,8 +34,8 @@
 
 bool isOutOfService (const Plan& plan, const ReplicaView& view)
 {
-    const Plan::Room* room = plan.roomOf (view.replica.runner);
-    return room != nullptr && ! room->runner->takesNewWork;
+    const Plan::PlannedRunner* planned = plan.plannedRunnerOf (view.replica.runner);
+    return planned != nullptr && ! planned->runner->takesNewWork;
 }
 
 // Unloads that need no competitor.
@@ -105,14 +105,15 @@
 base::Duration keepAliveOf (const Plan& plan, const ReplicaView& view)
 {
     const Snapshot& snapshot = plan.snapshot();
-    const Plan::Room* room = plan.roomOf (view.replica.runner);
-    if (room == nullptr)
+    const Plan::PlannedRunner* planned = plan.plannedRunnerOf (view.replica.runner);
+    if (planned == nullptr)
         return snapshot.keepAlive;
     const base::UnixMilliseconds took = view.replica.readyAt - view.replica.decidedAt;
     const base::Duration loadTime =
         took > 0 ? base::milliseconds (took) : assumedLoadTime (view.replica.memory);
     return keepAliveFor (snapshot.catalogue->prices, loadTime,
-                         acceleratorShare (*room->runner, view.replica.memory), snapshot.keepAlive);
+                         acceleratorShare (*planned->runner, view.replica.memory),
+                         snapshot.keepAlive);
 }
 
 void dropIdle (Plan& plan)
@@ -142,11 +143,11 @@
 
 /// Stops a load that nobody waits for any more, or else the latest of those that are less urgent,
 /// when the weight store carries as many as it can.
-void freeStore (Plan& plan, const Need& need)
+void freeStoreSlot (Plan& plan, const Need& need)
 {
     if (! need.isRequested || ! plan.isStoreFull())
         return;
-    const ReplicaView* victim = nullptr;
+    const ReplicaView* evicted = nullptr;
     const auto order = [&] (const ReplicaView& view)
     {
         return std::tuple (plan.isAbandonedLoad (view), plan.urgencyOf (view.replica.target()),
@@ -161,17 +162,17 @@
         const bool isLessUrgent = plan.urgencyOf (view.replica.target()) > need.urgency;
         if (! plan.isAbandonedLoad (view) && ! isLessUrgent)
             continue;
-        if (victim == nullptr || order (view) > order (*victim))
-            victim = &view;
+        if (evicted == nullptr || order (view) > order (*evicted))
+            evicted = &view;
     }
-    if (victim == nullptr)
+    if (evicted == nullptr)
         return;
-    plan.unload (*victim, "gives its place at the weight store to " + need.target.name() + ": "
-                              + need.reason);
+    plan.unload (*evicted, "gives its place at the weight store to " + need.target.name() + ": "
+                               + need.reason);
 }
 
 /// Gives up a replica on a runner that takes no new work, so that the bound allows another.
-void freeBound (Plan& plan, const Need& need)
+void freeReplicaBound (Plan& plan, const Need& need)
 {
     if (! need.isRequested)
         return;
@@ -185,76 +186,77 @@
     }
 }
 
-std::vector<const Plan::Room*> allowedRooms (const Plan& plan, const Target& target)
+std::vector<const Plan::PlannedRunner*> allowedRunners (const Plan& plan, const Target& target)
 {
-    std::vector<const Plan::Room*> rooms;
-    for (const Plan::Room& room : plan.rooms())
+    std::vector<const Plan::PlannedRunner*> plannedRunners;
+    for (const Plan::PlannedRunner& planned : plan.plannedRunners())
     {
-        const RunnerView& runner = *room.runner;
+        const RunnerView& runner = *planned.runner;
         const bool holdsOne = std::any_of (
-            room.replicas.begin(), room.replicas.end(),
+            planned.replicas.begin(), planned.replicas.end(),
             [&] (const ReplicaView* view)
             { return view->replica.target() == target.name() && ! plan.isUnloading (*view); });
         const bool isOpen = runner.takesNewWork && runner.isResponsive && ! holdsOne;
         if (isOpen && config::allowsZone (target.model->zones, runner.zone)
             && ! plan.isAvoided (target.name(), runner.runner))
         {
-            rooms.push_back (&room);
+            plannedRunners.push_back (&planned);
         }
     }
-    return rooms;
+    return plannedRunners;
 }
 
 /// The nearest checkpoint first, then a zone without a replica of the target, then the most room.
-const Plan::Room* bestWithRoom (const Plan& plan, const std::vector<const Plan::Room*>& rooms,
-                                const Target& target, engine::Megabytes memory)
+const Plan::PlannedRunner* bestWithMemory (
+    const Plan& plan, const std::vector<const Plan::PlannedRunner*>& plannedRunners,
+    const Target& target, engine::Megabytes memory)
 {
     std::set<base::ZoneName> zones;
     for (const ReplicaView* view : plan.usable (target.name()))
     {
-        zones.insert (plan.roomOf (view->replica.runner)->runner->zone);
+        zones.insert (plan.plannedRunnerOf (view->replica.runner)->runner->zone);
     }
     for (const base::ZoneName& zone : plan.plannedZones (target.name()))
         zones.insert (zone);
-    const auto order = [&] (const Plan::Room* room)
+    const auto order = [&] (const Plan::PlannedRunner* planned)
     {
-        return std::tuple (Plan::placeOf (*room->runner, target.name()),
-                           zones.count (room->runner->zone) == 0, room->free);
+        return std::tuple (Plan::placeOf (*planned->runner, target.name()),
+                           zones.count (planned->runner->zone) == 0, planned->free);
     };
-    const Plan::Room* best = nullptr;
-    for (const Plan::Room* room : rooms)
+    const Plan::PlannedRunner* best = nullptr;
+    for (const Plan::PlannedRunner* planned : plannedRunners)
     {
-        if (room->free < memory)
+        if (planned->free < memory)
             continue;
-        if (best == nullptr || order (room) > order (best))
-            best = room;
+        if (best == nullptr || order (planned) > order (best))
+            best = planned;
     }
     return best;
 }
 
 /// Waits for memory that is being freed, or else frees some.
-void makeRoom (Plan& plan, const std::vector<const Plan::Room*>& rooms, const Need& need,
-               engine::Megabytes memory, base::ReplicaId kept)
+void reclaimMemory (Plan& plan, const std::vector<const Plan::PlannedRunner*>& plannedRunners,
+                    const Need& need, engine::Megabytes memory, base::ReplicaId kept)
 {
-    for (const Plan::Room* room : rooms)
+    for (const Plan::PlannedRunner* planned : plannedRunners)
     {
-        if (room->free + room->comingFree < memory)
+        if (planned->free + planned->beingFreed < memory)
             continue;
-        plan.setAside (room->runner->runner, memory);
+        plan.setAside (planned->runner->runner, memory);
         return;
     }
     std::optional<EvictionChoice> best;
-    for (const Plan::Room* room : rooms)
+    for (const Plan::PlannedRunner* planned : plannedRunners)
     {
-        auto choice = chooseVictims (plan, *room, memory, need.urgency, kept);
+        auto choice = chooseEvictions (plan, *planned, memory, need.urgency, kept);
         if (choice && (! best || isBetter (*choice, *best)))
             best = std::move (choice);
     }
     if (! best)
         return;
     const std::string reason = "evicted for " + need.target.name() + ": " + need.reason;
-    for (const ReplicaView* victim : best->victims)
-        plan.unload (*victim, reason);
+    for (const ReplicaView* evicted : best->evictions)
+        plan.unload (*evicted, reason);
     plan.setAside (best->runner, memory);
 }
 
@@ -267,20 +269,20 @@
         return;
     if (plan.counted (model) >= model.maximumReplicas())
     {
-        freeBound (plan, need);
+        freeReplicaBound (plan, need);
         return;
     }
-    const std::vector<const Plan::Room*> rooms = allowedRooms (plan, model);
+    const std::vector<const Plan::PlannedRunner*> plannedRunners = allowedRunners (plan, model);
     const engine::Megabytes memory = model.memory() + extraMemory;
-    const Plan::Room* best = bestWithRoom (plan, rooms, model, memory);
+    const Plan::PlannedRunner* best = bestWithMemory (plan, plannedRunners, model, memory);
     if (best == nullptr)
     {
-        makeRoom (plan, rooms, need, memory, 0);
+        reclaimMemory (plan, plannedRunners, need, memory, 0);
         return;
     }
     if (! plan.mayLoad (model.name(), *best->runner))
     {
-        freeStore (plan, need);
+        freeStoreSlot (plan, need);
         return;
     }
     const base::RunnerId runner = best->runner->runner;
@@ -302,7 +304,7 @@
 BaseChoice findBase (const Plan& plan, const Target& target)
 {
     BaseChoice choice;
-    const std::vector<const Plan::Room*> rooms = allowedRooms (plan, target);
+    const std::vector<const Plan::PlannedRunner*> plannedRunners = allowedRunners (plan, target);
     for (const ReplicaView* base : plan.usable (target.model->name.value))
     {
         if (base->replica.stage == ReplicaStage::kLoading)
@@ -310,17 +312,19 @@
             choice.loading = base;
             continue;
         }
-        const Plan::Room* room = plan.roomOf (base->replica.runner);
-        if (std::find (rooms.begin(), rooms.end(), room) == rooms.end())
+        const Plan::PlannedRunner* planned = plan.plannedRunnerOf (base->replica.runner);
+        if (std::find (plannedRunners.begin(), plannedRunners.end(), planned)
+            == plannedRunners.end())
             continue;
-        if (room->free < target.memory())
+        if (planned->free < target.memory())
         {
             if (choice.full == nullptr)
                 choice.full = base;
             continue;
         }
-        const bool isBetter = choice.ready == nullptr
-                              || room->free > plan.roomOf (choice.ready->replica.runner)->free;
+        const bool isBetter =
+            choice.ready == nullptr
+            || planned->free > plan.plannedRunnerOf (choice.ready->replica.runner)->free;
         if (isBetter)
             choice.ready = base;
     }
@@ -332,16 +336,16 @@
     const Target& target = need.target;
     if (plan.counted (target) >= target.maximumReplicas())
     {
-        freeBound (plan, need);
+        freeReplicaBound (plan, need);
         return;
     }
     const BaseChoice base = findBase (plan, target);
     if (base.ready != nullptr)
     {
-        const RunnerView& runner = *plan.roomOf (base.ready->replica.runner)->runner;
+        const RunnerView& runner = *plan.plannedRunnerOf (base.ready->replica.runner)->runner;
         if (! plan.mayLoad (target.name(), runner))
         {
-            freeStore (plan, need);
+            freeStoreSlot (plan, need);
             plan.setAside (runner.runner, target.memory());
             return;
         }
@@ -359,8 +363,8 @@
         return;
     if (base.full != nullptr)
     {
-        makeRoom (plan, { plan.roomOf (base.full->replica.runner) }, need, target.memory(),
-                  base.full->replica.id);
+        reclaimMemory (plan, { plan.plannedRunnerOf (base.full->replica.runner) }, need,
+                       target.memory(), base.full->replica.id);
         return;
     }
     Need baseNeed = need;
--- a/src/placement/PlacementTest.cpp
+++ b/src/placement/PlacementTest.cpp
@@ -14,7 +14,7 @@
 using engine::CheckpointPlace;
 using test::TestWorld;
 
-std::vector<base::ReplicaId> victims (TestWorld& world)
+std::vector<base::ReplicaId> evictedReplicas (TestWorld& world)
 {
     std::vector<base::ReplicaId> ids;
     for (const UnloadDecision& unload : world.unloads())
@@ -46,7 +46,7 @@
     world.addReplica ("used", "r1");
     world.setDemand ("used", 0, 3);
     world.setDemand ("new", 1, 0, 0);
-    EXPECT_EQ (victims (world), std::vector{ idle });
+    EXPECT_EQ (evictedReplicas (world), std::vector{ idle });
     EXPECT_TRUE (world.loads().empty()) << "the memory is not free yet";
 }
 
@@ -66,7 +66,7 @@
     EXPECT_TRUE (world.decide().empty());
     // A strictly more urgent need takes the less urgent one, but not right after it was loaded.
     world.setDemand ("new", 9, 0, 1);
-    EXPECT_EQ (victims (world), std::vector{ equal });
+    EXPECT_EQ (evictedReplicas (world), std::vector{ equal });
     world.replica (equal).readyFor = base::seconds (1);
     EXPECT_TRUE (world.decide().empty());
 }
@@ -155,7 +155,7 @@
     const base::ReplicaId old = world.addReplica ("a", "r1");
     world.setDemand ("a", 3, 2);
     EXPECT_TRUE (world.loads().empty());
-    EXPECT_EQ (victims (world), std::vector{ old });
+    EXPECT_EQ (evictedReplicas (world), std::vector{ old });
 }
 
 TEST (PlacementTest, SilentRunnerIsNeitherUsedNorReplacedAboveTheBound)
@@ -181,7 +181,7 @@
     const base::ReplicaId unused = world.addReplica ("a", "r2");
     world.replica (used).activeRequests = 3;
     world.setDemand ("a", 0, 3);
-    EXPECT_EQ (victims (world), std::vector{ unused });
+    EXPECT_EQ (evictedReplicas (world), std::vector{ unused });
 }
 
 TEST (PlacementTest, RemovedModelAndOldVersionAreUnloaded)
@@ -194,7 +194,7 @@
     const base::ReplicaId old = world.addReplica ("b", "r1");
     world.catalogue.models[1].version = "2";
     world.catalogue.models.erase (world.catalogue.models.begin());
-    EXPECT_EQ (victims (world), (std::vector{ removed, old }));
+    EXPECT_EQ (evictedReplicas (world), (std::vector{ removed, old }));
 }
 
 TEST (PlacementTest, StoreTakesNoMoreLoadsThanItCarries)
@@ -230,11 +230,11 @@
     world.replica (gone).idleFor = base::seconds (5);
     EXPECT_TRUE (world.unloads().empty()) << "nobody needs the place";
     world.setDemand ("new", 1, 0, 8);
-    EXPECT_EQ (victims (world), std::vector{ gone });
+    EXPECT_EQ (evictedReplicas (world), std::vector{ gone });
     world.setDemand ("gone", 1, 0, 8);
     EXPECT_TRUE (world.unloads().empty()) << "equally urgent loads are not interrupted";
     world.setDemand ("new", 1, 0, 0);
-    EXPECT_EQ (victims (world), std::vector{ gone }) << "the latest of the less urgent";
+    EXPECT_EQ (evictedReplicas (world), std::vector{ gone }) << "the latest of the less urgent";
     EXPECT_NE (world.replica (deep).replica.stage, ReplicaStage::kUnloading);
 }
 
@@ -249,7 +249,7 @@
     world.setDemand ("new", 1);
     EXPECT_TRUE (world.decide().empty());
     world.replica (gone).idleFor = base::seconds (3);
-    EXPECT_EQ (victims (world), std::vector{ gone });
+    EXPECT_EQ (evictedReplicas (world), std::vector{ gone });
 }
 
 TEST (PlacementTest, KeepAliveFollowsThePrices)
@@ -265,11 +265,11 @@
     world.replica (replica).idleFor = base::seconds (719);
     EXPECT_TRUE (world.decide().empty());
     world.replica (replica).idleFor = base::seconds (721);
-    EXPECT_EQ (victims (world), std::vector{ replica });
+    EXPECT_EQ (evictedReplicas (world), std::vector{ replica });
     world.catalogue.prices = { 1.0, 1.0 };
     EXPECT_TRUE (world.decide().empty());
     world.replica (replica).idleFor = base::seconds (3601);
-    EXPECT_EQ (victims (world), std::vector{ replica });
+    EXPECT_EQ (evictedReplicas (world), std::vector{ replica });
     world.catalogue.models[0].minReplicas = 1;
     EXPECT_TRUE (world.decide().empty());
 }
@@ -377,13 +377,13 @@
 
 RC_GTEST_PROP (PlacementPropertyTest, SteadyDemandComesToRest, ())
 {
-    constexpr int kRoundsToRest = 200;
-    constexpr int kRoundsAtRest = 100;
+    constexpr int kRoundsToSettle = 200;
+    constexpr int kRoundsSettled = 100;
     base::Random random (*rc::gen::arbitrary<std::uint64_t>());
     TestWorld world = randomWorld (random);
     const Requests requests = randomRequests (world, random);
-    std::string unrest;
-    for (int round = 0; round < kRoundsToRest + kRoundsAtRest; ++round)
+    std::string lateDecisions;
+    for (int round = 0; round < kRoundsToSettle + kRoundsSettled; ++round)
     {
         for (const auto& [target, load] : requests)
         {
@@ -391,11 +391,11 @@
         }
         const std::vector<Decision> decisions = world.step();
         RC_ASSERT (world.violation() == "");
-        if (round < kRoundsToRest || decisions.empty())
+        if (round < kRoundsToSettle || decisions.empty())
             continue;
-        unrest += "round " + std::to_string (round) + ": " + describe (decisions) + "\n";
+        lateDecisions += "round " + std::to_string (round) + ": " + describe (decisions) + "\n";
     }
-    RC_ASSERT (unrest == "");
+    RC_ASSERT (lateDecisions == "");
 }
 
 RC_GTEST_PROP (PlacementPropertyTest, ChangingDemandNeverBreaksBoundOrMemory, ())
--- a/src/placement/PlacementTestSupport.h
+++ b/src/placement/PlacementTestSupport.h
@@ -55,8 +55,8 @@
 
 private:
     void prepare();
-    void carryOut (const Decision& decision);
-    void pass();
+    void apply (const Decision& decision);
+    void advanceRound();
 
     std::map<std::string, std::map<std::string, engine::CheckpointPlace>> m_checkpoints;
     std::map<base::ReplicaId, int> m_roundsLoading;
--- a/src/placement/PlacementTestSupportTest.cpp
+++ b/src/placement/PlacementTestSupportTest.cpp
@@ -172,12 +172,12 @@
 {
     std::vector<Decision> decisions = decide();
     for (const Decision& decision : decisions)
-        carryOut (decision);
-    pass();
+        apply (decision);
+    advanceRound();
     return decisions;
 }
 
-void TestWorld::carryOut (const Decision& decision)
+void TestWorld::apply (const Decision& decision)
 {
     if (const auto* load = std::get_if<LoadDecision> (&decision))
     {
@@ -190,7 +190,7 @@
     replica (std::get<UnloadDecision> (decision).replica).replica.stage = ReplicaStage::kUnloading;
 }
 
-void TestWorld::pass()
+void TestWorld::advanceRound()
 {
     std::erase_if (snapshot.replicas, [] (const ReplicaView& view)
                    { return view.replica.stage == ReplicaStage::kUnloading; });
--- a/src/placement/Plan.cpp
+++ b/src/placement/Plan.cpp
@@ -24,11 +24,11 @@
 {
     for (const RunnerView& runner : snapshot.runners)
     {
-        m_roomIndex[runner.runner] = m_rooms.size();
+        m_runnerIndex[runner.runner] = m_plannedRunners.size();
         const engine::Megabytes free = runner.totalMemory > runner.reservedMemory
                                            ? runner.totalMemory - runner.reservedMemory
                                            : 0;
-        m_rooms.push_back (Room{ &runner, free, 0, {} });
+        m_plannedRunners.push_back (PlannedRunner{ &runner, free, 0, {} });
     }
     for (const ReplicaView& view : snapshot.replicas)
     {
@@ -40,26 +40,26 @@
             m_adapters[replica.baseReplica].push_back (&view);
         if (replica.stage == ReplicaStage::kLoading && view.usesStore)
             ++m_storeLoads;
-        const auto room = m_roomIndex.find (replica.runner);
-        if (room == m_roomIndex.end())
+        const auto planned = m_runnerIndex.find (replica.runner);
+        if (planned == m_runnerIndex.end())
             continue;
-        m_rooms[room->second].replicas.push_back (&view);
+        m_plannedRunners[planned->second].replicas.push_back (&view);
         if (replica.stage == ReplicaStage::kUnloading)
         {
-            m_rooms[room->second].comingFree += replica.memory;
+            m_plannedRunners[planned->second].beingFreed += replica.memory;
         }
     }
 }
 
-const Plan::Room* Plan::roomOf (const base::RunnerId& runner) const
+const Plan::PlannedRunner* Plan::plannedRunnerOf (const base::RunnerId& runner) const
 {
-    const auto found = m_roomIndex.find (runner);
-    return found == m_roomIndex.end() ? nullptr : &m_rooms[found->second];
+    const auto found = m_runnerIndex.find (runner);
+    return found == m_runnerIndex.end() ? nullptr : &m_plannedRunners[found->second];
 }
 
-Plan::Room& Plan::mutableRoom (const base::RunnerId& runner)
+Plan::PlannedRunner& Plan::mutableRunner (const base::RunnerId& runner)
 {
-    return m_rooms[m_roomIndex.at (runner)];
+    return m_plannedRunners[m_runnerIndex.at (runner)];
 }
 
 Target Plan::targetNamed (const std::string& name) const
@@ -126,9 +126,9 @@
     std::vector<const ReplicaView*> result;
     for (const ReplicaView* view : all (target))
     {
-        const Room* room = roomOf (view->replica.runner);
-        const bool isServing = room != nullptr && room->runner->takesNewWork
-                               && room->runner->isResponsive && ! isUnloading (*view)
+        const PlannedRunner* planned = plannedRunnerOf (view->replica.runner);
+        const bool isServing = planned != nullptr && planned->runner->takesNewWork
+                               && planned->runner->isResponsive && ! isUnloading (*view)
                                && ! isOutdated (*view);
         if (isServing)
             result.push_back (view);
@@ -169,8 +169,8 @@
         return false;
     if (target.memory() != replica.memory || target.model->version != replica.version)
         return false;
-    const Room* room = roomOf (replica.runner);
-    return room == nullptr || config::allowsZone (target.model->zones, room->runner->zone);
+    const PlannedRunner* planned = plannedRunnerOf (replica.runner);
+    return planned == nullptr || config::allowsZone (target.model->zones, planned->runner->zone);
 }
 
 bool Plan::isInUse (const ReplicaView& view) const
@@ -233,20 +233,20 @@
 void Plan::load (const Target& target, const base::RunnerId& runner, base::ReplicaId baseReplica,
                  std::string reason)
 {
-    Room& room = mutableRoom (runner);
+    PlannedRunner& planned = mutableRunner (runner);
     const base::AdapterName adapter =
         target.adapter != nullptr ? target.adapter->name : base::AdapterName();
-    room.free -= std::min (room.free, target.memory());
+    planned.free -= std::min (planned.free, target.memory());
     ++m_counts[target.name()];
-    m_plannedZones[target.name()].insert (room.runner->zone);
-    if (placeOf (*room.runner, target.name()) == engine::CheckpointPlace::kRemote)
+    m_plannedZones[target.name()].insert (planned.runner->zone);
+    if (placeOf (*planned.runner, target.name()) == engine::CheckpointPlace::kRemote)
     {
         ++m_storeLoads;
         --m_storeStarts;
     }
     if (target.adapter == nullptr)
         m_plannedModels.insert (target.model->name);
-    m_decisions.emplace_back (LoadDecision{ runner, room.runner->incarnation, target.model->name,
+    m_decisions.emplace_back (LoadDecision{ runner, planned.runner->incarnation, target.model->name,
                                             adapter, baseReplica, std::move (reason) });
 }
 
@@ -285,19 +285,19 @@
     const bool givesBackStore = view.replica.stage == ReplicaStage::kLoading && view.usesStore;
     if (givesBackStore)
         --m_storeLoads;
-    if (m_roomIndex.count (view.replica.runner) != 0)
+    if (m_runnerIndex.count (view.replica.runner) != 0)
     {
-        mutableRoom (view.replica.runner).comingFree += view.replica.memory;
+        mutableRunner (view.replica.runner).beingFreed += view.replica.memory;
     }
     m_decisions.emplace_back (UnloadDecision{ view.replica.id, reason });
 }
 
 void Plan::setAside (const base::RunnerId& runner, engine::Megabytes memory)
 {
-    Room& room = mutableRoom (runner);
-    const engine::Megabytes fromFree = std::min (room.free, memory);
-    room.free -= fromFree;
-    room.comingFree -= std::min (room.comingFree, memory - fromFree);
+    PlannedRunner& planned = mutableRunner (runner);
+    const engine::Megabytes fromFree = std::min (planned.free, memory);
+    planned.free -= fromFree;
+    planned.beingFreed -= std::min (planned.beingFreed, memory - fromFree);
 }
 
 }  // namespace fernlift::placement
--- a/src/placement/Plan.h
+++ b/src/placement/Plan.h
@@ -42,19 +42,22 @@
 {
 public:
     /// Room of one runner.
-    struct Room
+    struct PlannedRunner
     {
         const RunnerView* runner = nullptr;
         engine::Megabytes free = 0;        ///< Can be given to a load now.
-        engine::Megabytes comingFree = 0;  ///< Held by replicas that are being unloaded.
+        engine::Megabytes beingFreed = 0;  ///< Held by replicas that are being unloaded.
         std::vector<const ReplicaView*> replicas;
     };
 
     explicit Plan (const Snapshot& snapshot);
 
     [[nodiscard]] const Snapshot& snapshot() const { return m_snapshot; }
-    [[nodiscard]] const std::vector<Room>& rooms() const { return m_rooms; }
-    [[nodiscard]] const Room* roomOf (const base::RunnerId& runner) const;
+    [[nodiscard]] const std::vector<PlannedRunner>& plannedRunners() const
+    {
+        return m_plannedRunners;
+    }
+    [[nodiscard]] const PlannedRunner* plannedRunnerOf (const base::RunnerId& runner) const;
     /// The catalogue's entry for a name; `model` is null when there is none.
     [[nodiscard]] Target targetNamed (const std::string& name) const;
     [[nodiscard]] const TargetDemand& demandOf (const std::string& target) const;
@@ -108,14 +111,14 @@
     [[nodiscard]] std::vector<Decision> takeDecisions() { return std::move (m_decisions); }
 
 private:
-    Room& mutableRoom (const base::RunnerId& runner);
+    PlannedRunner& mutableRunner (const base::RunnerId& runner);
     [[nodiscard]] bool hasCurrentVersion (const cell::Replica& replica) const;
     [[nodiscard]] bool isWantedForAdapter (const ReplicaView& replica) const;
     void unloadOne (const ReplicaView& replica, const std::string& reason);
 
     const Snapshot& m_snapshot;
-    std::vector<Room> m_rooms;
-    std::map<base::RunnerId, std::size_t> m_roomIndex;
+    std::vector<PlannedRunner> m_plannedRunners;
+    std::map<base::RunnerId, std::size_t> m_runnerIndex;
     std::map<std::string, std::uint32_t> m_counts;  ///< By target.
     std::map<std::string, std::vector<const ReplicaView*>> m_byTarget;
     std::map<base::ReplicaId, std::vector<const ReplicaView*>> m_adapters;
--- a/src/placement/StoreConcurrency.cpp
+++ b/src/placement/StoreConcurrency.cpp
@@ -10,7 +10,7 @@
 
 /// A load counts as slowed when it takes longer than this many times the usual time. Orders,
 /// heartbeats and the spread of the store itself make up to 15 % on the deployments known.
-constexpr double kSlowed = 1.25;
+constexpr double kSlowFactor = 1.25;
 constexpr double kLowestLimit = 2;
 
 }  // namespace
@@ -20,12 +20,13 @@
     m_loads[engine].begunAt = now;
     for (auto& [other, load] : m_loads)
     {
-        load.mostAtOnce = std::max (load.mostAtOnce, m_loads.size());
-        load.sawAllTaken = load.sawAllTaken || m_loads.size() >= limit();
+        load.maxConcurrent = std::max (load.maxConcurrent, m_loads.size());
+        load.sawLimitReached = load.sawLimitReached || m_loads.size() >= limit();
     }
 }
 
-void StoreConcurrency::onEnd (const std::string& engine, base::Duration usual, base::TimePoint now)
+void StoreConcurrency::onEnd (const std::string& engine, base::Duration nominal,
+                              base::TimePoint now)
 {
     const auto found = m_loads.find (engine);
     if (found == m_loads.end())
@@ -33,18 +34,18 @@
     const Load load = found->second;
     m_loads.erase (found);
     const double taken = base::toSeconds (now - load.begunAt);
-    if (taken <= 0 || usual <= base::Duration::zero())
+    if (taken <= 0 || nominal <= base::Duration::zero())
         return;
-    if (taken <= kSlowed * base::toSeconds (usual))
+    if (taken <= kSlowFactor * base::toSeconds (nominal))
     {
         // At first by one for each such load, which doubles it with every full round; later by one
         // for each full round.
-        if (load.sawAllTaken)
+        if (load.sawLimitReached)
             m_limit += m_hasSlowed ? 1 / m_limit : 1;
         return;
     }
     const double atFullSpeed =
-        std::round (static_cast<double> (load.mostAtOnce) * base::toSeconds (usual) / taken);
+        std::round (static_cast<double> (load.maxConcurrent) * base::toSeconds (nominal) / taken);
     // At most by half: one load may be late for a reason of its own.
     m_limit = std::clamp (atFullSpeed, std::max (m_limit / 2, kLowestLimit), m_limit);
     m_hasSlowed = true;
--- a/src/placement/StoreConcurrency.h
+++ b/src/placement/StoreConcurrency.h
@@ -30,9 +30,9 @@
     /** The load into `engine` is done. `usual` is what it takes at full speed. Does nothing when
         none was noted.
     */
-    void onEnd (const std::string& engine, base::Duration usual, base::TimePoint now);
+    void onEnd (const std::string& engine, base::Duration nominal, base::TimePoint now);
     /** The load into `engine` never began, or nothing is known of its end. */
-    void onGivenUp (const std::string& engine) { m_loads.erase (engine); }
+    void onAbandoned (const std::string& engine) { m_loads.erase (engine); }
 
     [[nodiscard]] std::size_t underWay() const { return m_loads.size(); }
     /** Loads that may be under way at once; at least one. */
@@ -42,16 +42,16 @@
     struct Load
     {
         base::TimePoint begunAt{};
-        std::size_t mostAtOnce = 1;  ///< Under way at any time of its life, itself included.
-        bool sawAllTaken = false;    ///< At some time of its life all places were taken.
+        std::size_t maxConcurrent = 1;  ///< Under way at any time of its life, itself included.
+        bool sawLimitReached = false;   ///< At some time of its life all places were taken.
     };
 
     std::map<std::string, Load> m_loads;  ///< By engine.
     /** Near the least that the stores known so far serve at full speed (two to thirteen): a place
        too few costs a load its turn once, one too many slows all loads of the first round. */
-    static constexpr double kFirstLimit = 3;
+    static constexpr double kInitialLimit = 3;
 
-    double m_limit = kFirstLimit;
+    double m_limit = kInitialLimit;
     bool m_hasSlowed = false;  ///< A load was late: from then on the limit grows slowly.
 };
 
--- a/src/placement/StoreConcurrencyTest.cpp
+++ b/src/placement/StoreConcurrencyTest.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-constexpr base::Duration kUsual = base::seconds (6);
+constexpr base::Duration kNominal = base::seconds (6);
 
 std::string engineName (std::size_t number) { return "e" + std::to_string (number); }
 
@@ -18,9 +18,9 @@
     for (std::size_t number = 0; number < loads; ++number)
         store.onBegin (engineName (number), now);
     const double share = static_cast<double> (loads) / static_cast<double> (atFullSpeed);
-    now += std::chrono::duration_cast<base::Duration> (kUsual * std::max (share, 1.0));
+    now += std::chrono::duration_cast<base::Duration> (kNominal * std::max (share, 1.0));
     for (std::size_t number = 0; number < loads; ++number)
-        store.onEnd (engineName (number), kUsual, now);
+        store.onEnd (engineName (number), kNominal, now);
 }
 
 TEST (StoreConcurrency, FindsHowManyLoadsASlowStoreServesAtFullSpeed)
@@ -61,8 +61,8 @@
     for (int load = 0; load < 5; ++load)
     {
         store.onBegin ("e1", now);
-        now += 20 * kUsual;  // The store hangs.
-        store.onEnd ("e1", kUsual, now);
+        now += 20 * kNominal;  // The store hangs.
+        store.onEnd ("e1", kNominal, now);
         EXPECT_GE (store.limit(), std::max<std::size_t> (before / 2, 2));
         before = store.limit();
     }
@@ -75,9 +75,9 @@
     base::TimePoint now{ base::seconds (100) };
     const std::size_t limit = store.limit();
     store.onBegin ("e1", now);
-    now += 20 * kUsual;
-    store.onGivenUp ("e1");
-    store.onEnd ("e1", kUsual, now);
+    now += 20 * kNominal;
+    store.onAbandoned ("e1");
+    store.onEnd ("e1", kNominal, now);
     EXPECT_EQ (store.underWay(), 0U);
     EXPECT_EQ (store.limit(), limit);
 }
--- a/src/placement/StorePace.cpp
+++ b/src/placement/StorePace.cpp
@@ -12,7 +12,7 @@
 constexpr double kSlowFactor = 2.0;
 /// A slow load moves the usual time up by this factor, so that a store that stays slow becomes the
 /// usual and the concurrency recovers.
-constexpr double kForgetting = 1.1;
+constexpr double kNominalGrowth = 1.1;
 
 }  // namespace
 
@@ -63,46 +63,46 @@
 {
     const double sample =
         base::toSeconds (now - load.startedAt) / static_cast<double> (load.memory);
-    noteSample (sample, load, now);
+    addSample (sample, load, now);
 }
 
-void StorePace::noteSample (double secondsPerMegabyte, const Load& load, base::TimePoint now)
+void StorePace::addSample (double secondsPerMegabyte, const Load& load, base::TimePoint now)
 {
-    if (m_usualSecondsPerMegabyte <= 0)
+    if (m_nominalSecondsPerMegabyte <= 0)
     {
-        m_usualSecondsPerMegabyte = secondsPerMegabyte;
+        m_nominalSecondsPerMegabyte = secondsPerMegabyte;
         return;
     }
-    if (secondsPerMegabyte > kSlowFactor * m_usualSecondsPerMegabyte)
+    if (secondsPerMegabyte > kSlowFactor * m_nominalSecondsPerMegabyte)
     {
-        m_usualSecondsPerMegabyte *= kForgetting;
+        m_nominalSecondsPerMegabyte *= kNominalGrowth;
         // Loads that began before the last decrease tell nothing of the present concurrency.
         if (load.startedAt >= m_slowedAt)
-            slowDown (now);
+            reduceConcurrency (now);
         return;
     }
-    m_usualSecondsPerMegabyte = std::min (m_usualSecondsPerMegabyte, secondsPerMegabyte);
+    m_nominalSecondsPerMegabyte = std::min (m_nominalSecondsPerMegabyte, secondsPerMegabyte);
     m_concurrency = std::min (m_concurrency + 1, m_limit);
 }
 
 void StorePace::findOverdue (base::TimePoint now)
 {
-    if (m_usualSecondsPerMegabyte <= 0)
+    if (m_nominalSecondsPerMegabyte <= 0)
         return;
     const bool isOverdue = std::any_of (
         m_loads.begin(), m_loads.end(),
         [&] (const auto& entry)
         {
             const Load& load = entry.second;
-            const double usual = m_usualSecondsPerMegabyte * static_cast<double> (load.memory);
+            const double nominal = m_nominalSecondsPerMegabyte * static_cast<double> (load.memory);
             return load.startedAt >= m_slowedAt
-                   && base::toSeconds (now - load.startedAt) > kSlowFactor * usual;
+                   && base::toSeconds (now - load.startedAt) > kSlowFactor * nominal;
         });
     if (isOverdue)
-        slowDown (now);
+        reduceConcurrency (now);
 }
 
-void StorePace::slowDown (base::TimePoint now)
+void StorePace::reduceConcurrency (base::TimePoint now)
 {
     m_concurrency = std::max (m_concurrency / 2, 1U);
     m_slowedAt = now;
--- a/src/placement/StorePace.h
+++ b/src/placement/StorePace.h
@@ -39,15 +39,15 @@
     void onReady (const Load& load, base::TimePoint now);
     /// A load that is not ready although it should be is a sign that the store has slowed.
     void findOverdue (base::TimePoint now);
-    void noteSample (double secondsPerMegabyte, const Load& load, base::TimePoint now);
-    void slowDown (base::TimePoint now);
+    void addSample (double secondsPerMegabyte, const Load& load, base::TimePoint now);
+    void reduceConcurrency (base::TimePoint now);
 
     std::uint32_t m_limit = 0;  ///< Of the catalogue; 0 before the first observation.
     std::uint32_t m_concurrency = 1;
     double m_tokens = 0;
     base::TimePoint m_refilledAt{};
     base::TimePoint m_slowedAt{};
-    double m_usualSecondsPerMegabyte = 0;  ///< 0: no load has ended yet.
+    double m_nominalSecondsPerMegabyte = 0;  ///< 0: no load has ended yet.
     std::map<base::ReplicaId, Load> m_loads;
 };
 
--- a/src/placement/StorePaceTest.cpp
+++ b/src/placement/StorePaceTest.cpp
@@ -32,14 +32,14 @@
         }
         observe();
     }
-    void pass (base::Duration duration) { m_now += duration; }
+    void advance (base::Duration duration) { m_now += duration; }
     /// Loads that take a given time, one after the other.
     void load (int count, base::Duration duration)
     {
         for (int number = 0; number < count; ++number)
         {
             begin (++m_last);
-            pass (duration);
+            advance (duration);
             end (m_last);
         }
     }
@@ -63,10 +63,10 @@
     for (base::ReplicaId id = 1; id <= 4; ++id)
         begin (id);
     EXPECT_EQ (m_pace.startsAllowed(), 0U);
-    pass (base::milliseconds (250));
+    advance (base::milliseconds (250));
     observe();
     EXPECT_EQ (m_pace.startsAllowed(), 1U);
-    pass (base::seconds (100));
+    advance (base::seconds (100));
     observe();
     EXPECT_EQ (m_pace.startsAllowed(), 4U) << "unused starts are not saved up";
 }
@@ -88,11 +88,11 @@
 {
     load (1, base::seconds (1));
     begin (1);
-    pass (base::milliseconds (2500));
+    advance (base::milliseconds (2500));
     observe();
     EXPECT_EQ (m_pace.concurrency(), 4U);
     // One load counts once: what began before the decrease tells nothing of what came after.
-    pass (base::seconds (60));
+    advance (base::seconds (60));
     observe();
     EXPECT_EQ (m_pace.concurrency(), 4U);
 }
@@ -110,9 +110,9 @@
 {
     load (1, base::seconds (1));
     begin (1);
-    pass (base::milliseconds (1500));
+    advance (base::milliseconds (1500));
     end (1, ReplicaStage::kUnloading);
-    pass (base::seconds (60));
+    advance (base::seconds (60));
     observe();
     EXPECT_EQ (m_pace.concurrency(), 8U);
 }
