--- a/src/placement/EngineAdapters.cpp
+++ b/src/placement/EngineAdapters.cpp
@@ -1,23 +1,23 @@
 /**
- * Which adapter goes to which engine, and which makes way.
+ * Placement and eviction of adapters on engines.
  *
- * An engine has few places for adapters, and a model may have ten times as many. Where requests
- * wait for one, the adapter that was not asked for longest, on any engine that holds the model,
- * makes way; adapters that requests use stay.
+ * An engine has few adapter slots, and a model may have ten times as many adapters. When requests
+ * wait for an adapter and no slot is free, the least recently requested adapter on any engine that
+ * holds the model is evicted. Adapters in use are never evicted.
  */
 
 #include <algorithm>
 #include <utility>
 
 #include "placement/EnginePlacement.h"
-#include "placement/EnginePlacementConstants.h"
+#include "placement/EnginePlacementFigures.h"
 
 namespace fernlift::placement
 {
 
 void EnginePlacement::planAdapters (std::vector<EngineCommand>& commands, base::TimePoint now)
 {
-    // Who has waited longest is served first, or a few adapters could take all turns.
+    // Longest wait first, so that a few busy adapters cannot starve the others.
     std::vector<std::pair<base::TimePoint, const TargetKey*>> waiting;
     for (const TargetKey& key : m_waitingAdapters)
     {
@@ -48,7 +48,7 @@
         const bool isUnknown = mayBePolled (engine) || isReportDue (engine);
         if (isUnknown && (hasFreeSlot || evictor == nullptr))
         {
-            // Each engine is asked for one adapter: the next one is asked for the next.
+            // Each engine is polled for one adapter only; the next adapter polls another engine.
             if (! polled.insert (&engine).second)
                 continue;
             if (! engine.isPolled)
--- a/src/placement/EngineCongestion.cpp
+++ b/src/placement/EngineCongestion.cpp
@@ -1,22 +1,22 @@
 /**
- * How crowded engines are by the requests for all their models together.
+ * Congestion of engines by the requests for all their models together.
  *
- * An engine runs the requests for all its models in one batch: streams of one model become slow by
- * those of the others. So whether a model has enough replicas is not told by its own requests
- * alone. Routers spread the requests for a model over its holders, which is what is assumed here.
+ * An engine runs the requests for all its models in one batch, so streams of one model slow down
+ * those of the others, and a model's own requests alone do not show whether it has enough replicas.
+ * The requests for a model are assumed to be spread evenly over its holders, as routers do it.
  */
 
 #include <algorithm>
 
 #include "placement/EnginePlacement.h"
-#include "placement/EnginePlacementConstants.h"
+#include "placement/EnginePlacementFigures.h"
 
 namespace fernlift::placement
 {
 namespace
 {
 
-/// Longest of a service's streams that run at a time, in relation to the mean.
+/// Ratio of the longest concurrent stream of a service to the mean.
 constexpr double kLongestToMean = 1.5;
 
 }  // namespace
@@ -39,7 +39,7 @@
 
 void EnginePlacement::measureCongestion()
 {
-    // Most engines hold no model that is in use at a time: they are not looked at.
+    // Engines without a model in use are not visited; at any time these are most of them.
     const auto visitInUse = [this] (const auto& visit)
     {
         for (auto& [key, view] : m_models)
@@ -77,7 +77,7 @@
     m_streamSeconds.clear();
     for (const auto& [service, sum] : sums)
     {
-        // By Little's law.
+        // Mean duration by Little's law.
         const double mean = sum.perSecond > 0 ? sum.running / sum.perSecond : 0;
         m_streamSeconds[service] = kLongestToMean * mean;
     }
--- a/src/placement/EngineIndex.h
+++ b/src/placement/EngineIndex.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * Where models, copies of their weights and adapters are, so that a decision about one of them
- * looks at the engines that matter for it, however many others there are.
+ * Index of the engines by the models, copies of weights and adapters they have. A decision about a
+ * model visits only the engines concerned, independent of the number of engines.
  *
- * Invariant: every engine is noted with exactly what its `indexed` member says, which update()
- * brings up to date. Whoever changes what an engine holds, or whether it takes requests, calls it.
+ * Invariant: the index contains each engine with exactly the contents of its `indexed` member.
+ * update() must be called after each change of the models, copies or usability of an engine.
  */
 
 #include <cstdint>
@@ -22,7 +22,7 @@
 
 using ServiceModel = std::pair<std::string, std::string>;
 
-/** Compares without copies of the names. */
+/** Compares without copying the names. */
 struct ServiceModelOrder
 {
     using is_transparent = void;
@@ -35,7 +35,7 @@
     }
 };
 
-/** Pure. Threading: none. Points to engines, which stay where they are until remove(). */
+/** Not thread-safe. Holds pointers to engines, which must not move before remove(). */
 class EngineIndex
 {
 public:
@@ -47,7 +47,7 @@
         }
     };
 
-    /** An engine that takes requests for a model. */
+    /** An engine that accepts requests for a model. */
     struct Holder
     {
         std::size_t usedAdapterSlots = 0;
@@ -56,22 +56,22 @@
         bool operator<(const Holder& other) const;
     };
 
-    /** Where a model is. */
+    /** Engines that hold a model or have a copy of it. */
     struct ModelLocations
     {
-        std::set<Holder> holders;             ///< Those with the most free adapter places first.
-        std::set<EngineState*, ById> copies;  ///< With its weights in host memory or on disk.
+        std::set<Holder> holders;             ///< Most free adapter slots first.
+        std::set<EngineState*, ById> copies;  ///< Engines with its weights in memory or on disk.
     };
 
-    /** Notes the engine as it is now. False when that was noted before. */
+    /** Updates the entries of the engine. Returns false when nothing has changed. */
     bool update (EngineState& engine);
-    /** Forgets the engine, which is about to go. */
+    /** Removes all entries of the engine; must be called before the engine is destroyed. */
     void remove (EngineState& engine);
 
-    /** Stays where it is for as long as the index lives. */
+    /** The reference stays valid for the lifetime of the index. */
     [[nodiscard]] const ModelLocations& locationsOf (std::string_view service,
                                                      std::string_view model);
-    /** Whether a holder of the model has the adapter, or an order for it is under way there. */
+    /** Whether a holder of the model has the adapter or a pending order for it. */
     [[nodiscard]] bool hasAdapter (std::string_view service, std::string_view model,
                                    std::string_view adapter) const;
 
@@ -82,7 +82,7 @@
     void dropAll (EngineState& engine);
 
     std::map<ServiceModel, ModelLocations, ServiceModelOrder> m_locations;
-    /// Engines that have an adapter, by service and MODEL/ADAPTER; never 0.
+    /// Number of engines with an adapter, by service and MODEL/ADAPTER; entries are never 0.
     std::map<ServiceModel, std::uint32_t, ServiceModelOrder> m_adapters;
 };
 
--- a/src/placement/EngineIndexTest.cpp
+++ b/src/placement/EngineIndexTest.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// An engine of the service "llm" that takes requests.
+/// A usable engine of the service "llm".
 EngineState engineOf (const std::string& id)
 {
     EngineState engine;
@@ -27,7 +27,7 @@
     return ids;
 }
 
-TEST (EngineIndexTest, HoldersWithTheMostFreeAdapterPlacesComeFirst)
+TEST (EngineIndexTest, SortsHoldersByFreeAdapterSlots)
 {
     EngineState first = engineOf ("e1");
     first.models["m1"].adapters = { "a1", "a2" };
@@ -42,7 +42,7 @@
     EXPECT_EQ (holdersOf (index, "m1"), (std::vector<std::string>{ "e1", "e2" }));
 }
 
-TEST (EngineIndexTest, AnAdapterIsThereWhileAnyHolderHasItOrGetsIt)
+TEST (EngineIndexTest, HasAnAdapterThatAHolderHasOrIsLoading)
 {
     EngineState engine = engineOf ("e1");
     engine.models["m1"];
@@ -62,7 +62,7 @@
     EXPECT_FALSE (index.hasAdapter ("llm", "m1", "a1"));
 }
 
-TEST (EngineIndexTest, WhatRoutersAreNotToldOfIsNotThere)
+TEST (EngineIndexTest, OmitsWithdrawnModelsAndUnusableEngines)
 {
     EngineState engine = engineOf ("e1");
     engine.models["m1"].adapters = { "a1" };
@@ -79,7 +79,7 @@
     EXPECT_TRUE (holdersOf (index, "m2").empty());
 }
 
-TEST (EngineIndexTest, CopiesInMemoryAndOnDiskCountOnce)
+TEST (EngineIndexTest, CountsACopyInMemoryAndOnDiskOnce)
 {
     EngineState engine = engineOf ("e1");
     engine.inMemory = { "m1" };
--- a/src/placement/EngineNeeds.cpp
+++ b/src/placement/EngineNeeds.cpp
@@ -1,6 +1,6 @@
 /**
- * Which models should be held once more: those that requests wait for and nobody holds, those whose
- * replicas are crowded, and those that a burst would crowd.
+ * Models that need another replica: those that requests wait for and no engine holds, those whose
+ * replicas are congested, and those that a burst would congest.
  */
 
 #include <algorithm>
@@ -8,28 +8,30 @@
 #include <utility>
 
 #include "placement/EnginePlacement.h"
-#include "placement/EnginePlacementConstants.h"
+#include "placement/EnginePlacementFigures.h"
 
 namespace fernlift::placement
 {
 namespace
 {
 
-// Costs are in seconds of a request that waits.
-/// Cost of a load that a request which has just begun to wait may have, and how much more it may
-/// be for each second that it has waited: what costs less often becomes possible in a moment.
-constexpr double kFirstCost = 8;
-constexpr double kCostForSecond = 4;
-/// A replica of a crowded model may cost what its requests would wait in this time without it.
+// Costs are in seconds of waiting of one request.
+/// Limit of the cost of a load for a request that has just begun to wait, and its increase for each
+/// second of waiting. A cheaper load often becomes possible shortly after the first attempt.
+constexpr double kInitialMaxCost = 8;
+constexpr double kMaxCostPerSecond = 4;
+/// Another replica of a congested model may cost as much as its requests would wait within this
+/// time.
 constexpr double kReplicaHorizonSeconds = 10;
-/// Never as much as a replica that another crowded model needs.
+/// Upper limit of the cost of such a replica; below the cost of evicting a replica that another
+/// congested model needs.
 constexpr double kHighestReplicaCost = 11;
-/// A spare replica takes the place of others like it and of models long out of use.
+/// A spare replica may only replace other spare replicas and models that are long out of use.
 constexpr double kHighestSpareCost = 2.5;
-/// Replicas of one model that are added in one round.
+/// Limit of the replicas of one model that are added in one round.
 constexpr std::size_t kMostNeedsOfModel = 2;
-/// A request that has waited this long for a model nobody holds goes before all that wait less,
-/// however many these are.
+/// A model that no engine holds and whose requests have waited this long has priority over models
+/// with shorter waits, however many requests these have.
 constexpr base::Duration kOverdue = base::seconds (3);
 
 std::size_t roundedUp (double value) { return static_cast<std::size_t> (std::ceil (value)); }
@@ -48,7 +50,7 @@
     const ModelDemand& demand = view.demand;
     const double limit = congestionLimit (spec);
     std::size_t bySlots = roundedUp (view.requests() / limit);
-    // Its holders run requests for other models, too.
+    // The holders also run requests for other models.
     if (view.holders() > 0 && view.requests() > view.capacity)
         bySlots = std::max (bySlots,
                             view.holders() + roundedUp ((view.requests() - view.capacity) / limit));
@@ -76,7 +78,7 @@
             return left.age > right.age;
         if (left.isSpare != right.isSpare)
             return right.isSpare;
-        return left.requestsForReplica > right.requestsForReplica;
+        return left.requestsPerReplica > right.requestsPerReplica;
     };
     std::ranges::stable_sort (needs, isBefore);
     return needs;
@@ -89,30 +91,31 @@
     if (spec == m_specs.end())
         return;
     const ModelDemand& demand = view.demand;
-    // Callers of a rare model would get what its one engine takes in its need, a request in
-    // seconds, for as long as that lasts.
+    // Rate-limited engines do not count as supply if they are the only holders: such an engine may
+    // accept only one request in several seconds, and its callers would be limited to that rate.
     const std::size_t supply = (isThrottled (view) ? 0 : view.holders()) + view.pendingLoads;
     if (supply == 0 && demand.waiting == 0)
         return;
     ModelNeed need;
     need.model = model;
     const double requests = view.requests() + demand.perSecond;
-    need.requestsForReplica = requests / static_cast<double> (supply + 1);
+    need.requestsPerReplica = requests / static_cast<double> (supply + 1);
     if (view.holders() == 0 && demand.waiting > 0)
         need.age = now - demand.waitingSince;
     const ReplicaTargets targets = replicaTargets (view, spec->second.spec());
     if (supply < targets.needed)
     {
-        // Engines that would be reading at a time, beyond those that hold it.
-        const double reading = demand.tokensPerSecond / kPrefillTokensPerSecond
-                               - kMaxPrefillShare * static_cast<double> (supply);
+        // Number of engines busy with prefill for the model, beyond the share its holders may
+        // spend.
+        const double prefillingEngines = demand.tokensPerSecond / kPrefillTokensPerSecond
+                                         - kMaxPrefillShare * static_cast<double> (supply);
         const double excess = view.holders() == 0 ? 0 : view.requests() - view.capacity;
         const double unanswered = demand.waiting + demand.unread;
-        const double excessRequests = std::max ({ unanswered, reading, excess });
+        const double excessRequests = std::max ({ unanswered, prefillingEngines, excess });
         const double gain =
             kReplicaHorizonSeconds * excessRequests / static_cast<double> (supply + 1);
         const bool isMissing = supply == 0 && view.holders() == 0;
-        need.maxCost = isMissing ? kFirstCost + kCostForSecond * base::toSeconds (need.age)
+        need.maxCost = isMissing ? kInitialMaxCost + kMaxCostPerSecond * base::toSeconds (need.age)
                                  : std::clamp (gain, kHighestSpareCost, kHighestReplicaCost);
         need.relievesCongestion = ! isMissing;
         needs.insert (needs.end(), std::min (targets.needed - supply, kMostNeedsOfModel), need);
--- a/src/placement/EnginePlacement.cpp
+++ b/src/placement/EnginePlacement.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "placement/EnginePlacementConstants.h"
+#include "placement/EnginePlacementFigures.h"
 
 namespace fernlift::placement
 {
@@ -103,7 +103,7 @@
     EngineHoldings agreed;
     agreed.models = instance.models;
     applyHeldModels (engine, agreed, now);
-    engine.hasReported = false;  // Its copies are not known.
+    engine.hasReported = false;  // The local copies are not known.
 }
 
 void EnginePlacement::removeFromIndexes (Engine& engine)
@@ -125,7 +125,7 @@
     {
         m_store.onAbandoned (engine.id);
         removeFromIndexes (engine);
-        // Orders to the earlier one that are on their way still could reach this one.
+        // Orders in transit to the earlier incarnation may still arrive at this one.
         const base::TimePoint ordersFrom = engine.ordersFrom;
         std::string id = std::move (engine.id);
         engine = Engine{};
@@ -141,7 +141,7 @@
 {
     if (m_index.update (engine))
     {
-        // Models with copies only are looked at, too.
+        // Models with copies only need a view, too.
         for (const std::string& model : engine.indexed.copies)
             viewFor (engine.service, model);
     }
@@ -190,7 +190,7 @@
         state.adapters.insert (model.adapters.begin(), model.adapters.end());
         state.confirmedAt = now;
     }
-    // What was told was seen a while ago: what is newer than that stays.
+    // Heartbeats and reports are delayed, so models confirmed more recently are kept.
     for (const auto& [name, state] : engine.models)
     {
         const bool isFresh =
@@ -359,8 +359,7 @@
 void EnginePlacement::applyCompletedOrder (Engine& engine, const ServiceOrder& order,
                                            base::TimePoint now)
 {
-    // Where this guess about the sequence is wrong, the next order is refused and a report asked
-    // for.
+    // The sequence is a guess. If it is wrong, the engine refuses the next order and is polled.
     const bool wasCounted = ! order.isLoad;
     engine.sequence = order.expectedSequence.value_or (0) + (wasCounted ? 1 : 0);
     if (order.adapter.empty())
@@ -415,7 +414,7 @@
         return;
     }
     if (engine.unanswered)
-        return;  // An order went out meanwhile.
+        return;  // An order was sent after the poll.
     engine.sequence = report.sequence;
     EngineHoldings heldModels;
     for (const engine::ReportedModel& model : report.models)
@@ -437,7 +436,7 @@
         endModelOrder (engine, engine.models.contains (engine.modelOrder->order.model), now);
     if (report.isBusy && ! engine.modelOrder)
     {
-        engine.sequence.reset();  // Somebody else's order: look again.
+        engine.sequence.reset();  // Busy with an order from elsewhere: poll again.
         engine.pollAt = now + kMaxReportLag;
     }
 }
@@ -450,7 +449,7 @@
     Engine& engine = found->second;
     endPoll (engine);
     engine.pollAt = now + kPollInterval;
-    // Planned before it was known whether it answers: another one may.
+    // The plan was made before the engine was known to answer; another engine may take it over.
     if (! engine.sequence && ! engine.reservedFor.empty())
         dropPlan (engine);
 }
@@ -565,7 +564,7 @@
     {
         if (! engine.models.contains (evicted))
             continue;
-        // Routers hear that the model goes before it does.
+        // Routers must receive the withdrawal before the model is unloaded.
         if (now - engine.withdrawnAt >= kWithdrawalDelay)
         {
             send (engine, { false, evicted, "", "makes way for " + model.name }, commands, now);
--- a/src/placement/EnginePlacementFiguresTest.cpp
+++ b/src/placement/EnginePlacementFiguresTest.cpp
@@ -1,6 +1,6 @@
-// Cost of one decision of EnginePlacement at the size of a large deployment: 140 engines, 288
+// Measures the duration of a decision of EnginePlacement in a large deployment: 140 engines, 288
 // models and 69 routers that report demand, for some models that no engine holds. Prints the
-// figure; no time is asserted.
+// durations without asserting them.
 
 #include <gtest/gtest.h>
 
@@ -86,7 +86,7 @@
     }
 }
 
-TEST (EnginePlacementFigures, PrintsTheCostOfADecisionAtALargeSize)
+TEST (EnginePlacementFigures, PrintsTheDurationOfADecisionInALargeDeployment)
 {
     EnginePlacementOptions options;
     options.ordersFrom = [] (const std::string&) { return base::TimePoint{}; };
@@ -116,9 +116,10 @@
     EXPECT_GT (commands, 0U);
 }
 
-/// A burst of rare models and adapters: every engine may take an order, has copies of eight other
-/// models, and thirty models and thirty adapters are waited for that nobody holds.
-TEST (EnginePlacementFigures, PrintsTheCostOfADecisionInABurst)
+/// A burst of requests for rare models and adapters. Each engine may be sent an order and has
+/// copies of eight other models; requests wait for thirty models and thirty adapters that no engine
+/// holds.
+TEST (EnginePlacementFigures, PrintsTheDurationOfADecisionInABurst)
 {
     constexpr int kWaiting = 30;
     constexpr int kCopies = 8;
@@ -153,7 +154,7 @@
     std::size_t commands = 0;
     for (int round = 0; round < kRounds; ++round)
     {
-        now += base::seconds (10);  // Nothing of the round before is under way any more.
+        now += base::seconds (10);  // No order of the previous round is pending any more.
         placement.refresh ({}, now);
         placement.refresh (rows, now);
         for (int number = 0; number < kEngines; ++number)
--- a/src/placement/EnginePlacementTest.cpp
+++ b/src/placement/EnginePlacementTest.cpp
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 
 #include "placement/EnginePlacement.h"
-#include "placement/EnginePlacementConstants.h"
+#include "placement/EnginePlacementFigures.h"
 
 namespace fernlift::placement
 {
@@ -44,7 +44,7 @@
         m_service = std::move (service);
     }
 
-    /// Registers an engine that has told what it holds, and answers the call for its report.
+    /// Registers an engine that has sent a heartbeat, and answers the poll for its report.
     void addEngine (const std::string& id, const std::vector<std::string>& models)
     {
         cell::RoutableInstance row;
@@ -80,7 +80,7 @@
     {
         m_placement.onDemand (1, { { "llm", model, adapter, waiting, running, waiting } }, m_now);
     }
-    /// Orders that go out now.
+    /// Orders of a full round at the current time.
     std::vector<engine::ServiceOrder> orders()
     {
         std::vector<engine::ServiceOrder> found;
@@ -91,7 +91,7 @@
         }
         return found;
     }
-    bool polls (const std::string& id)
+    bool isPolled (const std::string& id)
     {
         for (const EngineCommand& command : m_placement.decide (m_now))
         {
@@ -113,7 +113,7 @@
     base::TimePoint m_now = kStart + base::seconds (10);
 };
 
-TEST_F (EnginePlacementTest, ReportsOfManyEnginesAreAskedForAFewAtATime)
+TEST_F (EnginePlacementTest, LimitsConcurrentPolls)
 {
     constexpr std::size_t kEngines = 100;
     for (std::size_t i = 0; i < kEngines; ++i)
@@ -142,7 +142,7 @@
     EXPECT_EQ (polled.size(), kEngines);
 }
 
-TEST_F (EnginePlacementTest, TheEngineThatIsNeededIsAskedForItsReportFirst)
+TEST_F (EnginePlacementTest, PollsTheNeededEngineFirst)
 {
     constexpr int kEngines = 1000;
     for (int number = 0; number < kEngines; ++number)
@@ -156,9 +156,9 @@
     m_placement.refresh (m_rows, m_now);
     for (const auto& [id, row] : m_rows)
         sendHeartbeat (id, { id == "e1999" ? "m2" : "m1" });
-    static_cast<void> (orders());  // Others are asked meanwhile.
+    static_cast<void> (orders());  // Other engines are polled meanwhile.
     demand ("m2", 1, 0, "a1");
-    EXPECT_TRUE (polls ("e1999"));
+    EXPECT_TRUE (isPolled ("e1999"));
     report ("e1999", { "m2" }, 0);
     const auto sent = orders();
     ASSERT_EQ (sent.size(), 1U);
@@ -166,7 +166,7 @@
     EXPECT_EQ (sent[0].adapter, "a1");
 }
 
-TEST_F (EnginePlacementTest, ReportsThatNobodyNeedsAreAskedForAtABoundedRate)
+TEST_F (EnginePlacementTest, LimitsTheRateOfPollsWithoutNeed)
 {
     constexpr int kEngines = 2000;
     constexpr int kSeconds = 20;
@@ -197,7 +197,7 @@
     EXPECT_GE (polled, kMostAtOnce);
 }
 
-TEST_F (EnginePlacementTest, WhatAnEngineToldBeforeItWasAgreedOnIsKnown)
+TEST_F (EnginePlacementTest, KeepsHeartbeatsThatArriveBeforeTheEngineIsCommitted)
 {
     sendHeartbeat ("e1", { "m1" }, { "m2" });
     cell::RoutableInstance row;
@@ -211,7 +211,7 @@
     EXPECT_EQ (models->front().model, "m1");
 }
 
-TEST_F (EnginePlacementTest, AnEngineThatANewLeaderHasNotHeardIsOrderedByWhatWasAgreedOn)
+TEST_F (EnginePlacementTest, NewLeaderUsesReplicatedModelsBeforeTheFirstHeartbeat)
 {
     for (const char* id : { "e1", "e2" })
     {
@@ -232,10 +232,10 @@
     EXPECT_EQ (sent[0].expectedSequence, 3U);
 }
 
-TEST_F (EnginePlacementTest, ALaterIncarnationIsKnownByWhatWasAgreedOn)
+TEST_F (EnginePlacementTest, LaterIncarnationStartsFromReplicatedModels)
 {
     addEngine ("e1", { "m1" });
-    // Others that do not answer take up the reports that are asked for without need.
+    // Other engines that do not answer use up the polls without need.
     for (int number = 0; number < 400; ++number)
     {
         cell::RoutableInstance other;
@@ -247,19 +247,19 @@
     row.instance.startedAt = 1;
     m_placement.refresh (m_rows, m_now);
     static_cast<void> (orders());
-    // Its first heartbeat comes before the cell has agreed that it is another one.
+    // Its first heartbeat arrives before the cell has committed the new incarnation.
     sendHeartbeat ("e1", { "m2" });
     row.instance.startedAt = 2;
     row.instance.isReported = true;
     row.instance.models = { { "m2", 1, {} } };
     m_placement.refresh (m_rows, m_now);
     demand ("m2", 1, 0, "a1");
-    EXPECT_TRUE (polls ("e1"));
+    EXPECT_TRUE (isPolled ("e1"));
     report ("e1", { "m2" }, 0);
     EXPECT_EQ (orders().size(), 1U);
 }
 
-TEST_F (EnginePlacementTest, NothingIsOrderedBeforeThePauseIsOver)
+TEST_F (EnginePlacementTest, SendsNoOrderBeforeOrdersFrom)
 {
     m_now = kStart - base::milliseconds (1);
     addEngine ("e1", { "m1" });
@@ -269,7 +269,7 @@
     EXPECT_EQ (orders().size(), 1U);
 }
 
-TEST_F (EnginePlacementTest, ThePauseIsThatOfEachEngine)
+TEST_F (EnginePlacementTest, AppliesOrdersFromPerEngine)
 {
     addEngine ("e-late", {});
     demand ("m2", 1);
@@ -280,7 +280,7 @@
     EXPECT_EQ (sent[0].instance, "e1");
 }
 
-TEST_F (EnginePlacementTest, AnEngineWhoseSequenceIsNotKnownIsAskedFirst)
+TEST_F (EnginePlacementTest, PollsAnEngineWithUnknownSequenceBeforeAnOrder)
 {
     cell::RoutableInstance row;
     row.instance = { "e1", "llm", "e1:80", "z", 8, false, false, {} };
@@ -288,7 +288,7 @@
     m_placement.refresh (m_rows, m_now);
     sendHeartbeat ("e1", { "m1" });
     demand ("m2", 1);
-    EXPECT_TRUE (polls ("e1"));
+    EXPECT_TRUE (isPolled ("e1"));
     EXPECT_TRUE (orders().empty());
     report ("e1", { "m1" }, 5);
     const auto sent = orders();
@@ -297,7 +297,7 @@
     EXPECT_EQ (sent[0].fence, 7U);
 }
 
-TEST_F (EnginePlacementTest, OneOrderAtATimeAndNoneWhileAModelLoads)
+TEST_F (EnginePlacementTest, SendsOneOrderAtATimeAndNoneDuringAModelLoad)
 {
     addEngine ("e1", { "m1" });
     demand ("m2", 1);
@@ -314,13 +314,13 @@
     EXPECT_EQ (next[0].expectedSequence, 1U);
 }
 
-TEST_F (EnginePlacementTest, MemoryIsNeverOvercommitted)
+TEST_F (EnginePlacementTest, NeverOvercommitsMemory)
 {
     addEngine ("e1", { "m1", "m2" });
     wait (base::seconds (30));
     sendHeartbeat ("e1", { "m1", "m2" });
     demand ("m3", 1);
-    EXPECT_TRUE (orders().empty());  // Routers hear of the withdrawal first.
+    EXPECT_TRUE (orders().empty());  // Routers receive the withdrawal first.
     const auto held = m_placement.routableModels ("e1", m_now);
     ASSERT_TRUE (held);
     EXPECT_EQ (held->size(), 1U);
@@ -337,7 +337,7 @@
     EXPECT_EQ (load[0].model, "m3");
 }
 
-TEST_F (EnginePlacementTest, AModelThatRequestsWaitForDoesNotMakeWay)
+TEST_F (EnginePlacementTest, DoesNotEvictAModelWithWaitingRequests)
 {
     addEngine ("e1", { "m1", "m2" });
     demand ("m1", 1);
@@ -350,7 +350,7 @@
     }
 }
 
-TEST_F (EnginePlacementTest, AModelInUseMakesWayOnlyWhereNoIdleOneCan)
+TEST_F (EnginePlacementTest, EvictsAModelInUseOnlyWithoutAnIdleOne)
 {
     addEngine ("e1", { "m1", "m2" });
     addEngine ("e2", { "m4", "m5" });
@@ -366,7 +366,7 @@
     EXPECT_EQ (unload[0].model, "m5");
 }
 
-TEST_F (EnginePlacementTest, AnUnansweredOrderIsReservedUntilAReportClearsIt)
+TEST_F (EnginePlacementTest, UnansweredOrderBlocksOthersUntilAReport)
 {
     addEngine ("e1", { "m1" });
     demand ("m2", 1);
@@ -375,28 +375,29 @@
     answer (sent[0], engine::OrderOutcome::kUnknown);
     EXPECT_TRUE (orders().empty());
     wait (kMaxReportLag);
-    EXPECT_TRUE (polls ("e1"));
-    report ("e1", { "m1" }, 0);  // Not taken so far.
+    EXPECT_TRUE (isPolled ("e1"));
+    report ("e1", { "m1" }, 0);  // Not accepted so far.
     const auto again = orders();
     ASSERT_EQ (again.size(), 1U);
-    EXPECT_EQ (again[0].expectedSequence, 0U);  // A late one then finds another sequence.
+    EXPECT_EQ (again[0].expectedSequence,
+               0U);  // If the first one arrives late, the sequence no longer matches.
 }
 
-TEST_F (EnginePlacementTest, AnUnansweredOrderThatWasTakenIsAwaited)
+TEST_F (EnginePlacementTest, WaitsForAnUnansweredOrderThatWasAccepted)
 {
     addEngine ("e1", { "m1" });
     demand ("m2", 1);
     const auto sent = orders();
     answer (sent.at (0), engine::OrderOutcome::kUnknown);
     wait (kMaxReportLag);
-    EXPECT_TRUE (polls ("e1"));
+    EXPECT_TRUE (isPolled ("e1"));
     report ("e1", { "m1" }, 1, true);
     EXPECT_TRUE (orders().empty());
     sendHeartbeat ("e1", { "m1", "m2" });
     EXPECT_TRUE (orders().empty());
 }
 
-TEST_F (EnginePlacementTest, LoadsFromTheStoreStayBelowItsRate)
+TEST_F (EnginePlacementTest, LimitsTheRateOfLoadsFromTheStore)
 {
     for (int number = 1; number <= 30; ++number)
         addEngine ("e" + std::to_string (number), {});
@@ -410,15 +411,15 @@
             ++loads;
             answer (order, engine::OrderOutcome::kUnderWay);
             sendHeartbeat (order.instance,
-                           { order.model });  // Done at once: only the rate holds back.
+                           { order.model });  // Complete at once: only the rate is limiting.
         }
         wait (base::milliseconds (90));
     }
-    EXPECT_LE (loads, 20U);  // 4 a second in 4.5 s, and none of an earlier leader.
+    EXPECT_LE (loads, 20U);  // 4 per second in 4.5 s, without loads of an earlier leader.
     EXPECT_GE (loads, 15U);
 }
 
-TEST_F (EnginePlacementTest, LoadsFromAnEnginesOwnDiskAreNotBoundByTheStore)
+TEST_F (EnginePlacementTest, StoreLimitsDoNotApplyToLoadsFromDisk)
 {
     for (int number = 1; number <= 30; ++number)
     {
@@ -426,14 +427,14 @@
         addEngine (id, {});
         sendHeartbeat (id, {}, { "m" + std::to_string (number) });
     }
-    EXPECT_EQ (orders().size(), 30U);  // Free memory is filled with what nobody holds.
+    EXPECT_EQ (orders().size(), 30U);  // Free memory is filled with models that no engine holds.
 }
 
-TEST_F (EnginePlacementTest, ACrowdedModelIsHeldOnceMore)
+TEST_F (EnginePlacementTest, AddsAReplicaOfACongestedModel)
 {
     addEngine ("e1", { "m1" });
     addEngine ("e2", { "m2" });
-    // Five of eight slots: more than the share that one model may fill.
+    // Five of eight slots exceed kMaxSlotShare.
     demand ("m1", 0, 5);
     const auto sent = orders();
     ASSERT_EQ (sent.size(), 1U);
@@ -441,7 +442,7 @@
     EXPECT_EQ (sent[0].model, "m1");
 }
 
-TEST_F (EnginePlacementTest, AFewShortPromptsThatWaitToBeReadAskForNoReplica)
+TEST_F (EnginePlacementTest, AddsNoReplicaForAFewShortPromptsInPrefill)
 {
     addEngine ("e1", { "m1" });
     addEngine ("e2", { "m2" });
@@ -449,18 +450,18 @@
     EXPECT_TRUE (orders().empty());
 }
 
-TEST_F (EnginePlacementTest, RequestsForOtherModelsOfItsEngineCrowdAModel)
+TEST_F (EnginePlacementTest, CountsRequestsForOtherModelsOfTheEngineAsCongestion)
 {
     addEngine ("e1", { "m1", "m2" });
     addEngine ("e2", { "m3" });
-    // Three of eight slots each: either would fit alone.
+    // Three of eight slots each: only together do they exceed the limit.
     m_placement.onDemand (1, { { "llm", "m1", "", 0, 3, 3 }, { "llm", "m2", "", 0, 3, 3 } }, m_now);
     const auto sent = orders();
     ASSERT_EQ (sent.size(), 1U);
     EXPECT_EQ (sent[0].instance, "e2");
 }
 
-TEST_F (EnginePlacementTest, AReplicaDoesNotGoToAnEngineThatIsCrowdedItself)
+TEST_F (EnginePlacementTest, AddsNoReplicaOnACongestedEngine)
 {
     addEngine ("e1", { "m1" });
     addEngine ("e2", { "m2" });
@@ -468,7 +469,7 @@
     EXPECT_TRUE (orders().empty());
 }
 
-TEST_F (EnginePlacementTest, AModelOfManyRequestsHasASpareReplica)
+TEST_F (EnginePlacementTest, AddsASpareReplicaAtAHighRequestRate)
 {
     addEngine ("e1", { "m1" });
     addEngine ("e2", { "m2" });
@@ -479,18 +480,18 @@
     EXPECT_EQ (sent[0].model, "m1");
 }
 
-TEST_F (EnginePlacementTest, AnEngineThatOnlyReadsPromptsAsksForAnotherReplica)
+TEST_F (EnginePlacementTest, AddsAReplicaForHighPrefillLoad)
 {
     addEngine ("e1", { "m1" });
     addEngine ("e2", { "m2" });
-    // Four seconds of prompts that take an engine three seconds to read, none of which waits now.
+    // Prompts of four seconds that take an engine three seconds of prefill; no request waits.
     m_placement.onDemand (1, { { "llm", "m1", "", 0, 1, 12, 0, 114'000 } }, m_now);
     const auto sent = orders();
     ASSERT_EQ (sent.size(), 1U);
     EXPECT_EQ (sent[0].model, "m1");
 }
 
-TEST_F (EnginePlacementTest, ReplicasOfACrowdedModelDoNotTakeThePlaceOfWhatWasJustAskedFor)
+TEST_F (EnginePlacementTest, ReplicasOfACongestedModelDoNotEvictRecentlyRequestedModels)
 {
     addEngine ("e1", { "m1", "m4" });
     addEngine ("e2", { "m2", "m3" });
@@ -503,7 +504,7 @@
     EXPECT_TRUE (orders().empty());
 }
 
-TEST_F (EnginePlacementTest, AnEngineWithACopyIsWaitedForWhileItIsBusyForAMoment)
+TEST_F (EnginePlacementTest, WaitsForABusyEngineWithACopyInsteadOfTheStore)
 {
     addEngine ("e1", { "m1", "m2" });
     addEngine ("e2", { "m4", "m5" });
@@ -527,11 +528,11 @@
     EXPECT_EQ (unload[0].model, "m2");
 }
 
-// Models whose engines were busy took all turns of each round, so that others waited beside engines
-// that were free.
-TEST_F (EnginePlacementTest, ModelsThatNoEngineCanTakeNowDoNotHoldUpOthers)
+// Guards against starvation: models whose engines were busy used up all plans of each round, so
+// that other models were not loaded although their engines were free.
+TEST_F (EnginePlacementTest, ModelsWithoutAFreeEngineDoNotDelayOthers)
 {
-    // One engine that loads has the copies of most models; an idle one has that of another.
+    // A loading engine has the copies of most models; an idle one has the copy of another model.
     std::set<std::string> copies;
     for (int number = 1; number <= 20; ++number)
         copies.insert ("m" + std::to_string (number));
@@ -543,7 +544,7 @@
     answer (first[0], engine::OrderOutcome::kUnderWay);
     addEngine ("e-idle", { "m29", "m30" });
     sendHeartbeat ("e-idle", { "m29", "m30" }, { "m21" });
-    // The others have waited for longer, by less than they would wait for the store.
+    // The other models have waited longer, but less than kMaxWaitForCopy.
     for (int number = 2; number <= 20; ++number)
         demand ("m" + std::to_string (number), 2);
     wait (base::milliseconds (100));
@@ -558,7 +559,7 @@
     EXPECT_EQ (found[0].instance, "e-idle");
 }
 
-TEST_F (EnginePlacementTest, AModelMakesWayOnlyOnceTheStoreHasAPlace)
+TEST_F (EnginePlacementTest, EvictsForAStoreLoadOnlyWhenAStoreSlotIsFree)
 {
     for (int number = 1; number <= 12; ++number)
         addEngine ("e" + std::to_string (number), { "m" + std::to_string (number) });
@@ -574,10 +575,10 @@
         }
         wait (base::milliseconds (100));
     }
-    EXPECT_EQ (loads, 3U);  // As many as are tried before the store's speed is known.
+    EXPECT_EQ (loads, 3U);  // Initial limit of StoreConcurrency.
 }
 
-TEST_F (EnginePlacementTest, ARequestThatHasWaitedLongTakesTheTurnOfABusyModel)
+TEST_F (EnginePlacementTest, EvictsABusyModelForALongWaitingRequest)
 {
     addEngine ("e1", { "m1", "m2" });
     const auto keepBusy = [&]
@@ -586,18 +587,18 @@
         m_placement.onDemand (2, { { "llm", "m2", "", 0, 1, 1 } }, m_now);
     };
     demand ("m3", 1);
-    bool hasMadeWay = false;
-    for (int round = 0; round < 40 && ! hasMadeWay; ++round)
+    bool isEvicted = false;
+    for (int round = 0; round < 40 && ! isEvicted; ++round)
     {
         keepBusy();
         for (const auto& order : orders())
-            hasMadeWay = ! order.isLoad;
+            isEvicted = ! order.isLoad;
         wait (base::milliseconds (100));
     }
-    EXPECT_TRUE (hasMadeWay);
+    EXPECT_TRUE (isEvicted);
 }
 
-TEST_F (EnginePlacementTest, AModelWithoutAnyCopyIsFetchedAheadOnce)
+TEST_F (EnginePlacementTest, PrefetchesAModelWithoutCopiesOnce)
 {
     EnginePlacementOptions options;
     options.fence = 7;
@@ -620,11 +621,11 @@
     EXPECT_TRUE (orders().empty());
 }
 
-TEST_F (EnginePlacementTest, AnAdapterFindsAPlaceOnAnyEngineThatHoldsItsModel)
+TEST_F (EnginePlacementTest, PlacesAnAdapterOnAnyHolderOfItsModel)
 {
     addEngine ("e1", { "m1" });
     addEngine ("e2", { "m1" });
-    // Both engines are full; all that the first one holds is in use.
+    // The adapter slots of both engines are taken; all adapters of the first one are in use.
     std::vector<cell::EngineDemand> demands;
     for (const char* adapter : { "a1", "a2", "a3", "a4" })
     {
@@ -645,7 +646,7 @@
     EXPECT_FALSE (unload[0].isLoad);
 }
 
-TEST_F (EnginePlacementTest, TheAdapterThatWasNotAskedForLongestMakesWay)
+TEST_F (EnginePlacementTest, EvictsTheLeastRecentlyRequestedAdapter)
 {
     addEngine ("e1", { "m1" });
     for (const char* adapter : { "a1", "a2" })
@@ -667,22 +668,22 @@
     EXPECT_EQ (load[0].adapter, "a3");
 }
 
-TEST_F (EnginePlacementTest, AModelThatOnlyARateLimitedEngineHoldsIsLoadedElsewhereOnceRequestsWait)
+TEST_F (EnginePlacementTest, LoadsAModelOfARateLimitedEngineElsewhereOnceRequestsWait)
 {
     addEngine ("e1", { "m1" });
     addEngine ("e2", {});
     m_placement.setRateLimited ({ "e1" });
     demand ("m1", 0, 1);
-    EXPECT_TRUE (orders().empty()) << "it takes what comes";
+    EXPECT_TRUE (orders().empty()) << "no request waits at the rate-limited engine";
     demand ("m1", 1, 1);
     const auto found = orders();
     ASSERT_EQ (found.size(), 1U);
     EXPECT_EQ (found[0].instance, "e2");
     EXPECT_EQ (found[0].model, "m1");
-    EXPECT_TRUE (orders().empty()) << "one more is enough";
+    EXPECT_TRUE (orders().empty()) << "one more replica is enough";
 }
 
-TEST_F (EnginePlacementTest, NothingIsLoadedOnARateLimitedEngine)
+TEST_F (EnginePlacementTest, LoadsNothingOnARateLimitedEngine)
 {
     addEngine ("e1", {});
     m_placement.setRateLimited ({ "e1" });
@@ -692,7 +693,7 @@
     EXPECT_EQ (orders().size(), 1U);
 }
 
-TEST_F (EnginePlacementTest, ADrainingEngineGetsNoOrders)
+TEST_F (EnginePlacementTest, SendsNoOrdersToADrainingEngine)
 {
     addEngine ("e1", { "m1" });
     m_rows["e1"].instance.isDraining = true;
@@ -701,7 +702,7 @@
     EXPECT_TRUE (orders().empty());
 }
 
-TEST_F (EnginePlacementTest, NothingOfAnEarlierIncarnationHolds)
+TEST_F (EnginePlacementTest, DiscardsTheStateOfAnEarlierIncarnation)
 {
     addEngine ("e1", { "m1" });
     m_rows["e1"].instance.startedAt = 1000;
@@ -712,7 +713,7 @@
     m_rows["e1"].instance.startedAt = 2000;
     m_placement.refresh (m_rows, m_now);
     EXPECT_FALSE (m_placement.routableModels ("e1", m_now));
-    // The answer to an order of before, and a report of before that comes late, say nothing.
+    // Late answers and reports of the earlier incarnation are ignored.
     answer (before[0], engine::OrderOutcome::kUnderWay);
     engine::ServiceReport late;
     late.startedAt = 1000;
@@ -721,7 +722,7 @@
     m_placement.onReport ("e1", late, m_now);
     EXPECT_FALSE (m_placement.routableModels ("e1", m_now));
     wait (base::seconds (1));
-    EXPECT_TRUE (polls ("e1"));
+    EXPECT_TRUE (isPolled ("e1"));
     engine::ServiceReport present;
     present.startedAt = 2000;
     m_placement.onReport ("e1", present, m_now);
--- a/src/placement/EnginePlans.cpp
+++ b/src/placement/EnginePlans.cpp
@@ -1,55 +1,60 @@
 /**
- * Which model goes to which engine, and what makes way for it.
+ * Placement of models on engines, and evictions for them.
  */
 
 #include <algorithm>
 #include <utility>
 
 #include "placement/EnginePlacement.h"
-#include "placement/EnginePlacementConstants.h"
+#include "placement/EnginePlacementFigures.h"
 
 namespace fernlift::placement
 {
 namespace
 {
 
-// Costs are in seconds of a request that waits.
+// Costs are in seconds of waiting of one request.
 constexpr double kUnloadCost = 0.3;
 constexpr double kSurplusReplicaCost = 0.2;
-/// A replica beyond those that requests need, which a burst may need.
+/// Cost of a replica that only a burst or crash would need.
 constexpr double kStandbyReplicaCost = 2.0;
 constexpr double kNeededReplicaCost = 30.0;
-/// Held more than once from the beginning, so it probably was busy; nobody has asked yet.
+/// Cost of one of several replicas of a model without any request yet. Several replicas suggest
+/// that the model was busy before.
 constexpr double kUnknownReplicaCost = 1.0;
-/// The next request for the model waits for a load.
+/// Cost of the last replica: the next request for the model waits for a load.
 constexpr double kLastReplicaCost = 1.5;
 constexpr double kCheapestLastReplicaCost = 0.3;
 constexpr double kAdapterDelayCost = 4.0;
-/// A model that only this engine could load quickly waits until the load from the store is done.
+/// Cost for each model that only this engine could load quickly: it waits for the end of the load
+/// from the store.
 constexpr double kBlockedCopyCost = 1.0;
-/// Requests for a model that comes to an engine at its limit are answered this much later.
+/// Delay of the requests for a model that is loaded on an engine at its congestion limit.
 constexpr double kCongestionCost = 1.0;
-/// Part of an engine's limit that requests may take where a replica is to relieve others.
+/// Share of its congestion limit that an engine may have in requests to get a replica that relieves
+/// other engines.
 constexpr double kHighestShareForReplica = 0.5;
-/// Loading ahead of requests may cost this much beside the load itself.
+/// Limit of the cost of a prefetch beyond that of the load itself.
 constexpr double kHighestFetchCost = 2.0;
-/// Engines for each that is blocked by a load which nobody waits for. The others go on changing
-/// models for those who wait. Without this bound five of nine engines were loading when requests
-/// began, and 15 of 88 requests for rare models were answered in time in place of 37 (one play
+/// Number of engines per concurrent prefetch, so that the other engines stay available for loads
+/// that requests wait for. Without this limit five of nine engines were loading when requests
+/// began, and 15 instead of 37 of 88 requests for rare models were answered in time (one simulation
 /// each).
 constexpr std::size_t kEnginesForFetch = 12;
-/// The same before anybody has asked for a model: loads that begin then may not be done when the
-/// first requests come.
+/// Number of engines per concurrent prefetch before the first request. These loads may still be in
+/// progress when the first requests arrive.
 constexpr std::size_t kIdleEnginesForFetch = 4;
+/// A model with adapters counts as in use for this long after its last request.
 constexpr base::Duration kAdapterUseWindow = base::seconds (10);
-/// Seconds of silence after which the last replica of a model is worth the least.
+/// Seconds without a request after which the last replica of a model has its minimum cost.
 constexpr double kIdleSecondsToMinCost = 20.0;
-/// A request waits this long for an engine that has a copy rather than for the weight store.
+/// Limit of the wait for an engine with a copy before the model is loaded from the weight store.
 constexpr base::Duration kMaxWaitForCopy = base::milliseconds (1500);
-/// Plans of a round that may look at every engine: more would hold up the leader's event loop.
+/// Limit of the plans of a round that examine every engine; more would block the event loop of the
+/// leader.
 constexpr std::size_t kMostFullPlansInRound = 12;
-/// The same in a large cell, in engines looked at for all plans of a round, some 1 us each; with
-/// 3,000 engines twelve plans held up a leader, which has a share of a core, for 0.2 s.
+/// Limit of the engines examined by all plans of a round, at about 1 us each, for large cells. With
+/// 3,000 engines, twelve plans blocked a leader that has only a share of a core for 0.2 s.
 constexpr std::size_t kMostEnginesInRound = 12'000;
 
 }  // namespace
@@ -97,7 +102,7 @@
     for (Engine* const each : engines)
     {
         const Engine& engine = *each;
-        // One whose sequence is not known is asked for it once it is chosen.
+        // An engine with unknown sequence is polled once it has been chosen.
         const bool mayBeOrdered = mayTakeOrder (engine) || mayBePolled (engine);
         const bool isCandidate = engine.service == service && engine.reservedFor.empty()
                                  && mayBeOrdered && ! engine.models.contains (name)
@@ -105,7 +110,7 @@
                                  && ! (need.relievesCongestion && isTooBusyToRelieve (engine));
         if (! isCandidate)
             continue;
-        updateEvictionInputs (*each, now);
+        updateLoadCosts (*each, now);
         const EngineSpecIndex* spec = specOf (engine);
         const config::EngineModel* model = spec == nullptr ? nullptr : spec->findModel (name);
         if (model == nullptr)
@@ -184,7 +189,8 @@
 {
     if (! m_options.fetchesAhead)
         return;
-    // What an engine has is known once it has told; a new leader hears of all within one interval.
+    // The copies of an engine are known once it has reported; a new leader receives the reports of
+    // all engines within one heartbeat interval.
     if (! m_unreported.empty())
         return;
     for (const config::Service& service : m_catalogue.services)
@@ -197,7 +203,7 @@
 
 void EnginePlacement::fetchAhead (const config::Service& service, base::TimePoint now)
 {
-    // One place stays free for what requests wait for.
+    // One slot stays free for models that requests wait for.
     constexpr std::size_t kSpareSlots = 1;
     const bool isInUse = ! m_demands.empty();
     const std::size_t share = isInUse ? kEnginesForFetch : kIdleEnginesForFetch;
@@ -209,7 +215,8 @@
         const bool isNowhere = view.isMissing() && view.locations->copies.empty();
         if (! isNowhere || m_fetched.contains (key))
             continue;
-        // Looks at every engine: for each of 330 models, held or not, it took half of a round.
+        // Checked only for models without copies, since it is expensive: when it was checked for
+        // all of 330 models, it took half of the time of a round.
         if (! hasStoreSlot (isInUse ? kSpareSlots : 0) || storeLoads() >= most)
             return;
         ModelNeed need;
@@ -224,7 +231,7 @@
 double EnginePlacement::adapterDelayCost (const Engine& engine, const EngineSpecIndex& spec,
                                           base::TimePoint now) const
 {
-    // No adapter can come to an engine while it loads a model.
+    // An engine cannot load adapters while it loads a model.
     for (const auto& [name, state] : engine.models)
     {
         const config::EngineModel* model = spec.findModel (name);
@@ -292,7 +299,7 @@
             return kUnknownReplicaCost;
         const ReplicaTargets targets = replicaTargets (view, specOf (engine)->spec());
         const double drain = drainSeconds (engine.service, view);
-        // Without this one the others would be crowded, and it would be loaded again.
+        // Without this replica the others would be congested and the model would be loaded again.
         if (targets.needed >= view.holders() || isCongestedWithout (engine, view))
             return kNeededReplicaCost + drain;
         const bool isStandby = targets.spare >= view.holders();
@@ -314,7 +321,8 @@
     const auto found = m_streamSeconds.find (service);
     if (found == m_streamSeconds.end() || view.holders() == 0)
         return 0;
-    // Streams that began at any time: of one, half is left in the mean, of many nearly all.
+    // Start times are uniform: of one stream, half is left on average; of the longest of many,
+    // nearly all.
     const double streams = view.demand.running / static_cast<double> (view.holders());
     return found->second * streams / (streams + 1);
 }
@@ -340,7 +348,7 @@
         const EngineSpecIndex* spec = specOf (engine);
         if (spec == nullptr)
             continue;
-        updateEvictionInputs (engine, now);
+        updateLoadCosts (engine, now);
         const config::EngineModel* model = modelToFillWith (engine, *spec);
         if (model == nullptr)
             continue;
--- a/src/placement/EnginePlayTest.cpp
+++ b/src/placement/EnginePlayTest.cpp
@@ -1,4 +1,5 @@
-// Loads of whole cells played on EnginePlacement: what callers get. Each test prints its figures.
+// Latencies of callers in simulations of whole cells with EnginePlacement. Each test prints the
+// shares of late streams.
 
 #include <gtest/gtest.h>
 
@@ -14,15 +15,15 @@
 using base::milliseconds;
 using base::seconds;
 
-/// Pauses between events that callers take.
+/// Longest time between events that counts as in time.
 constexpr base::Duration kGapTarget = milliseconds (150);
-/// Time until the first event within which an answer of the most worthy route is in time.
+/// Target of the time to the first event on the route of the highest value.
 constexpr base::Duration kTarget = milliseconds (2500);
-/// Of a hundred callers four may be late.
+/// Limit of the share of late callers.
 constexpr double kMostLate = 0.04;
 constexpr std::size_t kEngines = 9;
 
-/// Models from `first` on, asked for at the same rate.
+/// Adds `count` models from number `first` on, each with the same request rate.
 void addRates (std::vector<PlayedRate>& rates, std::size_t first, std::size_t count,
                double perSecond)
 {
@@ -30,8 +31,8 @@
         rates.push_back ({ EnginePlay::modelName (number), perSecond });
 }
 
-/// A cell with models in turn, three on each engine, and copies of others, so that each model has
-/// two or three copies.
+/// A cell with models assigned to the engines in rotation, three on each, and with copies of other
+/// models, so that each model has two or three copies.
 EnginePlay placedInTurn (std::uint64_t seed)
 {
     constexpr std::size_t kModels = 30;
@@ -51,7 +52,7 @@
     return play;
 }
 
-/// Seeds of the requests' arrivals.
+/// Seeds of the request arrivals.
 constexpr std::uint64_t kSeeds[] = { 1, 2, 3, 4, 5 };
 
 TEST (EnginePlayTest, HotModelsThatShareAnEngineAreSpreadOverIdleOnes)
@@ -61,7 +62,7 @@
         SCOPED_TRACE (seed);
         EnginePlay play = placedInTurn (seed);
         std::vector<PlayedRate> rates;
-        addRates (rates, 0, 3, 15);  // The three models of the first engine.
+        addRates (rates, 0, 3, 15);  // All three models of the first engine.
         addRates (rates, 3, 24, 0.1);
         play.run (rates, seconds (30));
         const double late = play.shareWithPausesOver (kGapTarget, seconds (10));
@@ -94,7 +95,7 @@
     }
 }
 
-TEST (EnginePlayTest, LoadsFromTheStoreLeaveEnginesForLoadsFromCopies)
+TEST (EnginePlayTest, StoreLoadsLeaveEnginesFreeForLoadsFromCopies)
 {
     for (const std::uint64_t seed : kSeeds)
     {
--- a/src/placement/EnginePlayTestSupport.h
+++ b/src/placement/EnginePlayTestSupport.h
@@ -1,12 +1,13 @@
 #pragma once
 
 /**
- * Plays streams on engines whose models EnginePlacement chooses, without a network: routers send a
- * stream to the holder with the fewest, and keep it while no engine holds its model.
+ * Simulates streams on engines whose models EnginePlacement chooses, without a network. Routers
+ * send a stream to the holder with the fewest streams, and queue it while no engine holds its
+ * model.
  *
- * An engine makes one token of each stream in a step, which takes longer the more streams run. An
- * unload waits for the streams of its model, and an engine carries out one order at a time. Time
- * goes on in ticks. Threading: none.
+ * An engine generates one token of each stream per step, and a step takes longer with more streams.
+ * An unload waits for the streams of its model, and an engine executes one order at a time.
+ * Simulated time advances in fixed ticks. Not thread-safe.
  */
 
 #include <cstdint>
@@ -22,20 +23,20 @@
 namespace fernlift::placement
 {
 
-/// Requests for one model, in a second.
+/// Request rate of one model.
 struct PlayedRate
 {
     std::string model;
     double perSecond = 0;
 };
 
-/// What callers got.
+/// Latencies of one stream as seen by its caller.
 struct PlayedStream
 {
     std::string model;
     base::TimePoint arrivedAt{};
-    std::optional<base::Duration> waited;  ///< Until an engine took it; none: it still waits.
-    base::Duration longestPause{};         ///< Between its events.
+    std::optional<base::Duration> waited;  ///< Time until an engine accepted it, if any.
+    base::Duration longestPause{};         ///< Longest time between two of its events.
 };
 
 class EnginePlay
@@ -43,29 +44,29 @@
 public:
     EnginePlay (std::size_t engines, std::size_t models, std::uint64_t seed);
 
-    /// Models that an engine holds and has copies of.
+    /// Sets the models that an engine holds and those that it has copies of.
     void place (std::size_t engine, const std::vector<std::string>& held,
                 const std::set<std::string>& copies);
-    /// The engine is gone, with its streams and copies, and an empty one takes its place.
+    /// Replaces an engine, with its streams and copies, by an empty one.
     void replace (std::size_t engine);
-    /// Requests come at these rates for so long.
+    /// Simulates requests at these rates for `duration`.
     void run (const std::vector<PlayedRate>& rates, base::Duration duration);
 
-    /// Part of the streams that arrived from then on whose events were further apart.
+    /// Share of the streams arrived at `from` or later with a longer time between events.
     [[nodiscard]] double shareWithPausesOver (base::Duration pause, base::Duration from) const;
-    /// Part of the streams that arrived from then on that waited longer for an engine.
+    /// Share of the streams arrived at `from` or later that waited longer for an engine.
     [[nodiscard]] double shareWaitingOver (base::Duration wait, base::Duration from) const;
     [[nodiscard]] std::size_t mostStoreLoads() const { return m_mostStoreLoads; }
     [[nodiscard]] static std::string modelName (std::size_t number);
 
 private:
-    /// Part of the streams that `isCounted` takes of which `isLate` is true.
+    /// Share of the streams accepted by `isCounted` for which `isLate` is true.
     template <class IsCounted, class IsLate>
     [[nodiscard]] double shareOf (const IsCounted& isCounted, const IsLate& isLate) const;
 
     struct Running
     {
-        std::size_t stream = 0;  ///< In m_streams.
+        std::size_t stream = 0;  ///< Index in m_streams.
         std::string model;
         double tokensLeft = 0;
         double tokensToEvent = 0;
@@ -74,7 +75,7 @@
     struct Order
     {
         engine::ServiceOrder order;
-        base::TimePoint doneAt{};  ///< Of a load.
+        base::TimePoint doneAt{};  ///< End of a load; unused for unloads.
         bool isFromStore = false;
     };
     struct Engine
@@ -96,7 +97,7 @@
     void acceptOrder (const SendEngineOrder& order);
     void reportDemand();
     void sendHeartbeat (Engine& engine);
-    /// The holder with the fewest streams, as routers see it; null: none.
+    /// The routable holder with the fewest streams; null if there is none.
     [[nodiscard]] Engine* holderOf (const std::string& model);
     [[nodiscard]] base::TimePoint start() const { return base::TimePoint (base::seconds (1000)); }
 
@@ -106,7 +107,7 @@
     std::map<std::string, cell::RoutableInstance> m_rows;
     std::vector<PlayedStream> m_streams;
     std::vector<std::size_t> m_waiting;
-    std::map<std::string, std::uint32_t> m_arrivals;  ///< Since the last report.
+    std::map<std::string, std::uint32_t> m_arrivals;  ///< Arrivals by model since the last report.
     base::TimePoint m_now;
     base::TimePoint m_reportedAt{};
     bool m_isUrgent = false;
--- a/src/placement/EngineSpecIndex.h
+++ b/src/placement/EngineSpecIndex.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * What a service says of its engines, arranged for the questions that a round of placement asks of
- * every engine.
+ * Lookup tables over the engine specification of a service, for queries that a placement round
+ * makes for every engine.
  */
 
 #include <string>
@@ -14,21 +14,21 @@
 namespace fernlift::placement
 {
 
-/** Pure. Threading: none. Points into the specification, which must outlive it. */
+/** Immutable. Holds pointers into the specification, which must outlive the index. */
 class EngineSpecIndex
 {
 public:
     explicit EngineSpecIndex (const config::EngineSpec& spec);
 
     [[nodiscard]] const config::EngineSpec& spec() const { return *m_spec; }
-    /** The model of that name; null if there is none. */
+    /** Returns null for an unknown name. */
     [[nodiscard]] const config::EngineModel* findModel (std::string_view name) const;
-    /** Memory for models: without what adapters in all places may take, in megabytes. */
+    /** Memory in megabytes that is left for models when all adapter slots are taken. */
     [[nodiscard]] double modelMemory() const { return m_modelMemory; }
 
 private:
     const config::EngineSpec* m_spec;
-    std::unordered_map<std::string_view, const config::EngineModel*> m_models;  ///< By name.
+    std::unordered_map<std::string_view, const config::EngineModel*> m_models;  ///< Models by name.
     double m_modelMemory = 0;
 };
 
--- a/src/placement/EngineState.h
+++ b/src/placement/EngineState.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * What the leader knows of one registered engine: what it holds, the orders that are under way
- * there, and what EngineIndex has noted of it.
+ * State of one registered engine as known to the leader: held models, pending orders and the
+ * entries of EngineIndex.
  */
 
 #include <cstddef>
@@ -21,12 +21,12 @@
 
 struct ModelView;
 
-/// An order that is under way at an engine, or may be.
+/// An order that an engine is executing or may be executing.
 struct PendingOrder
 {
     engine::ServiceOrder order;
     base::TimePoint sentAt{};
-    bool isFromStore = false;  ///< A load that takes from the weight store's rate.
+    bool isFromStore = false;  ///< Whether the load counts against the rate of the weight store.
 };
 
 /// A model that an engine holds.
@@ -34,18 +34,18 @@
 {
     std::uint64_t version = 0;
     std::set<std::string> adapters;
-    base::TimePoint confirmedAt{};  ///< When it was last told or done.
-    ModelView* view = nullptr;      ///< Set before anybody else reads it.
+    base::TimePoint confirmedAt{};  ///< Time of the last report or completed order that showed it.
+    ModelView* view = nullptr;      ///< Set when the engine is indexed.
 };
 
-/// What EngineIndex has noted of an engine; empty while it takes no requests.
+/// Entries of an engine in EngineIndex; empty while the engine accepts no requests.
 struct IndexedModels
 {
     std::string service;
-    std::vector<std::string> models;    ///< That routers may send requests for there.
-    std::vector<std::string> adapters;  ///< MODEL/ADAPTER of these, held or on their way.
+    std::vector<std::string> models;    ///< Models that routers may send requests for.
+    std::vector<std::string> adapters;  ///< MODEL/ADAPTER of `models`, held or loading.
     std::vector<std::string> copies;    ///< Models in host memory or on disk.
-    std::size_t usedAdapterSlots = 0;   ///< Adapters of all its models.
+    std::size_t usedAdapterSlots = 0;   ///< Adapters of all models of the engine.
 
     bool operator== (const IndexedModels&) const = default;
 };
@@ -55,44 +55,44 @@
     std::string id;
     std::string address;
     std::string service;
-    base::UnixMilliseconds startedAt = 0;   ///< Of the incarnation; 0: it does not tell.
-    bool isUsable = false;                  ///< Takes requests and orders.
-    base::TimePoint ordersFrom{};           ///< No order goes out before.
-    bool hasReported = false;               ///< A heartbeat or report has come.
-    std::optional<std::uint64_t> sequence;  ///< Orders it has taken, as far as is known.
+    base::UnixMilliseconds startedAt = 0;   ///< Start time of the incarnation; 0: not reported.
+    bool isUsable = false;                  ///< Accepts requests and orders.
+    base::TimePoint ordersFrom{};           ///< Earliest time of an order.
+    bool hasReported = false;               ///< Whether a heartbeat or report has arrived.
+    std::optional<std::uint64_t> sequence;  ///< Number of accepted orders, if known.
     std::map<std::string, HeldState> models;
     std::set<std::string> inMemory;
     std::set<std::string> onDisk;
-    std::optional<PendingOrder> unanswered;              ///< One at a time.
-    std::optional<PendingOrder> modelOrder;              ///< Taken, for a model, not finished.
-    std::optional<PendingOrder> unconfirmed;             ///< Perhaps taken; the next report tells.
-    std::map<std::string, base::TimePoint> adaptersDue;  ///< MODEL/ADAPTER; held from then on.
-    std::string reservedFor;          ///< Model that is to be loaded after unloads.
-    std::set<std::string> withdrawn;  ///< Models that routers no longer are told of.
+    std::optional<PendingOrder> unanswered;   ///< Order without an answer; at most one.
+    std::optional<PendingOrder> modelOrder;   ///< Accepted model order in progress.
+    std::optional<PendingOrder> unconfirmed;  ///< May have been accepted; resolved by a report.
+    std::map<std::string, base::TimePoint> adaptersDue;  ///< Load times by MODEL/ADAPTER.
+    std::string reservedFor;          ///< Model to load once memory has been freed.
+    std::set<std::string> withdrawn;  ///< Models no longer published to routers.
     base::TimePoint withdrawnAt{};
-    bool isPolled = false;  ///< A report was asked for and has not come.
+    bool isPolled = false;  ///< Whether a poll has not been answered yet.
     base::TimePoint polledAt{};
-    base::TimePoint pollAt{};  ///< No report is asked for before.
+    base::TimePoint pollAt{};  ///< Earliest time of the next poll.
     IndexedModels indexed;     ///< Written by EngineIndex only.
 
-    // Of one round of decisions, and not valid in a later one:
-    std::uint64_t requestsRound = 0;  ///< Of the next member.
-    double requests = 0;  ///< That wait for its models or run there, as far as is known.
-    std::uint64_t evictionInputsRound = 0;  ///< Of the next members.
-    double freeMemory = 0;                  ///< For models, in megabytes.
-    double adapterDelayCost = 0;  ///< What a load costs those who want adapters of its models.
-    /// What a load from the store costs those who want models of which only this engine has a
-    /// copy, and could load it soon.
+    // Values of one placement round, not valid in later ones:
+    std::uint64_t requestsRound = 0;   ///< Round of `requests`.
+    double requests = 0;               ///< Estimated waiting and running requests for its models.
+    std::uint64_t loadCostsRound = 0;  ///< Round of the members below.
+    double freeMemory = 0;             ///< Free memory for models, in megabytes.
+    double adapterDelayCost = 0;       ///< Cost of a load for requests that need adapters here.
+    /// Cost of a load from the store for requests that need models of which only this engine has a
+    /// copy.
     double blockedCopyCost = 0;
 };
 
-/// MODEL/ADAPTER.
+/// Returns MODEL/ADAPTER.
 [[nodiscard]] std::string adapterKey (std::string_view model, std::string_view adapter);
-/// Adapters that are held or on their way, as MODEL/ADAPTER.
+/// Adapters that are held or loading, as MODEL/ADAPTER.
 [[nodiscard]] std::set<std::string> adaptersOf (const EngineState& engine);
-/// Whether an order to unload the model is under way.
+/// Whether an order to unload the model is pending.
 [[nodiscard]] bool isUnloading (const EngineState& engine, const std::string& model);
-/// Whether routers send requests for a model that it holds there.
+/// Whether routers may send requests for a held model to the engine.
 [[nodiscard]] bool isRoutable (const EngineState& engine, const std::string& model);
 
 }  // namespace fernlift::placement
--- a/src/placement/EngineViews.cpp
+++ b/src/placement/EngineViews.cpp
@@ -1,13 +1,13 @@
 /**
- * What EnginePlacement reads off its state: demand for a model, who holds it, memory and places
- * that are taken, what the weight store allows. Changes nothing but the window of loads.
+ * Queries of EnginePlacement on its state: demand and holders of models, used memory and slots,
+ * limits of the weight store, and the views of a round that are derived from these.
  */
 
 #include <algorithm>
 #include <utility>
 
 #include "placement/EnginePlacement.h"
-#include "placement/EnginePlacementConstants.h"
+#include "placement/EnginePlacementFigures.h"
 
 namespace fernlift::placement
 {
@@ -98,12 +98,12 @@
     }
 }
 
-void EnginePlacement::updateEvictionInputs (Engine& engine, base::TimePoint now)
+void EnginePlacement::updateLoadCosts (Engine& engine, base::TimePoint now)
 {
     const EngineSpecIndex* spec = specOf (engine);
-    if (spec == nullptr || engine.evictionInputsRound == m_round)
+    if (spec == nullptr || engine.loadCostsRound == m_round)
         return;
-    engine.evictionInputsRound = m_round;
+    engine.loadCostsRound = m_round;
     engine.freeMemory = spec->modelMemory() - usedMemory (engine, *spec);
     engine.adapterDelayCost = adapterDelayCost (engine, *spec, now);
     engine.blockedCopyCost = blockedCopyCost (engine, now);
--- a/src/placement/Eviction.cpp
+++ b/src/placement/Eviction.cpp
@@ -8,11 +8,10 @@
 namespace
 {
 
-/// A replica in use is not given up before it was ready this long, to avoid load and unload in
-/// turn.
+/// A replica in use is not evicted before it has been ready for this long, to avoid thrashing.
 constexpr base::Duration kShortestResidence = base::seconds (10);
 
-/// A replica together with the adapters that would go with it.
+/// A replica together with the adapters on it, which would be unloaded as well.
 struct Candidate
 {
     const ReplicaView* view = nullptr;
--- a/src/placement/Eviction.h
+++ b/src/placement/Eviction.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Chooses replicas to unload so that a more pressing one finds memory.
+/// Chooses replicas to unload to free memory for a more urgent one.
 
 #include <optional>
 #include <vector>
@@ -15,19 +15,20 @@
 {
     base::RunnerId runner;
     std::vector<const ReplicaView*> evictions;
-    bool interruptsUse = false;     ///< A victim is in use by less urgent requests.
-    base::Duration shortestIdle{};  ///< Of the victims.
+    bool interruptsUse = false;     ///< A replica is in use by less urgent requests.
+    base::Duration shortestIdle{};  ///< Shortest idle time of the replicas.
     engine::Megabytes memoryFreed = 0;
 };
 
-/// Victims on one runner that make room for `memory`, least recently used first; none when that
-/// cannot be done without hurting a target that is as urgent as `urgency`. `kept` is never chosen.
+/// Evictions on one runner that free `memory`, least recently used first; nullopt when that would
+/// need the eviction of a replica in use by requests as urgent as `urgency`. `kept` is never
+/// chosen.
 [[nodiscard]] std::optional<EvictionChoice> chooseEvictions (const Plan& plan,
                                                              const Plan::PlannedRunner& planned,
                                                              engine::Megabytes memory, int urgency,
                                                              base::ReplicaId kept);
 
-/// True when `left` disturbs less than `right`.
+/// Whether `left` is less disruptive than `right`.
 [[nodiscard]] bool isBetter (const EvictionChoice& left, const EvictionChoice& right);
 
 }  // namespace fernlift::placement
--- a/src/placement/KeepAlive.cpp
+++ b/src/placement/KeepAlive.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// A replica is kept idle at least this long, but never longer than the bound given.
+/// Minimum of the keep-alive time, unless the upper limit of the caller is shorter.
 constexpr base::Duration kShortestKeepAlive = base::seconds (10);
 constexpr double kSecondsPerHour = 3600.0;
 constexpr std::int64_t kAssumedMegabytesPerSecond = 1000;
@@ -23,7 +23,7 @@
     const double idleCostPerSecond =
         acceleratorShare * prices.idleAcceleratorHour / kSecondsPerHour;
     const double longestSeconds = std::chrono::duration<double> (longest).count();
-    // Free idle time is kept for as long as allowed.
+    // Also covers prices without idle cost, which would divide by zero below.
     if (coldStartCost >= idleCostPerSecond * longestSeconds)
         return longest;
     const std::chrono::duration<double> breakEven (coldStartCost / idleCostPerSecond);
--- a/src/placement/KeepAlive.h
+++ b/src/placement/KeepAlive.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// How long an idle replica is worth keeping, by the operator's prices.
+/// Keep-alive time of idle replicas from the configured prices.
 
 #include "base/Time.h"
 #include "config/Catalogue.h"
@@ -8,14 +8,14 @@
 namespace fernlift::placement
 {
 
-/// Keeps a replica until its idle time has cost as much as the cold start that keeping it spares:
-/// whatever the next arrival, the cost is at most twice the least possible. `acceleratorShare` is
-/// the part of the runner's accelerators that the replica's memory blocks, in accelerators. The
-/// answer lies between a shortest residence and `longest`.
+/// Keep-alive time after which idling has cost as much as the cold start it avoids. Whenever the
+/// next request arrives, the cost is at most twice the minimum possible. `acceleratorShare` is the
+/// number of accelerators that the replica's memory occupies; it may be fractional. The result is
+/// at most `longest` and, up to that, at least a fixed minimum.
 [[nodiscard]] base::Duration keepAliveFor (const config::Prices& prices, base::Duration loadTime,
                                            double acceleratorShare, base::Duration longest);
 
-/// Load time of a target whose loads were not measured yet.
+/// Estimated load time of a target without measured loads.
 [[nodiscard]] base::Duration assumedLoadTime (config::Megabytes memory);
 
 }  // namespace fernlift::placement
--- a/src/placement/ModelView.h
+++ b/src/placement/ModelView.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /**
- * A model as a round of decisions sees it: who wants it and where it is.
+ * Demand and locations of a model in one placement round.
  */
 
 #include <cstddef>
@@ -13,40 +13,40 @@
 namespace fernlift::placement
 {
 
-/// Requests for a model with all its adapters.
+/// Requests for a model, those for its adapters included.
 struct ModelDemand
 {
     std::uint32_t waiting = 0;
     std::uint32_t running = 0;
-    std::uint32_t unread = 0;        ///< Of the running, whose answer has not begun.
-    base::TimePoint requestedAt{};   ///< Zero: never.
-    base::TimePoint waitingSince{};  ///< Of the request that waits longest; zero: none.
-    double perSecond = 0;            ///< Requests that arrive.
-    double tokensPerSecond = 0;      ///< Of their prompts.
+    std::uint32_t unread = 0;        ///< Running requests in prefill.
+    base::TimePoint requestedAt{};   ///< Last request; zero: never.
+    base::TimePoint waitingSince{};  ///< Start of the longest wait; zero: none.
+    double perSecond = 0;            ///< Arrival rate of requests.
+    double tokensPerSecond = 0;      ///< Arrival rate of prompt tokens.
 };
 
 struct ModelView
 {
     explicit ModelView (const EngineIndex::ModelLocations& where) : locations (&where) {}
 
-    /// Never null; as the engines are now, while the other members are of the begin of the round.
+    /// Never null. Always up to date, while the other members date from the start of the round.
     const EngineIndex::ModelLocations* locations = nullptr;
     ModelDemand demand;
-    std::size_t rateLimitedHolders = 0;  ///< Of the holders, that state a rate.
-    std::size_t pendingLoads = 0;        ///< Engines that load it or will.
-    /// Requests that its holders could run beside those for other models before they are crowded;
-    /// worked out for models with requests only.
+    std::size_t rateLimitedHolders = 0;  ///< Holders that announce a rate limit.
+    std::size_t pendingLoads = 0;        ///< Engines with a running or planned load of it.
+    /// Number of requests that its holders can run beside those for other models before they are
+    /// congested. Computed only for models with requests.
     double capacity = 0;
 
-    /// Engines that hold it and take requests.
+    /// Number of engines that hold the model and accept requests.
     [[nodiscard]] std::size_t holders() const { return locations->holders.size(); }
     [[nodiscard]] double requests() const { return demand.waiting + demand.running; }
-    /// Of these, at each holder.
+    /// Mean number of requests per holder.
     [[nodiscard]] double requestsAtHolder() const
     {
         return holders() == 0 ? 0 : requests() / static_cast<double> (holders());
     }
-    /// Nobody holds it, and no load of it is under way or planned.
+    /// Whether no engine holds the model and no load of it is in progress or planned.
     [[nodiscard]] bool isMissing() const { return holders() == 0 && pendingLoads == 0; }
 };
 
--- a/src/placement/Needs.cpp
+++ b/src/placement/Needs.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// Requests one replica is taken to run at once while its runner's slots are unknown.
+/// Assumed slots per replica of a target without usable replicas, whose runner is not known yet.
 constexpr std::uint32_t kAssumedSlots = 8;
 
 std::uint32_t slotsPerReplica (const Plan& plan, const std::vector<const ReplicaView*>& usable)
@@ -22,7 +22,7 @@
     return slots == 0 ? kAssumedSlots : slots;
 }
 
-/// Replicas that the present requests would fill.
+/// Number of replicas needed for the current requests.
 std::uint32_t requestedReplicas (const Plan& plan, const std::string& name,
                                  const std::vector<const ReplicaView*>& usable)
 {
@@ -33,7 +33,7 @@
     const std::uint32_t slots = slotsPerReplica (plan, usable);
     const std::uint32_t wanted = (requests + slots - 1) / slots;
     const auto present = static_cast<std::uint32_t> (usable.size());
-    // Without waiting requests the present replicas are enough, if there is one at all.
+    // Without waiting requests the present replicas are sufficient, unless there are none.
     return demand.waiting > 0 ? wanted : std::min (wanted, std::max (present, 1U));
 }
 
--- a/src/placement/Needs.h
+++ b/src/placement/Needs.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Works out which targets need more replicas, and how pressing each need is.
+/// Determines which targets need more replicas, and the priority of each need.
 
 #include <cstdint>
 #include <string>
@@ -11,18 +11,18 @@
 namespace fernlift::placement
 {
 
-/// One more replica of a target.
+/// Need for one more replica of a target.
 struct Need
 {
     Target target;
     int urgency = kLeastUrgency;
     std::int64_t nearestDeadlineMilliseconds = 0;
     std::int64_t oldestWaitMilliseconds = 0;
-    bool isRequested = false;  ///< Requests wait; false: only kept by minReplicas.
+    bool isRequested = false;  ///< True: requests wait; false: required by minReplicas only.
     std::string reason;
 };
 
-/// Needs, most pressing first.
+/// Needs of all targets, most urgent first.
 [[nodiscard]] std::vector<Need> findNeeds (const Plan& plan);
 
 }  // namespace fernlift::placement
--- a/src/placement/Placement.cpp
+++ b/src/placement/Placement.cpp
@@ -38,7 +38,7 @@
     return planned != nullptr && ! planned->runner->takesNewWork;
 }
 
-// Unloads that need no competitor.
+// Unloads that are independent of other needs.
 
 void dropOutdated (Plan& plan)
 {
@@ -46,7 +46,7 @@
     {
         if (plan.isOutdated (view))
         {
-            plan.unload (view, "the configuration no longer has it in this form here");
+            plan.unload (view, "not in the configuration with this version, memory size and zone");
         }
     }
 }
@@ -93,7 +93,7 @@
     }
 }
 
-/// Part of a runner's accelerators that a replica blocks, in accelerators.
+/// Number of accelerators that the memory of a replica occupies; may be fractional.
 double acceleratorShare (const RunnerView& runner, engine::Megabytes memory)
 {
     if (runner.totalMemory == 0)
@@ -141,8 +141,8 @@
 
 // Loads.
 
-/// Stops a load that nobody waits for any more, or else the latest of those that are less urgent,
-/// when the weight store carries as many as it can.
+/// When the weight store is at its limit, stops an abandoned load, or else the latest of the least
+/// urgent loads that are less urgent than `need`.
 void freeStoreSlot (Plan& plan, const Need& need)
 {
     if (! need.isRequested || ! plan.isStoreFull())
@@ -167,11 +167,12 @@
     }
     if (evicted == nullptr)
         return;
-    plan.unload (*evicted, "gives its place at the weight store to " + need.target.name() + ": "
-                               + need.reason);
+    plan.unload (*evicted,
+                 "weight store slot needed for " + need.target.name() + ": " + need.reason);
 }
 
-/// Gives up a replica on a runner that takes no new work, so that the bound allows another.
+/// Unloads a replica on a runner that accepts no new requests, so that another fits under
+/// maxReplicas.
 void freeReplicaBound (Plan& plan, const Need& need)
 {
     if (! need.isRequested)
@@ -180,8 +181,7 @@
     {
         if (plan.isUnloading (*view) || ! isOutOfService (plan, *view))
             continue;
-        plan.unload (*view,
-                     "replaced: its runner takes no new work and the replica bound is reached");
+        plan.unload (*view, "replaced: its runner takes no new work and max_replicas is reached");
         return;
     }
 }
@@ -206,7 +206,8 @@
     return plannedRunners;
 }
 
-/// The nearest checkpoint first, then a zone without a replica of the target, then the most room.
+/// The runner with the nearest checkpoint, then one in a zone without a replica of the target, then
+/// the one with the most free memory.
 const Plan::PlannedRunner* bestWithMemory (
     const Plan& plan, const std::vector<const Plan::PlannedRunner*>& plannedRunners,
     const Target& target, engine::Megabytes memory)
@@ -234,7 +235,7 @@
     return best;
 }
 
-/// Waits for memory that is being freed, or else frees some.
+/// Reserves memory that is being freed, or else evicts replicas.
 void reclaimMemory (Plan& plan, const std::vector<const Plan::PlannedRunner*>& plannedRunners,
                     const Need& need, engine::Megabytes memory, base::ReplicaId kept)
 {
@@ -260,7 +261,7 @@
     plan.setAside (best->runner, memory);
 }
 
-/// `extraMemory` is kept free beside the model for the adapter that needs it.
+/// `extraMemory` is reserved on the same runner for the adapter that needs the model.
 void placeModel (Plan& plan, const Need& need, engine::Megabytes extraMemory)
 {
     const Target model{ need.target.model, nullptr };
@@ -296,8 +297,8 @@
 
 struct BaseChoice
 {
-    const ReplicaView* ready = nullptr;  ///< With room for the adapter.
-    const ReplicaView* full = nullptr;   ///< Ready, but without room.
+    const ReplicaView* ready = nullptr;  ///< Ready, with memory for the adapter.
+    const ReplicaView* full = nullptr;   ///< Ready, without memory for the adapter.
     const ReplicaView* loading = nullptr;
 };
 
@@ -355,7 +356,8 @@
     }
     if (base.loading != nullptr)
     {
-        // The base was placed where the adapter fits too; a later need must not take that room.
+        // The base was placed where the adapter fits as well; reserve that memory against later
+        // needs.
         plan.setAside (base.loading->replica.runner, target.memory());
         return;
     }
--- a/src/placement/Placement.h
+++ b/src/placement/Placement.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Decides what to load and unload in a cell: a pure function of a snapshot of the cell to a list
-/// of decisions with reasons.
+/// Decides what to load and unload on the model runners of a cell: a pure function from a snapshot
+/// of the cell to a list of decisions with reasons.
 
 #include <cstdint>
 #include <limits>
@@ -21,62 +21,62 @@
 namespace fernlift::placement
 {
 
-/// A model runner as placement sees it.
+/// State of a model runner in a snapshot.
 struct RunnerView
 {
     base::RunnerId runner;
     base::Incarnation incarnation = 0;
     base::ZoneName zone;
     engine::Megabytes totalMemory = 0;
-    engine::Megabytes reservedMemory = 0;  ///< By every replica that counts, in any stage.
-    bool takesNewWork = true;              ///< Not leaving and not draining.
-    bool isResponsive = true;              ///< Its reports arrive.
-    std::uint32_t slots = 1;               ///< Requests it can run at once.
+    engine::Megabytes reservedMemory = 0;  ///< Memory of its replicas in any stage.
+    bool takesNewWork = true;              ///< False while leaving or draining.
+    bool isResponsive = true;              ///< Whether its reports arrive.
+    std::uint32_t slots = 1;               ///< Limit of concurrent requests.
     std::uint32_t accelerators = 1;
     const std::map<std::string, engine::CheckpointPlace>* checkpoints = nullptr;  ///< May be null.
 };
 
-/// A replica as placement sees it.
+/// State of a replica in a snapshot.
 struct ReplicaView
 {
     cell::Replica replica;
-    std::uint32_t activeRequests = 0;  ///< Running or waiting at the engine.
-    base::Duration idleFor{};          ///< Since it was last in use or asked for.
-    base::Duration readyFor{};         ///< Since it became ready; zero before.
-    bool usesStore = true;             ///< While it loads: its checkpoint comes from the store.
+    std::uint32_t activeRequests = 0;  ///< Requests running or queued at the engine.
+    base::Duration idleFor{};          ///< Time since it was last in use or requested.
+    base::Duration readyFor{};         ///< Time since it became ready; zero before.
+    bool usesStore = true;             ///< Whether its load reads from the weight store.
 };
 
-/// Requests of all routers for one model or adapter.
+/// Requests for one model or adapter, summed over all routers.
 struct TargetDemand
 {
     std::uint32_t waiting = 0;
     std::uint32_t running = 0;
-    /// Smallest urgency among the waiting; while none wait, of those that waited before and run
-    /// now.
+    /// Most urgent (lowest) value among the waiting requests; while none wait, among the running
+    /// ones that have waited.
     int mostUrgent = 9;
     std::int64_t oldestWaitMilliseconds = 0;
     std::int64_t nearestDeadlineMilliseconds = 0;
 };
 
-/// Everything a decision depends on.
+/// All inputs of decide().
 struct Snapshot
 {
     const config::Catalogue* catalogue = nullptr;  ///< Null: nothing is decided.
     std::vector<RunnerView> runners;
     std::vector<ReplicaView> replicas;
     std::map<std::string, TargetDemand> demands;  ///< By target.
-    /// Targets not to be loaded on a runner for now, because a load there failed lately.
+    /// Targets that are not loaded on a runner for now because a load there failed recently.
     std::set<std::pair<std::string, base::RunnerId>> avoided;
-    /// Longest time a replica is kept idle; the prices may make it shorter.
+    /// Upper limit of the keep-alive time; the prices may shorten it.
     base::Duration keepAlive{};
-    /// Loads that may use the weight store at once, as found by StorePace; not above the
-    /// catalogue's.
+    /// Limit of concurrent loads from the weight store, as determined by StorePace. The limit of
+    /// the catalogue applies as well.
     std::uint32_t storeConcurrency = std::numeric_limits<std::uint32_t>::max();
-    /// Loads from the store that may begin now without passing its rate.
+    /// Number of loads from the store that may begin now within its rate limit.
     std::uint32_t storeStarts = std::numeric_limits<std::uint32_t>::max();
 };
 
-/// Load a model or adapter.
+/// Decision to load a model or adapter.
 struct LoadDecision
 {
     base::RunnerId runner;
@@ -99,7 +99,7 @@
 
 using Decision = std::variant<LoadDecision, UnloadDecision>;
 
-/// Decisions for the snapshot, most urgent first. The same snapshot always gives the same list.
+/// Decisions for the snapshot, most urgent first. Deterministic.
 [[nodiscard]] std::vector<Decision> decide (const Snapshot& snapshot);
 
 }  // namespace fernlift::placement
--- a/src/placement/PlacementTest.cpp
+++ b/src/placement/PlacementTest.cpp
@@ -35,7 +35,7 @@
     EXPECT_EQ (loads[0].model.value, "urgent");
 }
 
-TEST (PlacementTest, IdleReplicaGoesBeforeOneInUse)
+TEST (PlacementTest, EvictsAnIdleReplicaBeforeOneInUse)
 {
     TestWorld world;
     world.addModel ("idle", 400, 1);
@@ -50,7 +50,7 @@
     EXPECT_TRUE (world.loads().empty()) << "the memory is not free yet";
 }
 
-TEST (PlacementTest, WhatMoreUrgentClassesUseIsNeverEvicted)
+TEST (PlacementTest, NeverEvictsReplicasUsedByMoreUrgentClasses)
 {
     TestWorld world;
     world.addModel ("used", 800, 1, "urgent");
@@ -64,14 +64,14 @@
     world.setDemand ("equal", 0, 1);
     world.setDemand ("new", 9, 0, 5);
     EXPECT_TRUE (world.decide().empty());
-    // A strictly more urgent need takes the less urgent one, but not right after it was loaded.
+    // A strictly more urgent need evicts the less urgent replica, but not right after its load.
     world.setDemand ("new", 9, 0, 1);
     EXPECT_EQ (evictedReplicas (world), std::vector{ equal });
     world.replica (equal).readyFor = base::seconds (1);
     EXPECT_TRUE (world.decide().empty());
 }
 
-TEST (PlacementTest, AdapterGoesToRunnerWithItsBase)
+TEST (PlacementTest, PlacesAnAdapterOnARunnerWithItsBase)
 {
     TestWorld world;
     world.addModel ("base", 400, 2);
@@ -87,7 +87,7 @@
     EXPECT_EQ (loads[0].adapter.value, "adapter");
 }
 
-TEST (PlacementTest, BaseIsLoadedForAdapterWithRoomForBoth)
+TEST (PlacementTest, LoadsABaseOnARunnerWithMemoryForTheAdapter)
 {
     TestWorld world;
     world.addModel ("base", 400, 1);
@@ -132,7 +132,7 @@
     EXPECT_EQ (loads[1].runner.value, "r3");
 }
 
-TEST (PlacementTest, ReplicaOnLeavingRunnerIsReplacedWhereTheBoundAllows)
+TEST (PlacementTest, ReplacesAReplicaOnALeavingRunnerBelowMaxReplicas)
 {
     TestWorld world;
     world.addModel ("a", 400, 2);
@@ -143,10 +143,10 @@
     const auto loads = world.loads();
     ASSERT_EQ (loads.size(), 1U);
     EXPECT_EQ (loads[0].runner.value, "r2");
-    EXPECT_TRUE (world.unloads().empty()) << "it serves until its replacement is there";
+    EXPECT_TRUE (world.unloads().empty()) << "it serves until its replacement is ready";
 }
 
-TEST (PlacementTest, ReplicaOnLeavingRunnerMakesWayAtTheBound)
+TEST (PlacementTest, UnloadsAReplicaOnALeavingRunnerAtMaxReplicas)
 {
     TestWorld world;
     world.addModel ("a", 400, 1);
@@ -158,7 +158,7 @@
     EXPECT_EQ (evictedReplicas (world), std::vector{ old });
 }
 
-TEST (PlacementTest, SilentRunnerIsNeitherUsedNorReplacedAboveTheBound)
+TEST (PlacementTest, SilentRunnerIsNeitherUsedNorReplacedAboveMaxReplicas)
 {
     TestWorld world;
     world.addModel ("a", 400, 1);
@@ -171,7 +171,7 @@
     EXPECT_EQ (world.loads().at (0).runner.value, "r2");
 }
 
-TEST (PlacementTest, LoweredBoundDropsTheLeastUsed)
+TEST (PlacementTest, LoweredMaxReplicasUnloadsTheLeastUsed)
 {
     TestWorld world;
     world.addModel ("a", 400, 1);
@@ -197,7 +197,7 @@
     EXPECT_EQ (evictedReplicas (world), (std::vector{ removed, old }));
 }
 
-TEST (PlacementTest, StoreTakesNoMoreLoadsThanItCarries)
+TEST (PlacementTest, LimitsConcurrentLoadsFromTheStore)
 {
     TestWorld world;
     for (const char* name : { "a", "b", "c", "d" })
@@ -216,7 +216,7 @@
     EXPECT_EQ (world.loads().size(), 2U) << "a load from the runner's disk needs no store";
 }
 
-TEST (PlacementTest, FullStoreStopsAbandonedOrLessUrgentLoad)
+TEST (PlacementTest, StopsAbandonedOrLessUrgentLoadWhenTheStoreIsFull)
 {
     TestWorld world;
     world.addModel ("deep", 100, 1, "deep");
@@ -228,17 +228,18 @@
     const base::ReplicaId gone = world.addReplica ("gone", "r1", ReplicaStage::kLoading);
     world.setDemand ("deep", 4, 0, 8);
     world.replica (gone).idleFor = base::seconds (5);
-    EXPECT_TRUE (world.unloads().empty()) << "nobody needs the place";
+    EXPECT_TRUE (world.unloads().empty()) << "no other load needs the store slot";
     world.setDemand ("new", 1, 0, 8);
     EXPECT_EQ (evictedReplicas (world), std::vector{ gone });
     world.setDemand ("gone", 1, 0, 8);
     EXPECT_TRUE (world.unloads().empty()) << "equally urgent loads are not interrupted";
     world.setDemand ("new", 1, 0, 0);
-    EXPECT_EQ (evictedReplicas (world), std::vector{ gone }) << "the latest of the less urgent";
+    EXPECT_EQ (evictedReplicas (world), std::vector{ gone })
+        << "the latest of the less urgent loads";
     EXPECT_NE (world.replica (deep).replica.stage, ReplicaStage::kUnloading);
 }
 
-TEST (PlacementTest, AbandonedLoadMakesRoomInMemory)
+TEST (PlacementTest, EvictsAnAbandonedLoad)
 {
     TestWorld world;
     world.addModel ("gone", 800, 1);
@@ -261,7 +262,7 @@
     world.snapshot.keepAlive = base::seconds (3600);
     world.replica (replica).replica.readyAt = 10'000;
     world.catalogue.prices = { 0.01, 1.0 };
-    // Half an accelerator idle costs as much as ten seconds of cold start after 720 s.
+    // Half an idle accelerator costs as much as a cold start of 10 s after 720 s.
     world.replica (replica).idleFor = base::seconds (719);
     EXPECT_TRUE (world.decide().empty());
     world.replica (replica).idleFor = base::seconds (721);
@@ -289,7 +290,7 @@
                "7 waiting and 2 running with 0 usable replicas; checkpoint remote");
 }
 
-/// A world of random models, adapters, runners and demand.
+/// A cell with random models, adapters and runners.
 TestWorld randomWorld (base::Random& random)
 {
     TestWorld world;
@@ -321,7 +322,7 @@
     return world;
 }
 
-/// Requests of one target: those that fit on its ready replicas run, the others wait.
+/// Sets the demand of one target: requests that fit on its ready replicas run, the others wait.
 void placeRequests (TestWorld& world, const std::string& target, std::uint32_t requests,
                     int urgency)
 {
@@ -375,7 +376,7 @@
     return text;
 }
 
-RC_GTEST_PROP (PlacementPropertyTest, SteadyDemandComesToRest, ())
+RC_GTEST_PROP (PlacementPropertyTest, SteadyDemandLeadsToNoFurtherDecisions, ())
 {
     constexpr int kRoundsToSettle = 200;
     constexpr int kRoundsSettled = 100;
@@ -398,7 +399,7 @@
     RC_ASSERT (lateDecisions == "");
 }
 
-RC_GTEST_PROP (PlacementPropertyTest, ChangingDemandNeverBreaksBoundOrMemory, ())
+RC_GTEST_PROP (PlacementPropertyTest, ChangingDemandNeverExceedsMaxReplicasOrMemory, ())
 {
     base::Random random (*rc::gen::arbitrary<std::uint64_t>());
     TestWorld world = randomWorld (random);
--- a/src/placement/PlacementTestSupport.h
+++ b/src/placement/PlacementTestSupport.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Test support: a cell on which the decisions of placement are carried out, round by round.
+/// Test support: a simulated cell that applies the decisions of placement round by round.
 
 #include <algorithm>
 #include <map>
@@ -13,7 +13,7 @@
 namespace fernlift::placement::test
 {
 
-/// Everything decide() sees, with the loads and unloads that follow from its decisions.
+/// Owns a snapshot and applies the loads and unloads that decide() returns to it.
 class TestWorld
 {
 public:
@@ -28,7 +28,7 @@
                                  engine::Megabytes memory, std::uint32_t bound);
     RunnerView& addRunner (const std::string& name, engine::Megabytes memory,
                            const std::string& zone = "z1");
-    /// A replica that is loaded already; its id.
+    /// Adds a replica, by default a loaded one, and returns its id.
     base::ReplicaId addReplica (const std::string& target, const std::string& runner,
                                 cell::ReplicaStage stage = cell::ReplicaStage::kReady,
                                 base::ReplicaId baseReplica = 0);
@@ -40,14 +40,14 @@
     ReplicaView& replica (base::ReplicaId id);
     RunnerView& runner (const std::string& name);
 
-    /// Decisions on the present snapshot; nothing is carried out.
+    /// Decisions on the current snapshot; they are not applied.
     std::vector<Decision> decide();
     std::vector<LoadDecision> loads();
     std::vector<UnloadDecision> unloads();
-    /// Decides, carries out and lets one round pass: loads become ready after kRoundsToLoad rounds,
-    /// unloads end after one. Returns the decisions.
+    /// Decides, applies the decisions and advances one round. Loads become ready after
+    /// kRoundsToLoad rounds, unloads end after one. Returns the decisions.
     std::vector<Decision> step();
-    /// What is wrong with the replicas held, empty when nothing is.
+    /// The replica limit or runner memory that is exceeded; empty if none is.
     std::string violation() const;
 
     config::Catalogue catalogue;
--- a/src/placement/PlacementTestSupportTest.cpp
+++ b/src/placement/PlacementTestSupportTest.cpp
@@ -1,4 +1,4 @@
-// Implements PlacementTestSupport.h. Compiled into the test binary only.
+// Implementation of PlacementTestSupport.h; compiled into the test program only.
 
 #include "placement/PlacementTestSupport.h"
 
--- a/src/placement/Plan.cpp
+++ b/src/placement/Plan.cpp
@@ -9,9 +9,10 @@
 
 using cell::ReplicaStage;
 
-/// A base model that became ready for an adapter counts as in use this long without it.
+/// A base model that was loaded for an adapter counts as in use for this long after it became
+/// ready.
 constexpr base::Duration kAdapterGrace = base::seconds (10);
-/// Time without anyone waiting after which a load counts as abandoned.
+/// Time without waiting requests after which a load counts as abandoned.
 constexpr base::Duration kAbandonedAfter = base::seconds (2);
 
 }  // namespace
--- a/src/placement/Plan.h
+++ b/src/placement/Plan.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The working copy of a snapshot in which decisions are tried: room on runners, counts under the
-/// replica bounds and the load slots of the weight store.
+/// Working copy of a snapshot while decisions are made. Tracks the memory of the runners, the
+/// replica counts and the load slots of the weight store.
 
 #include <cstdint>
 #include <map>
@@ -15,7 +15,7 @@
 namespace fernlift::placement
 {
 
-/// A model, or an adapter with its base model, of the catalogue.
+/// A model of the catalogue, or an adapter with its base model.
 struct Target
 {
     const config::Model* model = nullptr;
@@ -35,18 +35,18 @@
     }
 };
 
-/// Urgency of a target without anything waiting, when its class is unknown.
+/// Urgency of a target of unknown class without waiting requests.
 constexpr int kLeastUrgency = 9;
 
 class Plan
 {
 public:
-    /// Room of one runner.
+    /// Memory and replicas of one runner, with the decisions made so far.
     struct PlannedRunner
     {
         const RunnerView* runner = nullptr;
-        engine::Megabytes free = 0;        ///< Can be given to a load now.
-        engine::Megabytes beingFreed = 0;  ///< Held by replicas that are being unloaded.
+        engine::Megabytes free = 0;        ///< Available to a load now.
+        engine::Megabytes beingFreed = 0;  ///< Memory of replicas that are unloading.
         std::vector<const ReplicaView*> replicas;
     };
 
@@ -58,43 +58,45 @@
         return m_plannedRunners;
     }
     [[nodiscard]] const PlannedRunner* plannedRunnerOf (const base::RunnerId& runner) const;
-    /// The catalogue's entry for a name; `model` is null when there is none.
+    /// Looks up a name in the catalogue; `model` is null when there is none.
     [[nodiscard]] Target targetNamed (const std::string& name) const;
     [[nodiscard]] const TargetDemand& demandOf (const std::string& target) const;
-    /// Urgency that protects a target: of its requests, those that wait for adapters on it
-    /// included, else of its default class.
+    /// Urgency that protects the replicas of a target from eviction: that of its requests and of
+    /// those that wait for its adapters, else that of its default class.
     [[nodiscard]] int urgencyOf (const std::string& target) const;
 
-    /// Replicas of a target that count against its bound, planned ones included.
+    /// Number of replicas of a target that count against maxReplicas, planned ones included.
     [[nodiscard]] std::uint32_t counted (const Target& target) const;
-    /// Replicas of a target, loading or ready, that can take new requests or soon will.
+    /// Replicas of a target that accept new requests, or will once loaded.
     [[nodiscard]] std::vector<const ReplicaView*> usable (const std::string& target) const;
-    /// Every replica of a target, in any stage.
+    /// All replicas of a target, in any stage.
     [[nodiscard]] std::vector<const ReplicaView*> all (const std::string& target) const;
     /// Adapters on a base replica.
     [[nodiscard]] const std::vector<const ReplicaView*>& adaptersOn (base::ReplicaId replica) const;
     [[nodiscard]] bool isUnloading (const ReplicaView& replica) const;
     [[nodiscard]] bool isOutdated (const ReplicaView& replica) const;
-    /// True while requests run or wait for it, or wait for an adapter that is to ride on it.
+    /// True while requests run on it, wait for it, or wait for an adapter that will be loaded on
+    /// it.
     [[nodiscard]] bool isInUse (const ReplicaView& replica) const;
-    /// True while it loads although nobody has waited for it for a while.
+    /// True while it is loading although no request has waited for it for some time.
     [[nodiscard]] bool isAbandonedLoad (const ReplicaView& replica) const;
-    /// True when the target is not to fall below minReplicas by the loss of this replica.
+    /// True when the target would fall below minReplicas without this replica.
     [[nodiscard]] bool isKeptByMinimum (const ReplicaView& replica) const;
-    /// Where a runner has a target's checkpoint.
+    /// Location of the checkpoint of a target, as seen from a runner.
     [[nodiscard]] static engine::CheckpointPlace placeOf (const RunnerView& runner,
                                                           const std::string& target);
-    /// True when the weight store can take another load, or the load does not need it.
+    /// True when the weight store accepts another load, or the load does not need it.
     [[nodiscard]] bool mayLoad (const std::string& target, const RunnerView& runner) const;
-    /// True when as many loads use the weight store as it takes at once.
+    /// True when the limit of concurrent loads from the weight store is reached.
     [[nodiscard]] bool isStoreFull() const { return m_storeLoads >= m_storeConcurrency; }
     [[nodiscard]] bool isAvoided (const std::string& target, const base::RunnerId& runner) const;
 
     void load (const Target& target, const base::RunnerId& runner, base::ReplicaId baseReplica,
                std::string reason);
-    /// Notes that a base model is being loaded for an adapter.
+    /// Records that a base model is being loaded for an adapter.
     void addBaseLoad (const base::ModelName& model) { ++m_baseLoads[model]; }
-    /// Uses up one such load for a need of the model itself; false when there is none.
+    /// Consumes a load recorded by addBaseLoad() for a need of the model itself; false if none is
+    /// left.
     bool takeBaseLoad (const base::ModelName& model);
     /// True when this plan loads the model.
     [[nodiscard]] bool plansLoad (const base::ModelName& model) const
@@ -103,9 +105,10 @@
     }
     /// Zones in which this plan loads a target.
     [[nodiscard]] std::set<base::ZoneName> plannedZones (const std::string& target) const;
-    /// Unloads the adapters on a replica first; the replica itself follows once they are gone.
+    /// Unloads the adapters on a replica if there are any, otherwise the replica itself, which is
+    /// thus unloaded in a later plan.
     void unload (const ReplicaView& replica, const std::string& reason);
-    /// Sets memory aside that is free or will be, so that no later need counts on it.
+    /// Reserves memory that is free or being freed, so that later needs cannot use it.
     void setAside (const base::RunnerId& runner, engine::Megabytes memory);
 
     [[nodiscard]] std::vector<Decision> takeDecisions() { return std::move (m_decisions); }
@@ -123,7 +126,7 @@
     std::map<std::string, std::vector<const ReplicaView*>> m_byTarget;
     std::map<base::ReplicaId, std::vector<const ReplicaView*>> m_adapters;
     std::map<base::ReplicaId, const ReplicaView*> m_byId;
-    std::set<base::ReplicaId> m_unloaded;  ///< By this plan.
+    std::set<base::ReplicaId> m_unloaded;  ///< Replicas unloaded by this plan.
     std::set<base::ModelName> m_plannedModels;
     std::map<base::ModelName, std::uint32_t> m_baseLoads;
     std::map<std::string, std::set<base::ZoneName>> m_plannedZones;  ///< By target.
--- a/src/placement/StoreConcurrency.cpp
+++ b/src/placement/StoreConcurrency.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/// A load counts as slowed when it takes longer than this many times the usual time. Orders,
-/// heartbeats and the spread of the store itself make up to 15 % on the deployments known.
+/// A load counts as slow when its duration exceeds the nominal one by this factor. Orders,
+/// heartbeats and the variance of the store account for up to 15 % on known deployments.
 constexpr double kSlowFactor = 1.25;
 constexpr double kLowestLimit = 2;
 
@@ -38,15 +38,15 @@
         return;
     if (taken <= kSlowFactor * base::toSeconds (nominal))
     {
-        // At first by one for each such load, which doubles it with every full round; later by one
-        // for each full round.
+        // Before the first slow load, one for each load, which doubles the limit with each full
+        // round; afterwards one for each full round.
         if (load.sawLimitReached)
             m_limit += m_hasSlowed ? 1 / m_limit : 1;
         return;
     }
     const double atFullSpeed =
         std::round (static_cast<double> (load.maxConcurrent) * base::toSeconds (nominal) / taken);
-    // At most by half: one load may be late for a reason of its own.
+    // Never below half of the limit, since a single load may be slow for another reason.
     m_limit = std::clamp (atFullSpeed, std::max (m_limit / 2, kLowestLimit), m_limit);
     m_hasSlowed = true;
 }
--- a/src/placement/StoreConcurrency.h
+++ b/src/placement/StoreConcurrency.h
@@ -1,15 +1,15 @@
 #pragma once
 
 /**
- * How many loads may use the weight store at the same time.
+ * Adaptive limit of concurrent loads from the weight store.
  *
- * Past some number of loads the store gives each of them less: all of them end later and none
- * sooner. That number is not stated anywhere and may change. It is found from the loads themselves:
- * one that takes as long as the catalogue says, while all places were taken, shows that there is
- * room for another; one that takes longer, for the loads under way beside it, tells how many
- * the store serves at full speed.
+ * Above some number of concurrent loads the bandwidth of the store is shared: all loads end later
+ * and none sooner. This number is not configured anywhere and may change, so it is estimated from
+ * the durations of the loads. A load that takes its nominal time while the limit was reached shows
+ * that the store has capacity for another one. From a longer duration and the number of concurrent
+ * loads follows how many loads the store serves at full speed.
  *
- * The rate at which loads may begin is another limit, which EnginePlacement keeps.
+ * The rate at which loads may begin is a separate limit, enforced by EnginePlacement.
  */
 
 #include <cstddef>
@@ -21,38 +21,39 @@
 namespace fernlift::placement
 {
 
-/** Pure: time is passed in. Threading: none; owned by one EnginePlacement. */
+/** Time is passed in. Not thread-safe; owned by one EnginePlacement. */
 class StoreConcurrency
 {
 public:
-    /** A load into `engine` begins; an engine loads one model at a time. */
+    /** Called when a load into `engine` begins; an engine loads one model at a time. */
     void onBegin (const std::string& engine, base::TimePoint now);
-    /** The load into `engine` is done. `usual` is what it takes at full speed. Does nothing when
-        none was noted.
+    /** Called when the load into `engine` is complete. `nominal` is its duration at full speed.
+       Does nothing without a preceding onBegin().
     */
     void onEnd (const std::string& engine, base::Duration nominal, base::TimePoint now);
-    /** The load into `engine` never began, or nothing is known of its end. */
+    /** Called when the load into `engine` never began, or its end is unknown. */
     void onAbandoned (const std::string& engine) { m_loads.erase (engine); }
 
     [[nodiscard]] std::size_t underWay() const { return m_loads.size(); }
-    /** Loads that may be under way at once; at least one. */
+    /** Limit of concurrent loads; at least one. */
     [[nodiscard]] std::size_t limit() const { return static_cast<std::size_t> (m_limit); }
 
 private:
     struct Load
     {
         base::TimePoint begunAt{};
-        std::size_t maxConcurrent = 1;  ///< Under way at any time of its life, itself included.
-        bool sawLimitReached = false;   ///< At some time of its life all places were taken.
+        std::size_t maxConcurrent = 1;  ///< Peak of concurrent loads, including this one.
+        bool sawLimitReached = false;   ///< Whether the limit was reached meanwhile.
     };
 
     std::map<std::string, Load> m_loads;  ///< By engine.
-    /** Near the least that the stores known so far serve at full speed (two to thirteen): a place
-       too few costs a load its turn once, one too many slows all loads of the first round. */
+    /** Close to the minimum that known stores serve at full speed (two to thirteen loads). A limit
+       that is too low by one delays one load once; one that is too high slows all loads of the
+       first round. */
     static constexpr double kInitialLimit = 3;
 
     double m_limit = kInitialLimit;
-    bool m_hasSlowed = false;  ///< A load was late: from then on the limit grows slowly.
+    bool m_hasSlowed = false;  ///< After the first slow load the limit grows slowly.
 };
 
 }  // namespace fernlift::placement
--- a/src/placement/StoreConcurrencyTest.cpp
+++ b/src/placement/StoreConcurrencyTest.cpp
@@ -11,7 +11,7 @@
 
 std::string engineName (std::size_t number) { return "e" + std::to_string (number); }
 
-/// Lets `loads` run at once on a store that serves `atFullSpeed` of them without slowing.
+/// Runs `loads` concurrent loads on a store that serves `atFullSpeed` of them without slowing down.
 void loadTogether (StoreConcurrency& store, std::size_t loads, std::size_t atFullSpeed,
                    base::TimePoint& now)
 {
@@ -27,14 +27,14 @@
 {
     StoreConcurrency store;
     base::TimePoint now{ base::seconds (100) };
-    // The first round is on time, and doubles the limit; the second one tells.
+    // The first round is on time and doubles the limit; the second one is slow.
     loadTogether (store, store.limit(), 4, now);
     EXPECT_GT (store.limit(), 4U);
     loadTogether (store, store.limit(), 4, now);
     EXPECT_EQ (store.limit(), 4U);
 }
 
-TEST (StoreConcurrency, GrowsWhileAllPlacesAreTakenAndLoadsAreOnTime)
+TEST (StoreConcurrency, GrowsWhileTheLimitIsReachedAndLoadsAreOnTime)
 {
     StoreConcurrency store;
     base::TimePoint now{ base::seconds (100) };
@@ -44,7 +44,7 @@
     EXPECT_LE (store.limit(), 26U);
 }
 
-TEST (StoreConcurrency, DoesNotGrowOnLoadsThatLeavePlacesFree)
+TEST (StoreConcurrency, DoesNotGrowBelowTheLimit)
 {
     StoreConcurrency store;
     base::TimePoint now{ base::seconds (100) };
@@ -53,7 +53,7 @@
     EXPECT_EQ (store.limit(), limit);
 }
 
-TEST (StoreConcurrency, HalvesAtMostWithEachLateLoadAndNeverGoesBelowTwo)
+TEST (StoreConcurrency, AtMostHalvesWithEachSlowLoadAndStaysAtLeastTwo)
 {
     StoreConcurrency store;
     base::TimePoint now{ base::seconds (100) };
@@ -61,7 +61,7 @@
     for (int load = 0; load < 5; ++load)
     {
         store.onBegin ("e1", now);
-        now += 20 * kNominal;  // The store hangs.
+        now += 20 * kNominal;  // The store stalls.
         store.onEnd ("e1", kNominal, now);
         EXPECT_GE (store.limit(), std::max<std::size_t> (before / 2, 2));
         before = store.limit();
@@ -69,7 +69,7 @@
     EXPECT_EQ (store.limit(), 2U);
 }
 
-TEST (StoreConcurrency, ALoadThatIsGivenUpTeachesNothing)
+TEST (StoreConcurrency, IgnoresAbandonedLoads)
 {
     StoreConcurrency store;
     base::TimePoint now{ base::seconds (100) };
--- a/src/placement/StorePace.cpp
+++ b/src/placement/StorePace.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-/// A load that takes this many times the usual time per megabyte shows a slow store.
+/// A load that takes more than this multiple of the nominal time per megabyte shows a slow store.
 constexpr double kSlowFactor = 2.0;
-/// A slow load moves the usual time up by this factor, so that a store that stays slow becomes the
-/// usual and the concurrency recovers.
+/// Growth of the nominal time with each slow load. The nominal time of a store that stays slow thus
+/// adapts, and the concurrency recovers.
 constexpr double kNominalGrowth = 1.1;
 
 }  // namespace
@@ -76,7 +76,8 @@
     if (secondsPerMegabyte > kSlowFactor * m_nominalSecondsPerMegabyte)
     {
         m_nominalSecondsPerMegabyte *= kNominalGrowth;
-        // Loads that began before the last decrease tell nothing of the present concurrency.
+        // Loads that began before the last decrease do not show the effect of the current
+        // concurrency.
         if (load.startedAt >= m_slowedAt)
             reduceConcurrency (now);
         return;
--- a/src/placement/StorePace.h
+++ b/src/placement/StorePace.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// How many loads may use the weight store at once and how soon the next may begin. The store slows
-/// without warning; its pace is found from the loads themselves.
+/// Limits the concurrency and the rate of loads from the weight store. The store may slow down at
+/// any time, so its current throughput is estimated from the durations of the loads.
 
 #include <cstdint>
 #include <map>
@@ -14,18 +14,19 @@
 namespace fernlift::placement
 {
 
-/// Additive increase, multiplicative decrease below the concurrency that the catalogue allows, and
-/// a token bucket at its rate. Lost with leadership; a new leader starts from the catalogue.
+/// Additive increase and multiplicative decrease of the concurrency, up to the limit of the
+/// catalogue, and a token bucket with the rate of the catalogue. The state is not replicated: a new
+/// leader starts from the limits of the catalogue.
 class StorePace
 {
 public:
-    /// Takes note of loads that began, ended or were given up since the last call.
+    /// Updates the estimate with loads that began, ended or were abandoned since the last call.
     void observe (const config::WeightStoreLimits& limits, const std::vector<ReplicaView>& replicas,
                   base::TimePoint now);
 
-    /// Loads that may use the store at once; at least one.
+    /// Limit of concurrent loads; at least one.
     [[nodiscard]] std::uint32_t concurrency() const { return m_concurrency; }
-    /// Further loads that may begin now without passing the store's rate.
+    /// Number of further loads that may begin now within the rate limit.
     [[nodiscard]] std::uint32_t startsAllowed() const;
 
 private:
@@ -37,17 +38,17 @@
 
     void refill (const config::WeightStoreLimits& limits, base::TimePoint now);
     void onReady (const Load& load, base::TimePoint now);
-    /// A load that is not ready although it should be is a sign that the store has slowed.
+    /// Lowers the concurrency when a load in progress has exceeded its expected duration.
     void findOverdue (base::TimePoint now);
     void addSample (double secondsPerMegabyte, const Load& load, base::TimePoint now);
     void reduceConcurrency (base::TimePoint now);
 
-    std::uint32_t m_limit = 0;  ///< Of the catalogue; 0 before the first observation.
+    std::uint32_t m_limit = 0;  ///< Limit of the catalogue; 0 before the first observation.
     std::uint32_t m_concurrency = 1;
     double m_tokens = 0;
     base::TimePoint m_refilledAt{};
     base::TimePoint m_slowedAt{};
-    double m_nominalSecondsPerMegabyte = 0;  ///< 0: no load has ended yet.
+    double m_nominalSecondsPerMegabyte = 0;  ///< 0 until a load has ended.
     std::map<base::ReplicaId, Load> m_loads;
 };
 
--- a/src/placement/StorePaceTest.cpp
+++ b/src/placement/StorePaceTest.cpp
@@ -33,7 +33,7 @@
         observe();
     }
     void advance (base::Duration duration) { m_now += duration; }
-    /// Loads that take a given time, one after the other.
+    /// Runs `count` loads of `duration` in sequence.
     void load (int count, base::Duration duration)
     {
         for (int number = 0; number < count; ++number)
@@ -58,7 +58,7 @@
     EXPECT_EQ (m_pace.startsAllowed(), 4U);
 }
 
-TEST_F (StorePaceTest, SpacesLoadsByTheRate)
+TEST_F (StorePaceTest, LimitsTheRateOfLoads)
 {
     for (base::ReplicaId id = 1; id <= 4; ++id)
         begin (id);
@@ -68,10 +68,10 @@
     EXPECT_EQ (m_pace.startsAllowed(), 1U);
     advance (base::seconds (100));
     observe();
-    EXPECT_EQ (m_pace.startsAllowed(), 4U) << "unused starts are not saved up";
+    EXPECT_EQ (m_pace.startsAllowed(), 4U) << "unused starts do not accumulate beyond the burst";
 }
 
-TEST_F (StorePaceTest, SlowLoadsLowerTheConcurrencyAndUsualOnesRaiseIt)
+TEST_F (StorePaceTest, SlowLoadsLowerTheConcurrencyAndNominalOnesRaiseIt)
 {
     load (3, base::seconds (1));
     EXPECT_EQ (m_pace.concurrency(), 8U);
@@ -84,20 +84,20 @@
     EXPECT_EQ (m_pace.concurrency(), 8U);
 }
 
-TEST_F (StorePaceTest, StalledLoadIsNoticedBeforeItEnds)
+TEST_F (StorePaceTest, DetectsAStalledLoadBeforeItEnds)
 {
     load (1, base::seconds (1));
     begin (1);
     advance (base::milliseconds (2500));
     observe();
     EXPECT_EQ (m_pace.concurrency(), 4U);
-    // One load counts once: what began before the decrease tells nothing of what came after.
+    // A load counts once: loads that began before a decrease do not cause another one.
     advance (base::seconds (60));
     observe();
     EXPECT_EQ (m_pace.concurrency(), 4U);
 }
 
-TEST_F (StorePaceTest, NeverFallsBelowOneAndRecoversWhenSlowBecomesUsual)
+TEST_F (StorePaceTest, StaysAtLeastOneAndRecoversOnAPermanentlySlowStore)
 {
     load (1, base::seconds (1));
     load (6, base::seconds (4));
@@ -106,7 +106,7 @@
     EXPECT_EQ (m_pace.concurrency(), 8U);
 }
 
-TEST_F (StorePaceTest, AbandonedLoadIsNoSample)
+TEST_F (StorePaceTest, IgnoresAbandonedLoads)
 {
     load (1, base::seconds (1));
     begin (1);
@@ -117,7 +117,7 @@
     EXPECT_EQ (m_pace.concurrency(), 8U);
 }
 
-TEST_F (StorePaceTest, LoadsFromTheRunnersDiskDoNotCount)
+TEST_F (StorePaceTest, IgnoresLoadsFromTheRunnersDisk)
 {
     observe();
     ReplicaView local;
