--- a/src/proxy/CallerConnection.cpp
+++ b/src/proxy/CallerConnection.cpp
@@ -17,7 +17,7 @@
 constexpr unsigned kUnacknowledgedTimeoutMs = 10'000;
 constexpr int kNoContent = 204;
 constexpr int kNotModified = 304;
-/// A caller may take this long to read the end of the last answer.
+/// Time for a caller to read the end of the last answer.
 constexpr base::milliseconds kCloseTimeout (2000);
 
 std::string chunkHeader (std::size_t size)
@@ -64,7 +64,7 @@
                       [this]
                       {
                           const auto self = shared_from_this();
-                          onGone();
+                          onSocketClosed();
                       });
     QObject::connect (&m_timer, &QTimer::timeout, m_socket.get(),
                       [this]
@@ -80,13 +80,13 @@
     if (m_socket->bytesAvailable() > 0)
         onReadable();
     if (m_socket->state() != QAbstractSocket::ConnectedState)
-        onGone();
+        onSocketClosed();
 }
 
 void CallerConnection::onReadable()
 {
     if (m_hasOpenRequest || m_isClosed)
-        return;  // The rest waits in the socket.
+        return;  // Further bytes stay in the socket.
     const QByteArray bytes = m_socket->readAll();
     m_buffer.append (bytes.constData(), static_cast<std::size_t> (bytes.size()));
     parse();
@@ -114,7 +114,7 @@
     }
     if (m_parser.state() == RequestParser::State::kDone)
     {
-        handOn();
+        dispatchRequest();
     }
     else if (wasIdle && m_parser.state() == RequestParser::State::kReading)
     {
@@ -122,7 +122,7 @@
     }
 }
 
-void CallerConnection::handOn()
+void CallerConnection::dispatchRequest()
 {
     m_timer.stop();
     ParsedRequest request = m_parser.take();
@@ -150,20 +150,20 @@
     {
         m_closesAfterAnswer = true;
         m_hasOpenRequest = true;
-        m_handlers.onInvalid (*this,
-                              { base::ErrorKind::kRequestTimeout, "the request came too slowly" });
+        m_handlers.onInvalid (*this, { base::ErrorKind::kRequestTimeout,
+                                       "request not received within the header timeout" });
         return;
     }
-    closeOrderly();
+    closeGracefully();
 }
 
-void CallerConnection::onGone()
+void CallerConnection::onSocketClosed()
 {
     if (std::exchange (m_isClosed, true))
         return;
     m_timer.stop();
     if (m_hasOpenRequest)
-        m_handlers.onLeft (*this);
+        m_handlers.onDisconnected (*this);
     m_handlers.onClosed (*this);
 }
 
@@ -222,21 +222,22 @@
     m_hasBegunAnswer = false;
     if (m_closesAfterAnswer)
     {
-        closeOrderly();
+        closeGracefully();
         return;
     }
     armTimer();
-    // The next request may be here already. Not from within the caller's own call.
+    // The next request may have arrived already. It is parsed from the event loop, not within the
+    // call that ended the answer.
     QTimer::singleShot (0, m_socket.get(),
                         [weak = weak_from_this()]
                         {
                             const auto self = weak.lock();
                             if (self)
-                                self->readOn();
+                                self->readNext();
                         });
 }
 
-void CallerConnection::readOn()
+void CallerConnection::readNext()
 {
     if (! m_buffer.empty())
         parse();
@@ -272,18 +273,18 @@
     const bool isIdle = ! m_hasOpenRequest && m_buffer.empty() && m_socket->bytesAvailable() == 0
                         && m_parser.state() == RequestParser::State::kIdle;
     if (isIdle)
-        closeOrderly();
+        closeGracefully();
 }
 
-void CallerConnection::closeOrderly()
+void CallerConnection::closeGracefully()
 {
     if (m_isClosed)
         return;
-    // What was written still goes out; the connection ends when the caller has taken it.
+    // Written bytes are still sent; the connection ends once the caller has received them.
     m_socket->disconnectFromHost();
     if (m_socket->state() == QAbstractSocket::UnconnectedState)
     {
-        onGone();
+        onSocketClosed();
         return;
     }
     m_timer.stop();
--- a/src/proxy/CallerConnection.h
+++ b/src/proxy/CallerConnection.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One connection of a caller: reads requests one after the other and writes their answers.
+/// Connection of a caller: reads requests one after the other and writes their answers.
 
 #include <QHostAddress>
 #include <QTcpSocket>
@@ -19,15 +19,16 @@
 namespace fernlift::proxy
 {
 
-/// What a caller may send and how slowly.
+/// Size and time limits on the requests of a caller.
 struct CallerLimits
 {
     RequestLimits request;
-    base::Duration headerTimeout = base::seconds (3);  ///< First byte to the end of the request.
-    base::Duration idleTimeout = base::seconds (15);   ///< Between requests.
+    base::Duration headerTimeout = base::seconds (3);  ///< From the first byte to the end of the
+                                                       ///< request.
+    base::Duration idleTimeout = base::seconds (15);   ///< Between two requests.
 };
 
-/// How the body of an answer is framed towards the caller.
+/// Framing of the body of an answer to the caller.
 struct AnswerFraming
 {
     bool hasLength = false;
@@ -40,9 +41,9 @@
     struct Handlers
     {
         std::function<void (CallerConnection& connection, ParsedRequest request)> onRequest;
-        /// The caller went away while its request was open.
-        std::function<void (CallerConnection& connection)> onLeft;
-        /// The caller sent something that is no proper request; the handler answers it.
+        /// Called when the caller disconnected while its request was open.
+        std::function<void (CallerConnection& connection)> onDisconnected;
+        /// Called for an invalid request; the handler has to answer it.
         std::function<void (CallerConnection& connection, const base::Error& error)> onInvalid;
         std::function<void (CallerConnection& connection)> onClosed;
     };
@@ -53,43 +54,43 @@
     CallerConnection (const CallerConnection&) = delete;
     CallerConnection& operator= (const CallerConnection&) = delete;
 
-    /// Reads what arrived before the handlers were connected. Call once.
+    /// Reads the bytes that arrived before the signals were connected. Call once.
     void start();
 
-    /// Begins the answer to the open request. `Connection` and the framing are added.
+    /// Begins the answer to the open request. The `Connection` field and the framing are added.
     void beginAnswer (int status, const http::Headers& headers, AnswerFraming framing);
     void writeBody (std::string_view data);
-    /// The answer is whole. The next request may follow.
+    /// Completes the answer. The next request may follow.
     void endAnswer();
-    /// Ends the connection in the middle of an answer, so that the caller sees it cut.
+    /// Resets the connection in the middle of an answer, so that the caller detects the truncation.
     void abort();
-    /// A whole answer.
+    /// Sends a complete answer.
     void sendAnswer (int status, const http::Headers& headers, std::string_view body);
 
-    /// No further request is read after the present answer; a resting connection closes.
+    /// Reads no further request after the current answer. An idle connection is closed.
     void closeAfterAnswer();
-    /// Closes at once if no request is open and none is being read.
+    /// Closes the connection at once if no request is open or being read.
     void closeIfIdle();
     [[nodiscard]] bool isAnswering() const { return m_hasOpenRequest; }
     [[nodiscard]] bool hasBegunAnswer() const { return m_hasBegunAnswer; }
     [[nodiscard]] std::size_t bytesToWrite() const;
-    /// Of the caller, without its port.
+    /// Address of the caller without its port.
     [[nodiscard]] std::string peerAddress() const { return m_peerAddress.toString().toStdString(); }
     void setLimits (const CallerLimits& limits);
 
 private:
     void connectSignals();
     void onReadable();
-    void readOn();
-    void onGone();
+    void readNext();
+    void onSocketClosed();
     void parse();
-    void handOn();
+    void dispatchRequest();
     void armTimer();
     void onTimeout();
-    void closeOrderly();
+    void closeGracefully();
 
     std::unique_ptr<QTcpSocket> m_socket;
-    QHostAddress m_peerAddress;  ///< The socket forgets it when it closes.
+    QHostAddress m_peerAddress;  ///< Kept because the socket clears it on close.
     CallerLimits m_limits;
     const Handlers& m_handlers;
     RequestParser m_parser;
--- a/src/proxy/ConfigurationFreshness.cpp
+++ b/src/proxy/ConfigurationFreshness.cpp
@@ -7,13 +7,13 @@
 namespace
 {
 
-/// How long requests are held after the grace. A leader that is there is found within a second (see
-/// docs/incidents/issue-18-config.md); longer waits would only make refusals late.
+/// Time for which requests are held after the grace period. An available leader is found within a
+/// second (see docs/incidents/issue-18-config.md); a longer wait would only delay refusals.
 constexpr base::Duration kHold = base::seconds (1);
 
-/// Connections that must fail in a row before the router counts as cut off from every controller:
-/// one may be down and one be cut off in an ordinary failover. A process that was stopped for a
-/// while has tried none, and is not taken for isolated when it goes on.
+/// Consecutive failed connections after which the router counts as isolated from all controllers.
+/// In an ordinary failover one controller may be down and another one unreachable. A process that
+/// was suspended has tried none, so it does not count as isolated when it resumes.
 constexpr std::uint32_t kAttemptsBeforeIsolated = 3;
 
 }  // namespace
@@ -32,7 +32,7 @@
     return "expired";
 }
 
-void ConfigurationFreshness::onTaken (base::TimePoint now)
+void ConfigurationFreshness::onApplied (base::TimePoint now)
 {
     if (m_confirmedUntil == base::TimePoint{})
         m_confirmedUntil = now;
--- a/src/proxy/ConfigurationFreshness.h
+++ b/src/proxy/ConfigurationFreshness.h
@@ -1,14 +1,14 @@
 #pragma once
 
 /**
- * How far a forwarding router may rely on the configuration and the table of runners that it holds.
+ * Determines how far a forwarding router may rely on its configuration and its table of runners.
  *
- * A leader acknowledges a change once every router has it or the lease of the router is over. So a
- * router may serve until the end of its lease and a grace, which has to be shorter than the time in
- * which a change must be in force. After that it holds requests for a moment, in which it usually
- * hears from a leader again, and then refuses them as not run. A router that no controller can be
- * reached from serves on for longer: then most likely all controllers are down, and nobody takes a
- * change.
+ * A leader acknowledges a change once every router has it or the lease of the router has expired. A
+ * router may therefore serve until the end of its lease plus a grace period, which has to be
+ * shorter than the time in which a change must be in force. After that it holds requests for a
+ * short time, in which it usually receives a lease from a leader again, and then refuses them as
+ * not executed. A router that reaches no controller serves for longer, because most likely all
+ * controllers are down and no change can be acknowledged.
  */
 
 #include <cstdint>
@@ -21,11 +21,11 @@
 enum class Freshness : std::uint8_t
 {
     kConfirmed,    ///< Requests are served.
-    kUnconfirmed,  ///< Requests wait: a leader may be found in a moment.
-    kExpired,      ///< Requests are refused as not run.
+    kUnconfirmed,  ///< Requests wait, because a leader may be found soon.
+    kExpired,      ///< Requests are refused as not executed.
 };
 
-/// For logs, for example "unconfirmed".
+/// Text for logs, for example "unconfirmed".
 [[nodiscard]] const char* nameOf (Freshness freshness);
 
 /** Pure: time is passed in. Threading: none; owned by one ProxyProcess. */
@@ -34,33 +34,34 @@
 public:
     struct Limits
     {
-        base::Duration grace{};          ///< After the end of the lease.
-        base::Duration isolatedGrace{};  ///< The same while no controller can be reached.
+        base::Duration grace{};          ///< Grace period after the end of the lease.
+        base::Duration isolatedGrace{};  ///< Grace period while no controller can be reached.
     };
 
     explicit ConfigurationFreshness (const Limits& limits) : m_limits (limits) {}
 
-    /** A configuration was put in force. The first one counts as confirmed at that time, although
-       no leader may have said so: a router that has just started serves with the last known state.
+    /** Called when a configuration was put in force. The first one counts as confirmed at that time
+        even without a leader, so that a router that has just started serves with the last known
+        state.
     */
-    void onTaken (base::TimePoint now);
-    /** End of the latest lease that covers the configuration held. */
+    void onApplied (base::TimePoint now);
+    /** Called with the end of the latest lease that covers the held configuration. */
     void onLease (base::TimePoint end);
-    /** A controller took a connection or sent something. */
+    /** Called when a controller accepted a connection or sent a message. */
     void onContact() { m_failedAttempts = 0; }
-    /** A connection to a controller is tried, because there is none. */
+    /** Called when a connection to a controller is attempted because there is none. */
     void onConnectionTried() { ++m_failedAttempts; }
 
     [[nodiscard]] Freshness at (base::TimePoint now) const;
-    /** Time since the end of the lease; zero while it lasts. */
+    /** Time since the end of the lease; zero before it. */
     [[nodiscard]] base::Duration unconfirmedFor (base::TimePoint now) const;
 
 private:
     [[nodiscard]] bool isIsolated() const;
 
     Limits m_limits;
-    base::TimePoint m_confirmedUntil{};  ///< Never goes back. Zero: nothing is held.
-    std::uint32_t m_failedAttempts = 0;  ///< Since the last contact.
+    base::TimePoint m_confirmedUntil{};  ///< Never decreases. Zero: no configuration is held.
+    std::uint32_t m_failedAttempts = 0;  ///< Connection attempts since the last contact.
 };
 
 }  // namespace fernlift::proxy
--- a/src/proxy/ConfigurationFreshnessTest.cpp
+++ b/src/proxy/ConfigurationFreshnessTest.cpp
@@ -24,7 +24,7 @@
 
 TEST_F (ConfigurationFreshnessTest, ServesUntilTheLeaseAndTheGraceAreOverThenHoldsThenRefuses)
 {
-    m_freshness.onTaken (m_now);
+    m_freshness.onApplied (m_now);
     m_freshness.onLease (m_now + seconds (2));
     EXPECT_EQ (after (milliseconds (2999)), Freshness::kConfirmed);
     EXPECT_EQ (after (seconds (3)), Freshness::kUnconfirmed);
@@ -39,16 +39,18 @@
     m_freshness.onLease (m_now + seconds (7));
     EXPECT_EQ (after (seconds (5)), Freshness::kConfirmed);
     m_freshness.onLease (m_now + seconds (1));
-    EXPECT_EQ (after (seconds (5)), Freshness::kConfirmed) << "a late grant takes nothing away";
+    EXPECT_EQ (after (seconds (5)), Freshness::kConfirmed)
+        << "a late grant does not shorten the lease";
 }
 
 TEST_F (ConfigurationFreshnessTest, TheFirstConfigurationServesForTheGrace)
 {
-    m_freshness.onTaken (m_now);
+    m_freshness.onApplied (m_now);
     EXPECT_EQ (after (milliseconds (999)), Freshness::kConfirmed);
     EXPECT_EQ (after (seconds (1)), Freshness::kUnconfirmed);
-    m_freshness.onTaken (m_now + seconds (5));
-    EXPECT_EQ (after (seconds (5)), Freshness::kExpired) << "no leader has confirmed the second";
+    m_freshness.onApplied (m_now + seconds (5));
+    EXPECT_EQ (after (seconds (5)), Freshness::kExpired)
+        << "no leader has confirmed the second configuration";
 }
 
 TEST_F (ConfigurationFreshnessTest, ARouterThatReachesNoControllerServesLonger)
@@ -59,10 +61,11 @@
     EXPECT_EQ (after (milliseconds (9999)), Freshness::kConfirmed);
     EXPECT_EQ (after (seconds (10)), Freshness::kUnconfirmed);
     m_freshness.onContact();
-    EXPECT_EQ (after (seconds (5)), Freshness::kExpired) << "there is a controller, and no leader";
+    EXPECT_EQ (after (seconds (5)), Freshness::kExpired)
+        << "a controller is reachable, but no leader";
 }
 
-TEST_F (ConfigurationFreshnessTest, AProcessThatWasStoppedForAWhileIsNotTakenForIsolated)
+TEST_F (ConfigurationFreshnessTest, SuspendedProcessDoesNotCountAsIsolated)
 {
     m_freshness.onLease (m_now);
     m_freshness.onConnectionTried();
--- a/src/proxy/ControllerPreference.cpp
+++ b/src/proxy/ControllerPreference.cpp
@@ -20,7 +20,8 @@
         auto address = base::SocketAddress::tryParse (controller.peerAddress);
         if (! address)
             continue;
-        // Rendezvous hashing: a controller that comes or goes moves its own share of routers only.
+        // Rendezvous hashing: adding or removing a controller moves only its own share of the
+        // routers.
         const std::string text = std::string (router) + '\n' + controller.peerAddress;
         const Rank rank{ controller.isLeader, controller.zone != zone,
                          std::hash<std::string>() (text) };
--- a/src/proxy/ControllerPreference.h
+++ b/src/proxy/ControllerPreference.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * Which controller a router had better be connected to.
+ * Ranks the controllers that a router may connect to.
  *
- * Every controller serves routers; the leader has more to do than that. Routers prefer those of
- * their own zone, and spread over them by their names, so that each serves its share and no router
- * has to know of the others.
+ * Every controller serves routers, and the leader has additional work. Routers prefer controllers
+ * of their own zone other than the leader and spread over them by a hash of their names, so that
+ * the load is even without coordination between routers.
  */
 
 #include <span>
@@ -18,9 +18,7 @@
 namespace fernlift::proxy
 {
 
-/** Addresses of the controllers, the best for this router first. Those that cannot be read are left
-    out.
-*/
+/** Addresses of the controllers, the most preferred first. Invalid addresses are omitted. */
 [[nodiscard]] std::vector<base::SocketAddress> preferredControllers (
     std::span<const cell::ControllerEndpoint> controllers, std::string_view router,
     std::string_view zone);
--- a/src/proxy/ControllerPreferenceTest.cpp
+++ b/src/proxy/ControllerPreferenceTest.cpp
@@ -20,7 +20,7 @@
     return controllers;
 }
 
-TEST (ControllerPreference, RoutersOfAZoneSpreadOverItsControllersAndSpareTheLeader)
+TEST (ControllerPreference, RoutersOfZoneSpreadOverItsControllersExceptLeader)
 {
     const auto controllers = nineControllers();
     std::map<std::string, int> routers;
@@ -38,7 +38,7 @@
     EXPECT_GT (routers["10.0.0.7:7"], 25);
 }
 
-TEST (ControllerPreference, AControllerThatGoesMovesOnlyItsOwnRouters)
+TEST (ControllerPreference, RemovedControllerMovesOnlyItsOwnRouters)
 {
     auto controllers = nineControllers();
     auto fewer = controllers;
@@ -52,7 +52,7 @@
     }
 }
 
-TEST (ControllerPreference, OtherZonesAndTheLeaderAreLeftWhereThereIsNoOther)
+TEST (ControllerPreference, FallsBackToOtherZonesAndLeader)
 {
     const std::vector<cell::ControllerEndpoint> alone{ { "10.0.0.1:7", "z1", true } };
     EXPECT_EQ (preferredControllers (alone, "front-1", "z2").size(), 1U);
--- a/src/proxy/EngineDemands.cpp
+++ b/src/proxy/EngineDemands.cpp
@@ -9,9 +9,9 @@
 {
 
 constexpr base::Duration kShortestReportInterval = base::milliseconds (500);
-/// Placement forgets rates within some seconds, so that reports must not be rarer.
+/// Placement discards rates after some seconds, so reports must not be sent less often.
 constexpr base::Duration kLongestReportInterval = base::seconds (2);
-constexpr base::Duration kReportIntervalForRouter = base::milliseconds (15);
+constexpr base::Duration kReportIntervalPerRouter = base::milliseconds (15);
 
 void decrease (std::uint32_t& count)
 {
@@ -24,7 +24,7 @@
 base::Duration demandReportInterval (std::uint32_t routers)
 {
     return std::clamp<base::Duration> (
-        static_cast<std::int64_t> (routers) * kReportIntervalForRouter, kShortestReportInterval,
+        static_cast<std::int64_t> (routers) * kReportIntervalPerRouter, kShortestReportInterval,
         kLongestReportInterval);
 }
 
@@ -51,10 +51,10 @@
     counts.isChanged = true;
 }
 
-void EngineDemands::onTurnedAway (const EngineTarget& target)
+void EngineDemands::onRefusedAtOnce (const EngineTarget& target)
 {
     Counts& counts = m_counts[target];
-    ++counts.turnedAway;
+    ++counts.refusedAtOnce;
     counts.isChanged = true;
 }
 
@@ -62,10 +62,13 @@
 {
     Counts& counts = m_counts[target];
     ++counts.running;
-    ++counts.unread;
+    ++counts.prefilling;
 }
 
-void EngineDemands::onRead (const EngineTarget& target) { decrease (m_counts[target].unread); }
+void EngineDemands::onPrefillEnd (const EngineTarget& target)
+{
+    decrease (m_counts[target].prefilling);
+}
 
 void EngineDemands::onRunEnd (const EngineTarget& target) { decrease (m_counts[target].running); }
 
@@ -84,16 +87,16 @@
         if (isLive || counts.isChanged)
         {
             due.push_back ({ target.service, target.model, target.adapter,
-                             counts.waiting + counts.turnedAway, counts.running, counts.arrivals,
-                             counts.unread, counts.promptTokens });
+                             counts.waiting + counts.refusedAtOnce, counts.running, counts.arrivals,
+                             counts.prefilling, counts.promptTokens });
         }
         counts.arrivals = 0;
         counts.promptTokens = 0;
-        // The report that says that nothing is left is the last one.
+        // The last report states that nothing is left.
         const bool isGone = ! isLive && ! counts.isChanged;
-        // What was counted as waiting is taken back in the next report.
-        counts.isChanged = isLive || counts.turnedAway > 0;
-        counts.turnedAway = 0;
+        // Requests refused at once were counted as waiting; the next report removes them.
+        counts.isChanged = isLive || counts.refusedAtOnce > 0;
+        counts.refusedAtOnce = 0;
         item = isGone ? m_counts.erase (item) : std::next (item);
     }
     return due;
--- a/src/proxy/EngineDemands.h
+++ b/src/proxy/EngineDemands.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Counts the requests for each model of each service, for the reports to the leader.
+/// Counts the requests for each model of each service for the reports to the leader.
 
 #include <compare>
 #include <cstdint>
@@ -14,19 +14,20 @@
 namespace fernlift::proxy
 {
 
-/// A model of a service, or an adapter of it.
+/// Model of a service, or an adapter of the model.
 struct EngineTarget
 {
     std::string service;
     std::string model;
     std::string adapter;  ///< Empty: the model itself.
 
-    // clang-tidy 14 takes the zero of a defaulted comparison for a pointer.
+    // clang-tidy 14 mistakes the zero of a defaulted comparison for a pointer.
     auto operator<=> (const EngineTarget&) const = default;  // NOLINT(modernize-use-nullptr)
 };
 
-/// Time between steady reports of one router when `routers` report to the same leader: the leader
-/// reads a bounded number a second. What is urgent goes out at once all the same.
+/// Interval between the regular reports of one router when `routers` routers report to the same
+/// leader, chosen so that the leader reads a bounded number of reports per second. Urgent reports
+/// are sent at once.
 [[nodiscard]] base::Duration demandReportInterval (std::uint32_t routers);
 
 class EngineDemands
@@ -35,16 +36,16 @@
     void onArrival (const EngineTarget& target, std::uint64_t promptTokens);
     void onWaiting (const EngineTarget& target);
     void onWaitEnd (const EngineTarget& target);
-    /// A request was refused at once, since no runner could take it in time. The next report counts
-    /// it as one that waits: placement would not hear of it otherwise.
-    void onTurnedAway (const EngineTarget& target);
+    /// Called when a request was refused at once because no runner could take it in time. The next
+    /// report counts it as waiting, since placement would not see the demand otherwise.
+    void onRefusedAtOnce (const EngineTarget& target);
     void onRunning (const EngineTarget& target);
-    /// The runner has read the prompt and begins to answer, or never will.
-    void onRead (const EngineTarget& target);
+    /// Called when the prefill ended or the attempt failed before that.
+    void onPrefillEnd (const EngineTarget& target);
     void onRunEnd (const EngineTarget& target);
 
-    /// The report that is due; nothing when there is none. One is due at once when a request began
-    /// to wait, else every `interval` while there is or was demand.
+    /// Returns the report that is due, or nothing. A report is due at once when a request began to
+    /// wait, else every `interval` while there is or was demand.
     [[nodiscard]] std::vector<cell::EngineDemand> takeDue (base::TimePoint now,
                                                            base::Duration interval);
 
@@ -52,11 +53,11 @@
     struct Counts
     {
         std::uint32_t waiting = 0;
-        std::uint32_t turnedAway = 0;  ///< Since the last report.
+        std::uint32_t refusedAtOnce = 0;  ///< Requests since the last report.
         std::uint32_t running = 0;
-        std::uint32_t unread = 0;  ///< Of the running.
+        std::uint32_t prefilling = 0;  ///< Running requests in prefill.
         std::uint32_t arrivals = 0;
-        std::uint64_t promptTokens = 0;  ///< Of the arrivals.
+        std::uint64_t promptTokens = 0;  ///< Prompt tokens of the arrivals.
         bool isChanged = false;
     };
 
--- a/src/proxy/EngineDemandsTest.cpp
+++ b/src/proxy/EngineDemandsTest.cpp
@@ -14,7 +14,7 @@
     return base::TimePoint{} + base::seconds (100) + base::milliseconds (milliseconds);
 }
 
-TEST (EngineDemands, ReportsGrowRarerWithTheRoutersWithinBounds)
+TEST (EngineDemands, ReportIntervalGrowsWithRoutersWithinBounds)
 {
     EXPECT_EQ (demandReportInterval (1), milliseconds (500));
     EXPECT_EQ (demandReportInterval (7), milliseconds (500));
@@ -34,7 +34,7 @@
     const auto due = demands.takeDue (at (110), milliseconds (1000));
     ASSERT_EQ (due.size(), 1U);
     EXPECT_EQ (due[0].waiting, 1U);
-    EXPECT_EQ (due[0].arrivals, 1U) << "none is lost between reports";
+    EXPECT_EQ (due[0].arrivals, 1U) << "no arrival is lost between reports";
     EXPECT_EQ (due[0].promptTokens, 100U);
 }
 
@@ -44,14 +44,14 @@
     const EngineTarget target{ "llm", "m1", "" };
     demands.onRunning (target);
     demands.onRunning (target);
-    demands.onRead (target);
+    demands.onPrefillEnd (target);
     const auto due = demands.takeDue (at (0), milliseconds (500));
     ASSERT_EQ (due.size(), 1U);
     EXPECT_EQ (due[0].running, 2U);
     EXPECT_EQ (due[0].unread, 1U);
 }
 
-TEST (EngineDemands, TheLastReportSaysThatNothingIsLeft)
+TEST (EngineDemands, LastReportStatesZeroDemand)
 {
     EngineDemands demands;
     const EngineTarget target{ "llm", "m1", "" };
@@ -64,14 +64,14 @@
     EXPECT_TRUE (demands.takeDue (at (1000), milliseconds (500)).empty());
 }
 
-TEST (EngineDemands, ARequestThatIsRefusedAtOnceIsToldOnce)
+TEST (EngineDemands, ReportsImmediateRefusalOnce)
 {
     EngineDemands demands;
     const EngineTarget target{ "llm", "m1", "" };
     demands.onArrival (target, 100);
     demands.onWaiting (target);
     demands.onWaitEnd (target);
-    demands.onTurnedAway (target);
+    demands.onRefusedAtOnce (target);
     const auto first = demands.takeDue (at (0), milliseconds (500));
     ASSERT_EQ (first.size(), 1U);
     EXPECT_EQ (first[0].waiting, 1U);
--- a/src/proxy/EventSplitter.cpp
+++ b/src/proxy/EventSplitter.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::string_view kIdField = "id:";
 
-/// Position after the last empty line of `text`; 0 when there is none.
+/// Position after the last empty line of `text`; 0 without one.
 std::size_t endOfLastEvent (std::string_view text)
 {
     const std::size_t plain = text.rfind ("\n\n");
@@ -41,7 +41,7 @@
     return events;
 }
 
-void EventSplitter::dropRest() { m_buffer.resize (m_taken); }
+void EventSplitter::discardIncomplete() { m_buffer.resize (m_taken); }
 
 void EventSplitter::readLines (std::string_view events)
 {
--- a/src/proxy/EventSplitter.h
+++ b/src/proxy/EventSplitter.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Splits the body of an event stream into whole events and knows the id of the last one.
+/// Splits the body of an event stream into complete events and tracks the id of the last one.
 
 #include <cstdint>
 #include <optional>
@@ -13,28 +13,28 @@
 class EventSplitter
 {
 public:
-    /// Adds received bytes; returns the whole events among all bytes not yet returned, as they
-    /// came.
+    /// Adds received bytes. Returns the complete events among all bytes not returned before,
+    /// unchanged.
     [[nodiscard]] std::string_view feed (std::string_view data);
-    /// Number of the events that feed() returned last.
+    /// Number of events in the last result of feed().
     [[nodiscard]] std::uint32_t count() const { return m_count; }
-    /// Id of the last whole event; none while no event with an id has passed.
+    /// Id of the last complete event; none before the first event with an id.
     [[nodiscard]] const std::optional<std::string>& lastId() const { return m_lastId; }
-    /// Bytes of an event that is not whole.
-    [[nodiscard]] std::string_view rest() const
+    /// Bytes of the incomplete event at the end.
+    [[nodiscard]] std::string_view incompleteBytes() const
     {
         return std::string_view (m_buffer).substr (m_taken);
     }
-    /// Drops the bytes of an event that is not whole: its stream broke off.
-    void dropRest();
+    /// Discards the bytes of the incomplete event after its stream broke off.
+    void discardIncomplete();
 
 private:
-    /// Counts whole events and notes the id of the last one.
+    /// Counts the complete events and stores the id of the last one.
     void readLines (std::string_view events);
 
     std::string m_buffer;
     std::uint32_t m_count = 0;
-    std::size_t m_taken = 0;  ///< Bytes at the front of the buffer that were returned.
+    std::size_t m_taken = 0;  ///< Bytes at the front of the buffer that were returned already.
     std::optional<std::string> m_lastId;
 };
 
--- a/src/proxy/EventSplitterTest.cpp
+++ b/src/proxy/EventSplitterTest.cpp
@@ -8,13 +8,13 @@
 namespace
 {
 
-TEST (EventSplitterTest, HalfAnEventIsHeldBackAndDroppedWithItsStream)
+TEST (EventSplitterTest, HoldsIncompleteEventAndDiscardsItWithStream)
 {
     EventSplitter splitter;
     EXPECT_EQ (splitter.feed ("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
     EXPECT_EQ (splitter.lastId(), "1");
-    EXPECT_EQ (splitter.rest(), "id: 2\nda");
-    splitter.dropRest();
+    EXPECT_EQ (splitter.incompleteBytes(), "id: 2\nda");
+    splitter.discardIncomplete();
     EXPECT_EQ (splitter.feed ("id: 2\ndata: b\n\n"), "id: 2\ndata: b\n\n");
     EXPECT_EQ (splitter.lastId(), "2");
 }
--- a/src/proxy/Exchange.cpp
+++ b/src/proxy/Exchange.cpp
@@ -15,21 +15,24 @@
 using base::ErrorKind;
 
 constexpr std::uint32_t kMostUnreachable = 16;
-constexpr base::Duration kRetrySoon = base::milliseconds (100);
+constexpr base::Duration kRetryDelay = base::milliseconds (100);
 constexpr base::Duration kLongestWaitForRoutes = base::seconds (3);
-/// Units that no grant brings in this time are not waited for longer: a leader is elected within
-/// 0.6 s. Never beyond the route's target, after which the answer would be late.
+/// Limit on the wait for a quota grant; a leader is elected within 0.6 s. The wait also ends at the
+/// target latency of the route, after which the answer would be late.
 constexpr base::Duration kLongestWaitForQuota = base::seconds (1);
 constexpr base::Duration kDefaultDeadline = base::seconds (30);
-/// The runner is told a little less than what is left, so that its answer still arrives.
-constexpr base::Duration kAnswerTravel = base::milliseconds (5);
-/// A repeatable request is tried elsewhere when a runner is silent for this many times its target.
+/// Subtracted from the deadline that is sent to the runner, so that its answer still arrives in
+/// time.
+constexpr base::Duration kAnswerTransit = base::milliseconds (5);
+/// A repeatable request is sent to another runner after this multiple of its target latency without
+/// bytes from the runner.
 constexpr int kSilenceInTargets = 2;
 constexpr base::Duration kShortestStreamSilence = base::milliseconds (800);
-/// A resumable stream goes on elsewhere when no event has come by then: a prompt of 50,000 tokens
-/// takes 1.3 s at the 38 tokens a millisecond that known engines read. With half of the target in
-/// its place (1.5 to 3 s) nine days of three deployments had a mean worth of 0.658, with this
-/// 0.666: no difference, but a dead runner is noticed sooner.
+/// A resumable stream without a first event is resumed elsewhere after this time. The prefill of
+/// 50,000 tokens takes 1.3 s at the 38 tokens per millisecond of known engines. Half of the target
+/// latency (1.5 to 3 s) in its place gave a mean score of 0.658 against 0.666 over nine simulated
+/// days of three deployments, which is no difference, but the shorter time detects a dead runner
+/// sooner.
 constexpr base::Duration kLongestFirstEvent = base::milliseconds (1500);
 constexpr base::Duration kShortestSilence = base::milliseconds (150);
 
@@ -49,10 +52,10 @@
     QObject::connect (&m_timer, &QTimer::timeout, &m_timer, [this] { onTimer(); });
     m_query.hasConnection = [this] (const base::SocketAddress& address)
     { return m_context.pool.hasResting (address, now()); };
-    m_query.roomByRate = [this] (const std::string& instance, base::UnixMilliseconds startedAt)
+    m_query.rateCapacity = [this] (const std::string& instance, base::UnixMilliseconds startedAt)
     {
-        return RateRoom{ m_context.rates.waitFor (instance, startedAt, now()),
-                         m_context.rates.rateOf (instance, startedAt) };
+        return RateCapacity{ m_context.rates.waitFor (instance, startedAt, now()),
+                             m_context.rates.rateOf (instance, startedAt) };
     };
 }
 
@@ -65,16 +68,16 @@
 void Exchange::begin()
 {
     ++m_context.counters.requests;
-    m_stated = statedDeadline (m_request, m_context.names).value_or (kDefaultDeadline);
-    m_deadline = m_arrivedAt + m_stated;
+    m_callerTimeout = statedDeadline (m_request, m_context.names).value_or (kDefaultDeadline);
+    m_deadline = m_arrivedAt + m_callerTimeout;
     if (findRoute())
-        goOn();
+        admitAndDispatch();
 }
 
-void Exchange::goOn()
+void Exchange::admitAndDispatch()
 {
-    // Before it takes units of a quota or counts as demand for a model.
-    if (const quarantine::Standing known = standing(); known.isInQuarantine())
+    // A quarantined request must neither consume quota units nor count as demand for a model.
+    if (const quarantine::Standing known = suspectStatus(); known.isInQuarantine())
     {
         refuseQuarantined (known);
         return;
@@ -83,7 +86,7 @@
         return;
     if (! m_query.model.empty())
         m_context.demands.onArrival (m_target, m_query.promptTokens);
-    tryNext();
+    dispatchNext();
 }
 
 bool Exchange::admit()
@@ -119,7 +122,7 @@
     {
         m_isWaitingForRoutes = false;
         refuse (ErrorKind::kLeaseExpired, "the configuration could not be confirmed for too long",
-                kRetrySoon);
+                kRetryDelay);
         return false;
     }
     const bool isConfirmed = freshness == Freshness::kConfirmed;
@@ -141,7 +144,7 @@
     }
     if (! authenticate())
         return false;
-    m_deadline = m_arrivedAt + std::min (m_stated, m_route->timeout);
+    m_deadline = m_arrivedAt + std::min (m_callerTimeout, m_route->timeout);
     m_query.service = RouteTable::chooseService (*m_route, m_context.random.uniformReal());
     m_query.gapTarget = m_route->gapTarget;
     readModel();
@@ -168,12 +171,13 @@
     return false;
 }
 
-/// A router that has just started, or that has lost the leader, hears of the configuration in a
-/// moment.
+/// A router that has just started, or that has lost the leader, usually receives the configuration
+/// within a short time.
 void Exchange::waitForRoutes()
 {
     m_isWaitingForRoutes = true;
-    m_deadline = m_arrivedAt + std::min<base::Duration> (m_stated / 2, kLongestWaitForRoutes);
+    m_deadline =
+        m_arrivedAt + std::min<base::Duration> (m_callerTimeout / 2, kLongestWaitForRoutes);
     armTimer();
 }
 
@@ -195,19 +199,19 @@
     m_target = { m_query.service, m_query.model, m_query.adapter };
 }
 
-void Exchange::tryNext()
+void Exchange::dispatchNext()
 {
     if (now() >= m_deadline)
     {
         onTimer();
         return;
     }
-    const quarantine::Standing known = standing();
-    if (isHeldBack (known))
+    const quarantine::Standing known = suspectStatus();
+    if (isBlockedAsSuspect (known))
         return;
-    m_query.trial = known.isSuspect() ? identity().digest : std::string();
-    m_query.endedInstances = known.instances;
-    if (! m_wanted || ! takePermit())
+    m_query.isolationKey = known.isSuspect() ? identity().digest : std::string();
+    m_query.crashedInstances = known.instances;
+    if (! m_permitChoice || ! takePermit())
         chooseRunner();
 }
 
@@ -215,13 +219,13 @@
 {
     if (m_isWaiting)
     {
-        refuseBeyondRates (choice);
+        refuseIfRateLimited (choice);
         return;
     }
     m_isWaiting = true;
     m_waitBegan = now();
-    // A runner that comes later than this would answer too late; the caller had better ask again.
-    const base::Duration limit = longestWaitForRunner (*m_route, m_stated);
+    // A runner found after this limit would answer too late; the caller should retry instead.
+    const base::Duration limit = maxWaitForRunner (*m_route, m_callerTimeout);
     m_waitDeadline = std::min (m_deadline, std::max (m_arrivedAt + limit, now()));
     log::write (log::Event::kRequestWaits,
                 { { "request", m_request.headers.value (m_context.names.requestId) },
@@ -235,7 +239,7 @@
         m_context.demands.onWaiting (m_target);
         m_context.onUrgentDemand();
     }
-    if (! refuseBeyondRates (choice))
+    if (! refuseIfRateLimited (choice))
         armTimer();
 }
 
@@ -244,7 +248,7 @@
     if (! std::exchange (m_isWaiting, false))
         return;
     if (std::exchange (m_isWaitingForRate, false))
-        --m_context.rates.waitingFor (rateQueue());
+        --m_context.rates.waitingFor (rateQueueKey());
     m_waited += now() - m_waitBegan;
     if (! m_query.model.empty())
         m_context.demands.onWaitEnd (m_target);
@@ -257,15 +261,15 @@
     if (m_isWaitingForRoutes && m_context.routes)
     {
         if (findRoute())
-            goOn();
+            admitAndDispatch();
     }
     else if (m_isWaitingForQuota)
     {
-        goOn();
+        admitAndDispatch();
     }
-    else if (m_isWaiting || m_verdictDeadline || m_wanted)
+    else if (m_isWaiting || m_suspectHoldDeadline || m_permitChoice)
     {
-        tryNext();
+        dispatchNext();
     }
 }
 
@@ -275,14 +279,14 @@
                                     [] (const base::Error&) { return base::SocketAddress(); });
     m_instance = choice.id;
     m_instanceStart = m_context.directory.startOf (m_instance);
-    m_tokensToRead = choice.tokensToRead;
+    m_prefillTokens = choice.prefillTokens;
     m_use = AnswerUse::kNone;
-    m_collected.clear();
+    m_bufferedBody.clear();
     m_attemptDeadline = m_deadline;
     AttemptFields fields;
     fields.instance = choice.id;
-    fields.left =
-        std::max<base::Duration> (m_deadline - now() - kAnswerTravel, base::milliseconds (1));
+    fields.timeLeft =
+        std::max<base::Duration> (m_deadline - now() - kAnswerTransit, base::milliseconds (1));
     fields.priority = m_route->priority;
     fields.dropsCredentials = m_routes->catalogue().requiresKeys;
     if (m_tenant != nullptr)
@@ -298,9 +302,9 @@
     call.requestIdHeader = m_context.names.requestId;
     call.requestId = m_request.headers.value (m_context.names.requestId);
     ++m_context.counters.attempts;
-    m_context.directory.onAttemptBegin (m_instance, m_tokensToRead, now());
-    m_context.loadReporter.onAttemptBegin (m_instance, m_tokensToRead);
-    m_isPromptRead = false;
+    m_context.directory.onAttemptBegin (m_instance, m_prefillTokens, now());
+    m_context.loadReporter.onAttemptBegin (m_instance, m_prefillTokens);
+    m_isPrefillDone = false;
     if (! m_query.model.empty())
         m_context.demands.onRunning (m_target);
     m_connection = m_context.pool.acquire (m_address, now());
@@ -308,29 +312,30 @@
     m_connection->send (std::move (call), this);
 }
 
-bool Exchange::isAtPresentIncarnation() const
+bool Exchange::isCurrentIncarnation() const
 {
     return m_context.directory.startOf (m_instance) == m_instanceStart;
 }
 
 void Exchange::onSent()
 {
-    ++m_sent;
+    ++m_sentAttempts;
     m_isAttemptSent = true;
     m_attemptSentAt = now();
-    noteProgress();
+    extendAttemptDeadline();
     armTimer();
 }
 
-void Exchange::noteProgress()
+void Exchange::extendAttemptDeadline()
 {
-    const std::optional<base::Duration> silence = longestSilence();
+    const std::optional<base::Duration> silence = silenceLimit();
     m_attemptDeadline = silence ? std::min (m_deadline, now() + *silence) : m_deadline;
 }
 
-std::optional<base::Duration> Exchange::longestSilence() const
+std::optional<base::Duration> Exchange::silenceLimit() const
 {
-    const bool mayTryElsewhere = m_route->isRepeatable() && m_sent < m_route->maximumAttempts;
+    const bool mayTryElsewhere =
+        m_route->isRepeatable() && m_sentAttempts < m_route->maximumAttempts;
     if (! mayTryElsewhere)
         return std::nullopt;
     if (m_route->kind == config::RouteKind::kRepeatable)
@@ -349,23 +354,23 @@
 void Exchange::armTimer()
 {
     base::TimePoint due = std::min (m_deadline, m_attemptDeadline);
-    if (m_wanted)
+    if (m_permitChoice)
         due = m_deadline;
     if (m_isWaiting)
         due = m_waitDeadline;
     if (m_isWaitingForQuota)
         due = m_quota.waitsUntil;
-    if (m_verdictDeadline)
-        due = std::min (m_deadline, *m_verdictDeadline);
+    if (m_suspectHoldDeadline)
+        due = std::min (m_deadline, *m_suspectHoldDeadline);
     const auto wait = std::max<base::Duration> (due - now(), base::Duration::zero());
     m_timer.start (std::chrono::ceil<base::milliseconds> (wait));
 }
 
-void Exchange::onWaitOver()
+void Exchange::onWaitTimeout()
 {
     endWait();
-    endUnserved (ErrorKind::kDeadlineUnreachable, "no runner could take the request in time",
-                 retryAfterWait (! m_query.model.empty()));
+    endWithoutRunner (ErrorKind::kDeadlineUnreachable, "no runner could take the request in time",
+                      retryAfterWait (! m_query.model.empty()));
 }
 
 void Exchange::onTimer()
@@ -374,17 +379,17 @@
         return;
     if (m_isWaitingForQuota)
     {
-        goOn();
+        admitAndDispatch();
         return;
     }
     if (m_isWaiting && now() >= m_waitDeadline)
     {
-        onWaitOver();
+        onWaitTimeout();
         return;
     }
-    if (m_verdictDeadline && now() < m_deadline)
+    if (m_suspectHoldDeadline && now() < m_deadline)
     {
-        tryNext();
+        dispatchNext();
         return;
     }
     if (now() < m_deadline)
@@ -392,17 +397,17 @@
         const bool isSilent = m_connection && m_isAttemptSent && now() >= m_attemptDeadline;
         if (isSilent && mayRunAgain())
         {
-            // Connections that rest may have gone silent together with this one, while the runner
-            // takes new ones.
+            // Idle connections to the runner may have been lost together with this one, although it
+            // still accepts new ones.
             m_context.pool.forget (m_address);
-            noteBrokenOff();
+            recordBrokenAnswer();
             endAttempt (AttemptEnd::kFailed, false);
             afterFailure();
             return;
         }
-        // Without another attempt the answer of this runner, late as it is, is the only one.
+        // Without another attempt the late answer of this runner is the only one to expect.
         if (isSilent)
-            noteProgress();
+            extendAttemptDeadline();
         armTimer();
         return;
     }
@@ -411,14 +416,14 @@
         refuse (ErrorKind::kLeaseExpired,
                 m_context.routes ? "the configuration could not be confirmed in time"
                                  : "no configuration is known yet",
-                kRetrySoon);
+                kRetryDelay);
         return;
     }
     if (m_connection)
         endAttempt (AttemptEnd::kAbandoned, false);
     if (m_isAnswerBegun)
     {
-        cut();
+        abortAnswer();
     }
     else if (m_mayHaveRun)
     {
@@ -440,8 +445,8 @@
     connection->detach();
     if (std::exchange (m_isAttemptSent, false))
         m_mayHaveRun = true;
-    notePromptRead();
-    if (isAtPresentIncarnation())
+    recordPrefillEnd();
+    if (isCurrentIncarnation())
         m_context.directory.onAttemptEnd (m_instance, end, now());
     m_context.loadReporter.onAttemptEnd (m_instance);
     if (! m_query.model.empty())
@@ -456,15 +461,15 @@
     {
         endAttempt (AttemptEnd::kUnreachable, false);
         m_query.avoidedInstance = m_instance;
-        if (! m_query.trial.empty())
-            noteTrialUnreachable();
-        if (++m_unreachable < kMostUnreachable)
+        if (! m_query.isolationKey.empty())
+            recordIsolationRunnerUnreachable();
+        if (++m_unreachableAttempts < kMostUnreachable)
         {
-            tryNext();
+            dispatchNext();
         }
         else if (m_isAnswerBegun)
         {
-            cut();
+            abortAnswer();
         }
         else if (m_mayHaveRun)
         {
@@ -472,18 +477,18 @@
         }
         else
         {
-            refuse (ErrorKind::kNoCapacity, "no runner can be reached", kRetrySoon);
+            refuse (ErrorKind::kNoCapacity, "no runner can be reached", kRetryDelay);
         }
         return;
     }
-    noteBrokenOff();
+    recordBrokenAnswer();
     endAttempt (AttemptEnd::kFailed, false);
     afterFailure();
 }
 
 bool Exchange::mayRunAgain()
 {
-    if (! m_route->isRepeatable() || m_sent >= m_route->maximumAttempts)
+    if (! m_route->isRepeatable() || m_sentAttempts >= m_route->maximumAttempts)
         return false;
     if (now() >= m_deadline)
         return false;
@@ -493,16 +498,16 @@
 void Exchange::afterRefusal()
 {
     m_query.avoidedInstance = m_instance;
-    const bool hasAttempts = m_sent < m_route->maximumAttempts;
+    const bool hasAttempts = m_sentAttempts < m_route->maximumAttempts;
     if (hasAttempts && m_context.retryBudget.tryRetry())
     {
         ++m_context.counters.retries;
-        logMove (log::Event::kRequestResent);
-        tryNext();
+        logResend (log::Event::kRequestResent);
+        dispatchNext();
     }
     else if (m_isAnswerBegun)
     {
-        cut();
+        abortAnswer();
     }
     else if (m_mayHaveRun)
     {
@@ -510,7 +515,7 @@
     }
     else
     {
-        refuse (ErrorKind::kUpstreamRefused, "the runner has no room for the request", kRetrySoon);
+        refuse (ErrorKind::kUpstreamRefused, "the runner has no room for the request", kRetryDelay);
     }
 }
 
@@ -518,17 +523,17 @@
 {
     m_query.avoidedInstance = m_instance;
     if (m_events)
-        m_events->dropRest();
+        m_events->discardIncomplete();
     const bool mayGoOn = mayRunAgain() && m_context.retryBudget.tryRetry();
     if (mayGoOn)
     {
         ++(m_isAnswerBegun ? m_context.counters.resumed : m_context.counters.retries);
-        logMove (m_isAnswerBegun ? log::Event::kRequestResumed : log::Event::kRequestResent);
-        tryNext();
+        logResend (m_isAnswerBegun ? log::Event::kRequestResumed : log::Event::kRequestResent);
+        dispatchNext();
     }
     else if (m_isAnswerBegun)
     {
-        cut();
+        abortAnswer();
     }
     else
     {
--- a/src/proxy/Exchange.h
+++ b/src/proxy/Exchange.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// One request of a caller from its arrival to its end: the route, the attempts at runners, what is
-/// passed on, and what is answered when no runner's answer can be.
+/// Handles one request of a caller from arrival to end: finds the route, sends attempts to runners,
+/// forwards the answer, and answers with an error when no runner's answer can be forwarded.
 
 #include <QTimer>
 #include <cstdint>
@@ -28,30 +28,32 @@
 class Exchange final : public http::AnswerListener
 {
 public:
-    /// `onEnd` is called once; the exchange may be destroyed once control is back in the event
+    /// `onEnd` is called once. The exchange may be destroyed once control is back in the event
     /// loop.
     Exchange (ProxyContext& context, CallerConnection& caller, ParsedRequest request,
               std::function<void (Exchange& exchange)> onEnd);
     ~Exchange() override;
 
     void begin();
-    /// The configuration, the runners or what they hold changed: a request that waits looks again.
+    /// Called when the configuration, the set of runners or their held models changed; a waiting
+    /// request tries again.
     void onDirectoryChanged();
-    /// The caller went away: the runner's work is cancelled.
-    void onCallerLeft();
-    /// The router ends in a moment: a request that waits is answered now.
-    void onRouterEnding();
-    /// Looks at what is due by now. Harmless at any time.
+    /// Called when the caller disconnected; cancels the attempt at the runner.
+    void onCallerDisconnected();
+    /// Called shortly before the router process ends; answers a request that still waits.
+    void onRouterStopping();
+    /// Handles every deadline that has passed. May be called at any time.
     void onTimer();
-    /// More may be known of requests under which runners ended: one in quarantine stops here.
+    /// Called when the status of suspect requests changed; ends this request if it is in
+    /// quarantine.
     void onSuspectsChanged();
     [[nodiscard]] bool isWaiting() const
     {
-        return m_isWaiting || m_isWaitingForRoutes || m_isWaitingForQuota || m_verdictDeadline
-               || m_wanted;
+        return m_isWaiting || m_isWaitingForRoutes || m_isWaitingForQuota || m_suspectHoldDeadline
+               || m_permitChoice;
     }
-    /// Those that wait are looked at in this order: the most urgent first, then the earliest.
-    [[nodiscard]] std::pair<int, base::TimePoint> turn() const;
+    /// Sort key of waiting requests: the most urgent priority first, then the earliest arrival.
+    [[nodiscard]] std::pair<int, base::TimePoint> queueOrder() const;
 
     void onSent() override;
     void onHead (http::AnswerHead head) override;
@@ -60,90 +62,95 @@
     void onFailed (http::BackEndFailure failure) override;
 
 private:
-    /// What is done with the answer that is being read.
+    /// Treatment of the answer that is being read.
     enum class AnswerUse : std::uint8_t
     {
-        kNone,     ///< No head yet.
-        kCollect,  ///< Kept until it is whole.
-        kPass,     ///< Passed on as it comes.
-        kEvents,   ///< Passed on event by event.
-        kRefusal,  ///< The runner has not run the request.
-        kRetry,    ///< A failure of the runner; the request is sent again.
+        kNone,     ///< No answer head was received yet.
+        kBuffer,   ///< Buffered until complete.
+        kForward,  ///< Forwarded as it arrives.
+        kEvents,   ///< Forwarded event by event.
+        kRefusal,  ///< The runner did not execute the request.
+        kRetry,    ///< The runner failed; the request is sent again.
     };
 
     [[nodiscard]] base::TimePoint now() const { return m_context.clock.now(); }
-    /// Finds the route; false when the request ended or waits for a configuration.
+    /// Finds the route. Returns false when the request ended or waits for a configuration.
     bool findRoute();
-    /// Reads the caller's key; false when the request ended or waits for a configuration.
+    /// Checks the caller's key. Returns false when the request ended or waits for a configuration.
     bool authenticate();
-    /// Whether what is missing in the routes held is missing in the configuration in force too.
+    /// Whether a leader confirmed the held routes, so that a missing route or key does not exist.
     [[nodiscard]] bool areRoutesCurrent() const;
     void waitForRoutes();
-    /// Counts the request in the quota of its tenant; false when it ended or waits for units.
+    /// Counts the request against the quota of its tenant. Returns false when the request ended or
+    /// waits for a grant.
     bool admit();
-    /// The route is found: on to a runner, if the quota allows.
-    void goOn();
+    /// Continues once the route is found: checks quarantine and quota, then chooses a runner.
+    void admitAndDispatch();
     void readModel();
-    void tryNext();
-    /// What is known of runners that ended under this request.
-    [[nodiscard]] quarantine::Standing standing() const;
-    /// The runner broke off its answer or fell silent in the middle of it.
-    void noteBrokenOff();
-    /// The runner to which all copies of a suspect go took no connection.
-    void noteTrialUnreachable();
-    /// Whether the request has to wait, or has ended, for what is known of it.
-    [[nodiscard]] bool isHeldBack (const quarantine::Standing& standing);
-    void refuseQuarantined (const quarantine::Standing& standing);
-    /// Chooses a runner and goes there, or waits.
+    void dispatchNext();
+    /// Status of this request among the requests suspected of crashing runners.
+    [[nodiscard]] quarantine::Standing suspectStatus() const;
+    /// Records that the runner broke off its answer or stopped sending in the middle of it.
+    void recordBrokenAnswer();
+    /// Records that the isolation runner of a suspect request accepted no connection.
+    void recordIsolationRunnerUnreachable();
+    /// Whether the suspect status makes the request wait, or has ended it in quarantine.
+    [[nodiscard]] bool isBlockedAsSuspect (const quarantine::Standing& suspectStatus);
+    void refuseQuarantined (const quarantine::Standing& suspectStatus);
+    /// Chooses a runner and starts an attempt, or begins to wait.
     void chooseRunner();
-    /// Whether the request has gone to the runner that is wanted, or waits for a permit for it;
-    /// else another one is to be chosen.
+    /// Returns true when an attempt at `m_permitChoice` started or its permit is pending, and false
+    /// when another runner has to be chosen.
     bool takePermit();
     void beginWait (const InstanceChoice& choice);
-    /// Ends the request if no runner takes it in time at the rates that they state.
-    bool refuseBeyondRates (const InstanceChoice& choice);
-    /// Requests that wait for the same runners' rates.
-    [[nodiscard]] std::string rateQueue() const;
-    /// No runner takes the request in time: it has to end.
-    void endUnserved (base::ErrorKind kind, const std::string& message, base::Duration retryAfter);
+    /// Ends the request if the rate limits of the runners leave no capacity for it before its wait
+    /// deadline. Returns whether it did.
+    bool refuseIfRateLimited (const InstanceChoice& choice);
+    /// Key of the requests that wait for the rate limits of the same runners.
+    [[nodiscard]] std::string rateQueueKey() const;
+    /// Ends a request that no runner could take in time.
+    void endWithoutRunner (base::ErrorKind kind, const std::string& message,
+                           base::Duration retryAfter);
     void endWait();
     void startAttempt (const InstanceChoice& choice);
-    /// Whether the table still shows the incarnation that the attempt went to.
-    [[nodiscard]] bool isAtPresentIncarnation() const;
-    /// Something came from the runner, or the request went there.
-    void noteProgress();
-    /// Silence after which the request is tried at another runner; none when it may not be.
-    [[nodiscard]] std::optional<base::Duration> longestSilence() const;
+    /// Whether the table still lists the incarnation that the attempt was sent to.
+    [[nodiscard]] bool isCurrentIncarnation() const;
+    /// Restarts the silence limit of the attempt, after the request was sent or bytes were
+    /// received.
+    void extendAttemptDeadline();
+    /// Silence after which the request is sent to another runner; none when it may not be sent
+    /// again.
+    [[nodiscard]] std::optional<base::Duration> silenceLimit() const;
     void armTimer();
-    /// No runner came in time.
-    void onWaitOver();
-    /// Ends the attempt; its connection is kept when `mayReuse`.
+    /// Ends a request for which no runner was found before the wait deadline.
+    void onWaitTimeout();
+    /// Ends the attempt. With `mayReuse` its connection goes back to the pool.
     void endAttempt (AttemptEnd end, bool mayReuse);
     [[nodiscard]] bool mayRunAgain();
     void afterRefusal();
     void afterFailure();
-    void passHead();
-    /// Whole events of a stream came.
-    void passEvents (std::string_view events);
-    void notePromptRead();
-    void noteLoad (const http::AnswerHead& head);
-    void noteRate (const http::AnswerHead& head);
-    /// Whether the runner says that it has not run the request.
+    void forwardHead();
+    /// Forwards complete events of a stream.
+    void forwardEvents (std::string_view events);
+    void recordPrefillEnd();
+    void recordLoad (const http::AnswerHead& head);
+    void recordRate (const http::AnswerHead& head);
+    /// Whether the runner states that it did not execute the request.
     [[nodiscard]] bool isRefusal (const http::AnswerHead& head) const;
     void finishAnswer();
     void refuse (base::ErrorKind kind, const std::string& message, base::Duration retryAfter);
     void fail (base::ErrorKind kind, const std::string& message);
     void sendError (const base::Error& error, std::optional<base::Duration> retryAfter);
     void logEnd (log::Event event, const std::string& cause) const;
-    void logMove (log::Event event) const;
-    /// The name of the tenant, or the address where there is none.
+    void logResend (log::Event event) const;
+    /// Name of the tenant, or the address of the caller without one.
     [[nodiscard]] std::string callerName() const;
-    /// Empty where there is none.
+    /// Name of the tenant; empty without one.
     [[nodiscard]] std::string tenantName() const;
     [[nodiscard]] const cell::RequestIdentity& identity() const;
-    /// For logs: empty unless a runner broke off an answer to this request.
-    [[nodiscard]] std::string brokenIdentity() const;
-    void cut();
+    /// Digest of the request for logs; empty unless a runner broke off an answer to this request.
+    [[nodiscard]] std::string loggedIdentity() const;
+    void abortAnswer();
     void end();
 
     ProxyContext& m_context;
@@ -152,51 +159,55 @@
     std::function<void (Exchange&)> m_onEnd;
     std::shared_ptr<const RouteTable> m_routes;
     const config::Route* m_route = nullptr;
-    const config::Tenant* m_tenant = nullptr;  ///< Of `m_routes`; null where no key is needed.
+    const config::Tenant* m_tenant = nullptr;  ///< Points into `m_routes`; null where no key is
+                                               ///< needed.
     QuotaTicket m_quota;
     InstanceQuery m_query;
-    std::optional<InstanceChoice> m_wanted;  ///< Runner for which a permit is awaited.
+    std::optional<InstanceChoice> m_permitChoice;  ///< Runner for which a permit is pending.
     quota::QuotaClaim m_permit;
-    base::TimePoint m_permitAskedAt{};
-    base::Duration m_permitWaited{};  ///< In all.
-    bool m_isWaitingForRate = false;  ///< Counted among those that wait for the same rates.
+    base::TimePoint m_permitRequestedAt{};
+    base::Duration m_permitWaited{};  ///< Sum over all permits of the request.
+    bool m_isWaitingForRate = false;  ///< Whether the request is counted under rateQueueKey().
     EngineTarget m_target;
     base::TimePoint m_arrivedAt{};
-    base::Duration m_stated{};  ///< What the caller waits.
+    base::Duration m_callerTimeout{};  ///< Time that the caller waits, as stated in its request.
     base::TimePoint m_deadline{};
     base::TimePoint m_waitBegan{};
     base::TimePoint m_waitDeadline{};
-    base::Duration m_waited{};       ///< For runners, before the last attempt.
-    base::TimePoint m_answeredAt{};  ///< When the head of the answer came.
+    base::Duration m_waited{};       ///< Time spent waiting for runners before the last attempt.
+    base::TimePoint m_answeredAt{};  ///< When the answer head was received.
     base::TimePoint m_attemptDeadline{};
-    std::uint64_t m_tokensToRead = 0;  ///< By the present attempt's runner.
-    std::uint32_t m_sent = 0;          ///< Attempts whose bytes left.
-    std::uint32_t m_unreachable = 0;   ///< Attempts that found no connection.
-    bool m_isAttemptSent = false;      ///< The present attempt's bytes left.
-    bool m_isPromptRead = true;        ///< The present attempt's answer has begun.
-    bool m_mayHaveRun = false;  ///< An attempt ended whose runner did not deny having run it.
-    bool m_isWaiting = false;   ///< For a runner.
-    bool m_isWaitingForRoutes = false;  ///< No configuration is known yet.
-    bool m_isWaitingForQuota = false;   ///< Units are asked for.
+    std::uint64_t m_prefillTokens = 0;  ///< Prompt tokens that the runner of the current attempt
+                                        ///< has to process.
+    std::uint32_t m_sentAttempts = 0;   ///< Attempts whose request was written to the runner.
+    std::uint32_t m_unreachableAttempts = 0;  ///< Attempts for which no connection could be opened.
+    bool m_isAttemptSent = false;  ///< Whether the request of the current attempt was written.
+    bool m_isPrefillDone = true;   ///< Whether the answer of the current attempt has begun.
+    bool m_mayHaveRun = false;  ///< Whether an attempt ended without a statement that the request
+                                ///< was not executed.
+    bool m_isWaiting = false;   ///< Waiting for a runner.
+    bool m_isWaitingForRoutes = false;  ///< Waiting for a configuration.
+    bool m_isWaitingForQuota = false;   ///< Waiting for a quota grant.
     bool m_isAnswerBegun = false;
     bool m_isEnded = false;
     std::string m_instance;
-    base::UnixMilliseconds m_instanceStart = 0;  ///< Of the incarnation; 0: it does not tell.
-    base::SocketAddress m_address;               ///< Of the instance.
-    bool m_hasBrokenOff = false;                 ///< A runner broke off an answer.
-    /// Once they were asked for.
-    mutable std::optional<std::uint64_t> m_outline;
+    base::UnixMilliseconds m_instanceStart = 0;  ///< Start of the incarnation; 0 if not stated.
+    base::SocketAddress m_address;               ///< Address of the instance.
+    bool m_hasBrokenAnswer = false;              ///< Whether a runner broke off an answer.
+    /// Computed on first use.
+    mutable std::optional<std::uint64_t> m_fingerprint;
     mutable std::optional<cell::RequestIdentity> m_identity;
     base::TimePoint m_attemptSentAt{};
-    /// Until when it waits for what a break meant; none: it does not wait for that.
-    std::optional<base::TimePoint> m_verdictDeadline;
+    /// Until when the request waits for a decision on whether it crashed a runner; none: no wait.
+    std::optional<base::TimePoint> m_suspectHoldDeadline;
     std::shared_ptr<http::BackEndConnection> m_connection;
     AnswerUse m_use = AnswerUse::kNone;
     http::AnswerHead m_head;
-    std::string m_collected;
+    std::string m_bufferedBody;
     std::optional<EventSplitter> m_events;
-    base::TimePoint m_lastEventAt{};  ///< Of any attempt; zero: none has come.
-    base::Duration m_longestPause{};  ///< Between events; late streams may owe it to this alone.
+    base::TimePoint m_lastEventAt{};  ///< Last event of any attempt; zero before the first.
+    base::Duration m_longestPause{};  ///< Longest gap between two events, logged as a possible sole
+                                      ///< cause of a late stream.
     QTimer m_timer;
 };
 
--- a/src/proxy/ExchangeAnswers.cpp
+++ b/src/proxy/ExchangeAnswers.cpp
@@ -1,4 +1,4 @@
-// What an exchange does with the answer of a runner.
+// Handling of the answer of a runner in an exchange.
 
 #include <algorithm>
 #include <utility>
@@ -12,31 +12,31 @@
 namespace
 {
 
-/// Answers up to this size are passed on once they are whole, so that a cut one can be replaced.
-constexpr std::size_t kCollectedBytes = 256UL * 1024;
+/// Answers up to this size are buffered until complete, so that a truncated one can be retried.
+constexpr std::size_t kMaxBufferedBytes = 256UL * 1024;
 constexpr int kMisdirected = 421;
 constexpr int kFirstErrorStatus = 400;
 constexpr int kFirstServerError = 500;
 
 }  // namespace
 
-void Exchange::notePromptRead()
+void Exchange::recordPrefillEnd()
 {
-    if (std::exchange (m_isPromptRead, true))
+    if (std::exchange (m_isPrefillDone, true))
         return;
-    if (isAtPresentIncarnation())
-        m_context.directory.onAnswerBegun (m_instance, m_tokensToRead);
-    m_context.loadReporter.onAnswerBegun (m_instance, m_tokensToRead);
+    if (isCurrentIncarnation())
+        m_context.directory.onAnswerBegun (m_instance, m_prefillTokens);
+    m_context.loadReporter.onAnswerBegun (m_instance, m_prefillTokens);
     if (! m_query.model.empty())
-        m_context.demands.onRead (m_target);
+        m_context.demands.onPrefillEnd (m_target);
 }
 
-void Exchange::noteLoad (const http::AnswerHead& head)
+void Exchange::recordLoad (const http::AnswerHead& head)
 {
     if (m_context.names.load.empty())
         return;
     const auto load = parseStatedLoad (head.headers.value (m_context.names.load));
-    if (! load || ! isAtPresentIncarnation())
+    if (! load || ! isCurrentIncarnation())
         return;
     m_context.directory.onLoad (m_instance, *load, now());
     if (load->slowdownPercent)
@@ -48,30 +48,30 @@
     return head.status == kMisdirected || head.headers.contains (m_context.names.notExecuted);
 }
 
-void Exchange::noteRate (const http::AnswerHead& head)
+void Exchange::recordRate (const http::AnswerHead& head)
 {
-    // Whoever says that it is not the runner meant may be another one at its address.
-    if (head.status == kMisdirected || ! isAtPresentIncarnation())
+    // A misdirected request may have been answered by another instance at the same address.
+    if (head.status == kMisdirected || ! isCurrentIncarnation())
         return;
-    RateObservation seen;
-    seen.instance = m_instance;
-    seen.startedAt = m_instanceStart;
-    seen.sentAt = m_attemptSentAt;
-    seen.isProper = head.status < kFirstServerError && ! isRefusal (head);
-    m_context.rates.onAnswer (seen, readStatedRate (head.headers, m_context.names.rateLimit),
+    RateObservation observation;
+    observation.instance = m_instance;
+    observation.startedAt = m_instanceStart;
+    observation.sentAt = m_attemptSentAt;
+    observation.isSuccess = head.status < kFirstServerError && ! isRefusal (head);
+    m_context.rates.onAnswer (observation, readStatedRate (head.headers, m_context.names.rateLimit),
                               now());
 }
 
 void Exchange::onHead (http::AnswerHead head)
 {
-    noteLoad (head);
-    noteRate (head);
-    notePromptRead();
-    if (isAtPresentIncarnation())
+    recordLoad (head);
+    recordRate (head);
+    recordPrefillEnd();
+    if (isCurrentIncarnation())
         m_context.directory.onBytes (m_instance, now());
     if (! m_isAnswerBegun)
         m_answeredAt = now();
-    noteProgress();
+    extendAttemptDeadline();
     m_head = std::move (head);
     if (isRefusal (m_head))
     {
@@ -79,7 +79,7 @@
         return;
     }
     if (m_events)
-    {  // A resumed stream keeps the head of its first runner.
+    {  // A resumed stream keeps the answer head of its first runner.
         const bool isStream = m_head.status < kFirstErrorStatus;
         m_use = isStream ? AnswerUse::kEvents : AnswerUse::kRetry;
         return;
@@ -96,24 +96,24 @@
     {
         m_use = AnswerUse::kEvents;
         m_events.emplace();
-        passHead();
+        forwardHead();
         return;
     }
-    const bool isSmall = ! m_head.hasLength || m_head.length <= kCollectedBytes;
-    m_use = isSmall ? AnswerUse::kCollect : AnswerUse::kPass;
+    const bool isSmall = ! m_head.hasLength || m_head.length <= kMaxBufferedBytes;
+    m_use = isSmall ? AnswerUse::kBuffer : AnswerUse::kForward;
     if (! isSmall)
-        passHead();
+        forwardHead();
 }
 
-void Exchange::passHead()
+void Exchange::forwardHead()
 {
     m_isAnswerBegun = true;
     const AnswerFraming framing{ m_head.hasLength, m_head.length };
-    m_caller.beginAnswer (m_head.status, passedAnswerHeaders (m_head.headers, m_context.names),
+    m_caller.beginAnswer (m_head.status, forwardedAnswerHeaders (m_head.headers, m_context.names),
                           framing);
 }
 
-void Exchange::passEvents (std::string_view events)
+void Exchange::forwardEvents (std::string_view events)
 {
     if (events.empty())
         return;
@@ -123,7 +123,7 @@
         return;
     const base::Duration pause = m_lastEventAt - earlier;
     m_longestPause = std::max (m_longestPause, pause);
-    // A pause that began at an earlier attempt tells nothing of this runner.
+    // A gap that began in an earlier attempt is not due to this runner.
     if (earlier >= m_attemptSentAt && ! m_query.model.empty())
     {
         m_context.loadReporter.onPause (m_instance, m_query.model, pause, m_events->count(),
@@ -133,25 +133,25 @@
 
 void Exchange::onBody (std::string_view data)
 {
-    if (isAtPresentIncarnation())
+    if (isCurrentIncarnation())
         m_context.directory.onBytes (m_instance, now());
-    noteProgress();
+    extendAttemptDeadline();
     switch (m_use)
     {
-        case AnswerUse::kCollect:
-            m_collected.append (data);
-            if (m_collected.size() > kCollectedBytes)
+        case AnswerUse::kBuffer:
+            m_bufferedBody.append (data);
+            if (m_bufferedBody.size() > kMaxBufferedBytes)
             {
-                m_use = AnswerUse::kPass;
-                passHead();
-                m_caller.writeBody (std::exchange (m_collected, {}));
+                m_use = AnswerUse::kForward;
+                forwardHead();
+                m_caller.writeBody (std::exchange (m_bufferedBody, {}));
             }
             return;
-        case AnswerUse::kPass:
+        case AnswerUse::kForward:
             m_caller.writeBody (data);
             return;
         case AnswerUse::kEvents:
-            passEvents (m_events->feed (data));
+            forwardEvents (m_events->feed (data));
             return;
         case AnswerUse::kNone:
         case AnswerUse::kRefusal:
@@ -173,10 +173,9 @@
                 m_context.directory.onNotHeld (m_instance, m_query.model, m_query.adapter, now());
             }
             endAttempt (isNotHeld ? AttemptEnd::kNotHeld : AttemptEnd::kRefused, true);
-            // A runner that does not hold what it was asked for, or is another instance, is no
-            // attempt.
+            // A misdirected request was not executed and does not count as an attempt.
             if (isNotHeld)
-                --m_sent;
+                --m_sentAttempts;
             afterRefusal();
             return;
         }
@@ -191,18 +190,19 @@
 
 void Exchange::finishAnswer()
 {
-    if (m_use == AnswerUse::kCollect)
+    if (m_use == AnswerUse::kBuffer)
     {
-        m_caller.sendAnswer (m_head.status, passedAnswerHeaders (m_head.headers, m_context.names),
-                             m_collected);
+        m_caller.sendAnswer (m_head.status,
+                             forwardedAnswerHeaders (m_head.headers, m_context.names),
+                             m_bufferedBody);
     }
     else
     {
         if (m_use == AnswerUse::kEvents)
-            m_caller.writeBody (m_events->rest());
+            m_caller.writeBody (m_events->incompleteBytes());
         m_caller.endAnswer();
     }
-    if (standing().isSuspect())
+    if (suspectStatus().isSuspect())
         m_context.suspects.onWholeAnswer (identity());
     const bool isFailure = m_head.status >= kFirstServerError;
     endAttempt (isFailure ? AttemptEnd::kFailed : AttemptEnd::kAnswered, true);
--- a/src/proxy/ExchangeEnds.cpp
+++ b/src/proxy/ExchangeEnds.cpp
@@ -1,4 +1,4 @@
-// How an exchange ends without a runner's answer, and what is logged of it.
+// Ends of an exchange without an answer of a runner, and the log lines about it.
 
 #include <array>
 #include <cstdio>
@@ -14,7 +14,7 @@
 
 using base::ErrorKind;
 
-/// After which a caller reaches another router.
+/// Retry-After time of a stopping router; the caller then reaches another router.
 constexpr base::Duration kRetryElsewhere = base::milliseconds (50);
 
 std::string retryAfterText (base::Duration duration)
@@ -46,8 +46,8 @@
           { "runner", m_instance },
           { "table", m_context.directory.version() },
           { "table_age_ms", m_context.directory.ageMilliseconds (now()) },
-          { "attempts", m_sent },
-          { "unreachable", m_unreachable },
+          { "attempts", m_sentAttempts },
+          { "unreachable", m_unreachableAttempts },
           { "waited_ms", base::toMilliseconds (m_waited) },
           { "permit_wait_ms", base::toMilliseconds (m_permitWaited) },
           { "target_ms", m_route == nullptr ? -1 : base::toMilliseconds (m_route->targetLatency) },
@@ -55,19 +55,19 @@
           { "head_ms", sinceArrival (m_answeredAt) },
           { "longest_pause_ms", base::toMilliseconds (m_longestPause) },
           { "total_ms", sinceArrival (now()) },
-          { "caller", m_hasBrokenOff ? callerName() : std::string() },
-          { "identity", brokenIdentity() },
+          { "caller", m_hasBrokenAnswer ? callerName() : std::string() },
+          { "identity", loggedIdentity() },
           { "cause", cause } });
 }
 
-void Exchange::logMove (log::Event event) const
+void Exchange::logResend (log::Event event) const
 {
     log::write (event,
                 { { "request", m_request.headers.value (m_context.names.requestId) },
                   { "from_runner", m_instance },
                   { "status", m_head.status },
-                  { "attempts", m_sent },
-                  { "identity", brokenIdentity() },
+                  { "attempts", m_sentAttempts },
+                  { "identity", loggedIdentity() },
                   { "last_event", m_events ? m_events->lastId().value_or ("") : std::string() } });
 }
 
@@ -85,10 +85,11 @@
     sendError ({ kind, message }, std::nullopt);
 }
 
-void Exchange::endUnserved (ErrorKind kind, const std::string& message, base::Duration retryAfter)
+void Exchange::endWithoutRunner (ErrorKind kind, const std::string& message,
+                                 base::Duration retryAfter)
 {
     if (m_isAnswerBegun)
-        cut();
+        abortAnswer();
     else if (m_mayHaveRun)
         fail (ErrorKind::kUpstreamBroken, "no other runner could take the request in time");
     else
@@ -107,7 +108,7 @@
     end();
 }
 
-void Exchange::cut()
+void Exchange::abortAnswer()
 {
     ++m_context.counters.failed;
     logEnd (log::Event::kRequestFailed, "the stream broke off and cannot go on");
@@ -115,23 +116,23 @@
     end();
 }
 
-void Exchange::onRouterEnding()
+void Exchange::onRouterStopping()
 {
     if (m_isEnded || ! isWaiting())
         return;
     if (m_isAnswerBegun)
-        cut();
+        abortAnswer();
     else if (m_mayHaveRun)
         fail (ErrorKind::kUpstreamBroken, "this router is stopping");
     else
         refuse (ErrorKind::kStopping, "this router is stopping", kRetryElsewhere);
 }
 
-void Exchange::onCallerLeft()
+void Exchange::onCallerDisconnected()
 {
     if (m_isEnded)
         return;
-    ++m_context.counters.left;
+    ++m_context.counters.disconnected;
     logEnd (log::Event::kCallerLeft, "the caller left");
     if (m_connection)
         endAttempt (AttemptEnd::kAbandoned, false);
@@ -144,7 +145,7 @@
         return;
     m_timer.stop();
     m_context.quotas.giveUp (m_quota);
-    m_wanted.reset();
+    m_permitChoice.reset();
     m_context.rates.giveUp (m_permit);
     endWait();
     m_onEnd (*this);
--- a/src/proxy/ExchangeQuarantine.cpp
+++ b/src/proxy/ExchangeQuarantine.cpp
@@ -1,4 +1,4 @@
-// What an exchange does about runners that ended under its request.
+// Handling of suspect requests, under which runners crashed, in an exchange.
 
 #include <algorithm>
 #include <optional>
@@ -11,24 +11,24 @@
 namespace
 {
 
-/// After a runner broke off, so long until the request or a copy of it is sent although it is not
-/// known yet whether the runner has ended and what other routers saw. A look at the runner takes
-/// two ways, the commit of what was found some 20 ms.
+/// Longest time after a broken answer for which the request and its copies wait for the probe of
+/// the runner and for the reports of other routers. A probe takes one round trip, the commit of its
+/// result some 20 ms.
 constexpr base::Duration kLongestWaitForVerdict = base::milliseconds (100);
-/// The same for what other routers saw of the runner to which all copies go, when one more end
-/// would put the request into quarantine. An election takes up to 0.8 s, and routers tell the new
-/// leader 0.5 s later at the latest.
+/// Longest wait for the reports of other routers on an unreachable isolation runner, when one more
+/// crash would put the request into quarantine. An election takes up to 0.8 s, and routers report
+/// to the new leader within another 0.5 s.
 constexpr base::Duration kLongestWaitForTrial = base::milliseconds (1500);
 
-/// Until when the request waits before it is sent to a runner; none: it does not.
-std::optional<base::TimePoint> heldUntil (const quarantine::Standing& standing)
+/// Time until which the request is not sent to a runner; none: it may be sent now.
+std::optional<base::TimePoint> heldUntil (const quarantine::Standing& suspectStatus)
 {
     std::optional<base::TimePoint> until;
-    // Copies wait like retries: each that is sent meanwhile may end one more runner.
-    if (standing.isUndecided())
-        until = *standing.undecidedSince + kLongestWaitForVerdict;
-    if (standing.trialGoneSince)
-        until = std::max (until, { *standing.trialGoneSince + kLongestWaitForTrial });
+    // Copies wait like retries, because each copy sent in the meantime may crash one more runner.
+    if (suspectStatus.isUndecided())
+        until = *suspectStatus.undecidedSince + kLongestWaitForVerdict;
+    if (suspectStatus.trialGoneSince)
+        until = std::max (until, { *suspectStatus.trialGoneSince + kLongestWaitForTrial });
     return until;
 }
 
@@ -51,33 +51,33 @@
     return *m_identity;
 }
 
-std::string Exchange::brokenIdentity() const
+std::string Exchange::loggedIdentity() const
 {
-    return m_hasBrokenOff ? identity().digest : std::string();
+    return m_hasBrokenAnswer ? identity().digest : std::string();
 }
 
-quarantine::Standing Exchange::standing() const
+quarantine::Standing Exchange::suspectStatus() const
 {
     if (m_context.suspects.isEmpty())
         return {};
-    if (! m_outline)
-        m_outline = outlineOf (m_request, tenantName());
-    return m_context.suspects.mayKnow (*m_outline) ? m_context.suspects.standingOf (identity())
-                                                   : quarantine::Standing();
+    if (! m_fingerprint)
+        m_fingerprint = fingerprintOf (m_request, tenantName());
+    return m_context.suspects.mayKnow (*m_fingerprint) ? m_context.suspects.standingOf (identity())
+                                                       : quarantine::Standing();
 }
 
-bool Exchange::isHeldBack (const quarantine::Standing& standing)
+bool Exchange::isBlockedAsSuspect (const quarantine::Standing& suspectStatus)
 {
-    m_verdictDeadline.reset();
-    if (standing.isInQuarantine())
+    m_suspectHoldDeadline.reset();
+    if (suspectStatus.isInQuarantine())
     {
-        refuseQuarantined (standing);
+        refuseQuarantined (suspectStatus);
         return true;
     }
-    const std::optional<base::TimePoint> deadline = heldUntil (standing);
+    const std::optional<base::TimePoint> deadline = heldUntil (suspectStatus);
     if (! deadline || now() >= *deadline)
         return false;
-    m_verdictDeadline = deadline;
+    m_suspectHoldDeadline = deadline;
     armTimer();
     return true;
 }
@@ -86,24 +86,24 @@
 {
     if (m_isEnded)
         return;
-    if (m_verdictDeadline)
+    if (m_suspectHoldDeadline)
     {
-        tryNext();
+        dispatchNext();
         return;
     }
     if (! m_connection)
         return;
-    const quarantine::Standing known = standing();
+    const quarantine::Standing known = suspectStatus();
     if (! known.isInQuarantine())
         return;
     endAttempt (AttemptEnd::kAbandoned, false);
     refuseQuarantined (known);
 }
 
-void Exchange::noteBrokenOff()
+void Exchange::recordBrokenAnswer()
 {
-    m_hasBrokenOff = true;
-    // One that said that it leaves ends by its plan, and not under this request.
+    m_hasBrokenAnswer = true;
+    // The end of a draining runner is planned and not caused by this request.
     if (! m_isAttemptSent || m_context.directory.isDraining (m_instance))
         return;
     const std::string incarnation = cell::Incarnation{ m_instance, m_instanceStart }.name();
@@ -111,22 +111,22 @@
     m_context.checkRunner (incarnation, m_address);
 }
 
-void Exchange::noteTrialUnreachable()
+void Exchange::recordIsolationRunnerUnreachable()
 {
     const std::string incarnation = cell::Incarnation{ m_instance, m_instanceStart }.name();
     m_context.suspects.onTrialUnreachable (identity(), incarnation, now());
 }
 
-void Exchange::refuseQuarantined (const quarantine::Standing& standing)
+void Exchange::refuseQuarantined (const quarantine::Standing& suspectStatus)
 {
     ++m_context.counters.quarantined;
     log::write (log::Event::kQuarantinedRequestRefused,
                 { { "request", m_request.headers.value (m_context.names.requestId) },
                   { "identity", identity().digest },
                   { "caller", callerName() },
-                  { "ends", standing.ends } });
+                  { "ends", suspectStatus.ends } });
     if (m_isAnswerBegun)
-        cut();
+        abortAnswer();
     else
         fail (base::ErrorKind::kRequestQuarantined,
               "runners ended one after the other under this request");
--- a/src/proxy/ExchangeRateTest.cpp
+++ b/src/proxy/ExchangeRateTest.cpp
@@ -1,4 +1,4 @@
-// Requests before runners that state a rate; the test plays the leader that grants permits.
+// Requests to runners with a rate limit; the test acts as the leader that grants permits.
 
 #include <gtest/gtest.h>
 
@@ -15,7 +15,7 @@
 class ExchangeRateTest : public ::testing::Test
 {
 protected:
-    /// The leader tells which runners are limited to two requests a second.
+    /// Sends the leader's table that limits the given runners to two requests per second.
     void limit (const std::vector<std::string>& runners)
     {
         cell::InstanceRateUpdate table{ 1, ++m_version, true, {} };
@@ -23,13 +23,13 @@
             table.limited.push_back ({ runner, 0, 2, 0 });
         proxy.rates.apply (table, proxy.clock.now());
     }
-    /// Sends a request and lets the router look for a runner.
+    /// Sends a request and lets the router choose a runner.
     static void send (RawCaller& caller, const std::string& host)
     {
         caller.write (ProxyFixture::request (host));
         runFor (std::chrono::milliseconds (20));
     }
-    /// Answers what the router asks for; returns how many permits it asked for.
+    /// Answers the permit request of the router. Returns the number of permits requested.
     std::size_t answer (std::uint64_t units, std::int64_t waitMilliseconds)
     {
         const auto request = proxy.rates.takeRequest (proxy.clock.now());
@@ -68,7 +68,7 @@
     runner.connections[0]->write (kAnswer);
     ASSERT_TRUE (caller.waitFor ("hello"));
     EXPECT_NE (caller.received().find ("Test-Rate: 2"), std::string::npos)
-        << "callers see what the runner says";
+        << "the rate field is forwarded to callers";
 }
 
 TEST_F (ExchangeRateTest, WithoutAPermitARequestGoesToAnotherRunner)
@@ -83,7 +83,7 @@
     EXPECT_TRUE (runner.connections.empty());
 }
 
-TEST_F (ExchangeRateTest, ALeaderThatDoesNotAnswerHoldsARequestUpForAMoment)
+TEST_F (ExchangeRateTest, UnansweredPermitRequestDelaysRequestBriefly)
 {
     proxy.addRunner ("i-1", runner);
     proxy.addRunner ("i-2", other);
@@ -95,7 +95,7 @@
     EXPECT_TRUE (other.waitForRequest());
 }
 
-TEST_F (ExchangeRateTest, WhatCannotBeServedInTimeIsRefusedAtOnceWithTheTimeOfRoom)
+TEST_F (ExchangeRateTest, RefusesAtOnceWithRetryAfterOfNextCapacity)
 {
     proxy.addRunner ("i-1", runner);
     limit ({ "i-1" });
@@ -109,11 +109,12 @@
     EXPECT_TRUE (runner.connections.empty());
 }
 
-TEST_F (ExchangeRateTest, RequestsBeyondTheRateOfTheirTimeAreRefusedAtOnce)
+TEST_F (ExchangeRateTest, RefusesRequestsBeyondRateAtOnce)
 {
     proxy.addRunner ("i-1", runner);
     limit ({ "i-1" });
-    // Wait as long as others do that find no runner; two a second are served meanwhile.
+    // The first requests wait as long as any request without a runner, while two per second are
+    // served.
     constexpr std::size_t kRequests = 20;
     std::vector<std::unique_ptr<RawCaller>> callers;
     for (std::size_t number = 0; number < kRequests; ++number)
@@ -131,7 +132,7 @@
     EXPECT_LT (refused, kRequests);
 }
 
-TEST_F (ExchangeRateTest, ACallerThatLeavesWhileItWaitsAsksForNoPermitAnyMore)
+TEST_F (ExchangeRateTest, DisconnectedCallerRequestsNoPermit)
 {
     proxy.addRunner ("i-1", runner);
     limit ({ "i-1" });
--- a/src/proxy/ExchangeRates.cpp
+++ b/src/proxy/ExchangeRates.cpp
@@ -1,5 +1,5 @@
-// How an exchange finds a runner, with regard to runners that state how many requests a second they
-// take: a request goes to one of them with a permit, waits for its turn, or ends.
+// Choice of a runner in an exchange under the request rates stated by runners: a request to a rate-
+// limited runner needs a permit, waits for its turn, or ends.
 
 #include <limits>
 #include <utility>
@@ -17,15 +17,15 @@
 
 void Exchange::chooseRunner()
 {
-    // Each refusal of a permit leaves one runner less to choose from.
+    // Terminates because each refused permit excludes one more runner.
     while (true)
     {
         InstanceChoice choice;
-        choice.reason = NoChoice::kUnconfirmed;
+        choice.reason = NoRunnerReason::kUnconfirmed;
         m_query.draw = m_context.random.uniformReal();
         if (m_context.freshness() == Freshness::kConfirmed)
             choice = m_context.directory.choose (m_query, now());
-        if (choice.reason != NoChoice::kNone)
+        if (choice.reason != NoRunnerReason::kNone)
         {
             beginWait (choice);
             return;
@@ -39,8 +39,8 @@
             return;
         }
         m_permit.account = choice.id;
-        m_permitAskedAt = now();
-        m_wanted = std::move (choice);
+        m_permitRequestedAt = now();
+        m_permitChoice = std::move (choice);
         if (takePermit())
             return;
     }
@@ -54,9 +54,9 @@
         armTimer();
         return true;
     }
-    const InstanceChoice choice = std::move (*m_wanted);
-    m_wanted.reset();
-    m_permitWaited += now() - m_permitAskedAt;
+    const InstanceChoice choice = std::move (*m_permitChoice);
+    m_permitChoice.reset();
+    m_permitWaited += now() - m_permitRequestedAt;
     const bool mayStart = answer == quota::QuotaAnswer::kGranted
                           && m_context.freshness() == Freshness::kConfirmed
                           && m_context.directory.mayStillServe (choice.id, m_query, now());
@@ -67,14 +67,14 @@
     return true;
 }
 
-bool Exchange::refuseBeyondRates (const InstanceChoice& choice)
+bool Exchange::refuseIfRateLimited (const InstanceChoice& choice)
 {
-    if (choice.reason != NoChoice::kRateLimited)
+    if (choice.reason != NoRunnerReason::kRateLimited)
         return false;
     base::Duration wait = choice.rateWait;
     if (! std::exchange (m_isWaitingForRate, true))
     {
-        const std::uint32_t ahead = m_context.rates.waitingFor (rateQueue())++;
+        const std::uint32_t ahead = m_context.rates.waitingFor (rateQueueKey())++;
         const std::chrono::duration<double> queue (ahead / choice.ratePerSecond);
         wait += std::chrono::duration_cast<base::Duration> (queue);
     }
@@ -82,15 +82,15 @@
         return false;
     endWait();
     if (! m_query.model.empty())
-        m_context.demands.onTurnedAway (m_target);
-    endUnserved (ErrorKind::kNoCapacity, "all runners get as many requests as they state to take",
-                 wait);
+        m_context.demands.onRefusedAtOnce (m_target);
+    endWithoutRunner (ErrorKind::kNoCapacity,
+                      "all runners get as many requests as they state to take", wait);
     return true;
 }
 
-std::string Exchange::rateQueue() const { return m_query.service + "/" + m_query.model; }
+std::string Exchange::rateQueueKey() const { return m_query.service + "/" + m_query.model; }
 
-std::pair<int, base::TimePoint> Exchange::turn() const
+std::pair<int, base::TimePoint> Exchange::queueOrder() const
 {
     if (m_route == nullptr)
         return { std::numeric_limits<int>::max(), m_arrivedAt };
--- a/src/proxy/ExchangeTest.cpp
+++ b/src/proxy/ExchangeTest.cpp
@@ -19,7 +19,7 @@
     StubRunner other;
 };
 
-TEST_F (ExchangeTest, PassesMethodTargetBodyAndEndToEndFieldsOn)
+TEST_F (ExchangeTest, ForwardsMethodTargetBodyAndEndToEndFields)
 {
     proxy.addRunner ("i-1", runner);
     RawCaller caller (proxy.listening);
@@ -36,7 +36,7 @@
     EXPECT_NE (caller.received().find ("X-Own: 1\r\n"), std::string::npos);
 }
 
-/// The identity of ProxyFixture::request().
+/// Identity of ProxyFixture::request().
 cell::RequestIdentity identityOfRequest (const std::string& host)
 {
     ParsedRequest request;
@@ -71,7 +71,7 @@
     EXPECT_EQ (runner.connections.size(), 1);
 }
 
-TEST_F (ExchangeTest, ACopyThatRunsIsCancelledOnceTheRequestIsInQuarantine)
+TEST_F (ExchangeTest, CancelsRunningCopyOnceRequestIsInQuarantine)
 {
     proxy.addRunner ("i-1", runner);
     RawCaller caller (proxy.listening);
@@ -83,7 +83,7 @@
     EXPECT_TRUE (waitUntil ([&] { return runner.connections[0]->isClosed(); }));
 }
 
-TEST_F (ExchangeTest, CopiesOfASuspectMeetAtOneRunnerThatDidNotEndUnderIt)
+TEST_F (ExchangeTest, SendsCopiesOfSuspectToOneRunnerThatDidNotCrash)
 {
     proxy.addRunner ("i-1", runner);
     proxy.addRunner ("i-2", other);
@@ -97,7 +97,7 @@
     EXPECT_TRUE (runner.connections.empty());
 }
 
-TEST_F (ExchangeTest, ARetryAfterABreakWaitsAMomentForWhatTheBreakMeant)
+TEST_F (ExchangeTest, RetryAfterBrokenAnswerWaitsForProbeResult)
 {
     proxy.addRunner ("i-1", runner);
     proxy.addRunner ("i-2", other);
@@ -115,7 +115,7 @@
     ASSERT_TRUE (other.waitForRequest());
 }
 
-TEST_F (ExchangeTest, ARetryAfterABreakDoesNotWaitForLongWithoutAController)
+TEST_F (ExchangeTest, RetryAfterBrokenAnswerStopsWaitingWithoutController)
 {
     proxy.addRunner ("i-1", runner);
     proxy.addRunner ("i-2", other);
@@ -126,9 +126,9 @@
     ASSERT_TRUE (other.waitForRequest());
 }
 
-// Copies that came while it was not known yet what a break meant went to one more runner each, and
-// ended it.
-TEST_F (ExchangeTest, ACopyThatComesAfterABreakWaitsAMomentForWhatTheBreakMeant)
+// Guards against crashes of further runners: copies that arrived before it was known whether a
+// runner had crashed were each sent to another runner and crashed it.
+TEST_F (ExchangeTest, CopyAfterBrokenAnswerWaitsForProbeResult)
 {
     proxy.addRunner ("i-1", runner);
     proxy.suspects.onBrokenOff (identityOfRequest ("app.test"), "gone", proxy.clock.now(),
@@ -142,7 +142,7 @@
     ASSERT_TRUE (runner.waitForRequest());
 }
 
-TEST_F (ExchangeTest, ACopyThatComesAfterABreakDoesNotWaitForLongWithoutAController)
+TEST_F (ExchangeTest, CopyAfterBrokenAnswerStopsWaitingWithoutController)
 {
     proxy.addRunner ("i-1", runner);
     proxy.suspects.onBrokenOff (identityOfRequest ("app.test"), "gone", proxy.clock.now(),
@@ -152,12 +152,13 @@
     ASSERT_TRUE (runner.waitForRequest());
 }
 
-// No leader was there to tell this router of the third end, which another one had seen. It found
-// the runner of all copies gone, sent the request on to the next one and ended that too.
+// Guards against a suspect request that crashes a runner beyond the limit. Another router had seen
+// the third crash, but without a leader this router was not notified of it. It found the isolation
+// runner gone, sent the request to the next runner and crashed that one too.
 class ExchangeOfSuspectTest : public ExchangeTest
 {
 protected:
-    /// Two runners ended under the request; the third one, to which all its copies go, is gone.
+    /// Two runners crashed under the request; the third one, its isolation runner, is gone.
     void SetUp() override
     {
         proxy.addRunner ("i-1", runner);
@@ -165,16 +166,16 @@
         proxy.suspects.apply (suspectUpdate (1, "app.test", 2, { "a", "b" }), proxy.clock.now());
         InstanceQuery query;
         query.service = "service";
-        query.trial = identityOfRequest ("app.test").digest;
-        gone = proxy.directory.choose (query, proxy.clock.now()).id;
-        (gone == "i-1" ? runner : other).stopListening();
+        query.isolationKey = identityOfRequest ("app.test").digest;
+        crashed = proxy.directory.choose (query, proxy.clock.now()).id;
+        (crashed == "i-1" ? runner : other).stopListening();
     }
-    [[nodiscard]] StubRunner& left() { return gone == "i-1" ? other : runner; }
+    [[nodiscard]] StubRunner& remaining() { return crashed == "i-1" ? other : runner; }
 
-    std::string gone;
+    std::string crashed;
 };
 
-TEST_F (ExchangeOfSuspectTest, WaitsForWhatOtherRoutersSawOfItsRunner)
+TEST_F (ExchangeOfSuspectTest, WaitsForReportsOfOtherRoutersOnIsolationRunner)
 {
     RawCaller caller (proxy.listening);
     caller.write (ProxyFixture::request ("app.test"));
@@ -182,24 +183,25 @@
     RawCaller copy (proxy.listening);
     copy.write (ProxyFixture::request ("app.test", "r2"));
     runFor (std::chrono::milliseconds (300));
-    EXPECT_TRUE (left().connections.empty());
-    proxy.suspects.apply (suspectUpdate (2, "app.test", 3, { "a", "b", gone }), proxy.clock.now());
+    EXPECT_TRUE (remaining().connections.empty());
+    proxy.suspects.apply (suspectUpdate (2, "app.test", 3, { "a", "b", crashed }),
+                          proxy.clock.now());
     proxy.server.onSuspectsChanged();
     ASSERT_TRUE (caller.waitFor ("HTTP/1.1 502"));
     ASSERT_TRUE (copy.waitFor ("HTTP/1.1 502"));
-    EXPECT_TRUE (left().connections.empty());
+    EXPECT_TRUE (remaining().connections.empty());
 }
 
-TEST_F (ExchangeOfSuspectTest, IsServedElsewhereWhenNobodyTellsOfAnEnd)
+TEST_F (ExchangeOfSuspectTest, IsServedByAnotherRunnerWithoutReportOfCrash)
 {
     RawCaller caller (proxy.listening);
     caller.write (ProxyFixture::request ("app.test"));
-    ASSERT_TRUE (left().waitForRequest());
-    left().connections[0]->write (kAnswer);
+    ASSERT_TRUE (remaining().waitForRequest());
+    remaining().connections[0]->write (kAnswer);
     ASSERT_TRUE (caller.waitFor ("hello"));
 }
 
-TEST_F (ExchangeTest, AWholeAnswerToASuspectAcquitsIt)
+TEST_F (ExchangeTest, CompleteAnswerClearsSuspect)
 {
     proxy.addRunner ("i-1", runner);
     proxy.suspects.apply (suspectUpdate (1, "app.test", 2, { "a", "b" }), proxy.clock.now());
@@ -214,7 +216,7 @@
                std::vector<std::string>{ identityOfRequest ("app.test").digest });
 }
 
-TEST_F (ExchangeTest, ARunnerThatSaidThatItLeavesIsNoEvidence)
+TEST_F (ExchangeTest, EndOfDrainingRunnerIsNoEvidence)
 {
     proxy.addRunner ("i-1", runner);
     RawCaller caller (proxy.listening);
@@ -226,7 +228,7 @@
     EXPECT_TRUE (proxy.suspects.isEmpty());
 }
 
-/// The catalogue with one tenant, on all routes but the public "once.test".
+/// Catalogue with one tenant for all routes except the public "once.test".
 config::ServiceCatalogue catalogueWithTenant (const std::string& key)
 {
     config::ServiceCatalogue catalogue = ProxyFixture::catalogue();
@@ -240,7 +242,7 @@
     return catalogue;
 }
 
-TEST_F (ExchangeTest, AKnownKeyIsReplacedByTheNameAndPriorityOfItsTenant)
+TEST_F (ExchangeTest, ReplacesKnownKeyByNameAndPriorityOfTenant)
 {
     proxy.context.routes = std::make_shared<const RouteTable> (2, catalogueWithTenant ("k1"));
     proxy.addRunner ("i-1", runner);
@@ -266,7 +268,7 @@
     EXPECT_TRUE (runner.connections.empty());
 }
 
-TEST_F (ExchangeTest, APublicRouteNeedsNoKeyAndPassesNoneOn)
+TEST_F (ExchangeTest, PublicRouteNeedsNoKeyAndForwardsNone)
 {
     proxy.context.routes = std::make_shared<const RouteTable> (2, catalogueWithTenant ("k1"));
     proxy.addRunner ("i-1", runner);
@@ -292,7 +294,7 @@
     ASSERT_TRUE (runner.waitForRequest (0, "body"));
 }
 
-/// The tenant of catalogueWithTenant with a limit of tokens.
+/// Catalogue of catalogueWithTenant() with a token quota for the tenant.
 config::ServiceCatalogue catalogueWithQuota()
 {
     config::ServiceCatalogue catalogue = catalogueWithTenant ("k1");
@@ -318,7 +320,7 @@
     ASSERT_TRUE (runner.waitForRequest (0, "body"));
 }
 
-TEST_F (ExchangeTest, ARequestOverTheQuotaIsRefusedAtOnceWithTheTimeOfTheNextUnits)
+TEST_F (ExchangeTest, RefusesRequestOverQuotaWithRetryAfterOfNextUnits)
 {
     proxy.context.routes = std::make_shared<const RouteTable> (2, catalogueWithQuota());
     proxy.addRunner ("i-1", runner);
@@ -335,7 +337,7 @@
     EXPECT_EQ (proxy.counters.overQuota, 1U);
 }
 
-TEST_F (ExchangeTest, ARequestIsAdmittedFromTheRoutersOwnShareWhenNoGrantComes)
+TEST_F (ExchangeTest, AdmitsRequestFromFallbackShareWithoutGrant)
 {
     proxy.context.routes = std::make_shared<const RouteTable> (2, catalogueWithQuota());
     proxy.quotas.setRouters (1);
@@ -347,7 +349,7 @@
     ASSERT_TRUE (runner.waitForRequest (0, "body"));
 }
 
-TEST_F (ExchangeTest, AChunkedAnswerCutAtAChunkIsNeverWhole)
+TEST_F (ExchangeTest, ChunkedAnswerTruncatedAtChunkIsIncomplete)
 {
     proxy.addRunner ("i-1", runner);
     RawCaller caller (proxy.listening);
@@ -360,7 +362,7 @@
     ASSERT_TRUE (caller.waitFor ("HTTP/1.1 502"));
 }
 
-TEST_F (ExchangeTest, AnAnswerWithoutLengthIsWholeOnlyWhenItsConnectionClosesInGoodOrder)
+TEST_F (ExchangeTest, AnswerWithoutLengthIsCompleteAfterOrderlyClose)
 {
     proxy.addRunner ("i-1", runner);
     RawCaller caller (proxy.listening);
@@ -373,7 +375,7 @@
     EXPECT_NE (caller.received().find ("HTTP/1.1 200"), std::string::npos);
 }
 
-TEST_F (ExchangeTest, AnAnswerWithoutLengthIsNotWholeAfterAReset)
+TEST_F (ExchangeTest, AnswerWithoutLengthIsIncompleteAfterReset)
 {
     proxy.addRunner ("i-1", runner);
     RawCaller caller (proxy.listening);
@@ -386,7 +388,7 @@
     EXPECT_EQ (caller.received().find ("hello"), std::string::npos);
 }
 
-TEST_F (ExchangeTest, AnAnswerWithAnotherIdIsDroppedAndTheRightOneTaken)
+TEST_F (ExchangeTest, DiscardsAnswerWithWrongRequestId)
 {
     proxy.addRunner ("i-1", runner);
     RawCaller caller (proxy.listening);
@@ -398,7 +400,7 @@
     EXPECT_EQ (caller.received().find ("wrong"), std::string::npos);
 }
 
-TEST_F (ExchangeTest, AConnectionWithSurplusBytesIsNotUsedAgain)
+TEST_F (ExchangeTest, DoesNotReuseConnectionWithSurplusBytes)
 {
     proxy.addRunner ("i-1", runner);
     RawCaller caller (proxy.listening);
@@ -410,7 +412,7 @@
     ASSERT_TRUE (runner.waitForRequest (1));
 }
 
-TEST_F (ExchangeTest, AWholeAnswerLetsTheConnectionBeUsedAgain)
+TEST_F (ExchangeTest, ReusesConnectionAfterCompleteAnswer)
 {
     proxy.addRunner ("i-1", runner);
     RawCaller caller (proxy.listening);
@@ -423,7 +425,7 @@
     EXPECT_EQ (runner.connections.size(), 1U);
 }
 
-TEST_F (ExchangeTest, ARepeatableRequestOnAConnectionThatWentSilentGoesToANewOne)
+TEST_F (ExchangeTest, RetriesRepeatableRequestOnNewConnectionAfterSilence)
 {
     proxy.addRunner ("i-1", runner);
     RawCaller caller (proxy.listening);
@@ -439,7 +441,7 @@
     runner.connections[1]->write (answer);
     ASSERT_TRUE (caller.waitFor ("hello"));
     ASSERT_TRUE (second.waitFor ("hello"));
-    // Both rest, and both are silent from now on; the runner takes new connections.
+    // Both connections are idle and silent from now on; the runner accepts new ones.
     caller.write (ProxyFixture::request ("app.test", "r2"));
     ASSERT_TRUE (runner.waitForRequest (2, "Test-Id: r2"));
     runner.connections[2]->write (
@@ -448,18 +450,18 @@
     EXPECT_EQ (runner.connections.size(), 3U);
 }
 
-TEST_F (ExchangeTest, ARequestThatMayRunOnceWaitsOnAConnectionThatWentSilent)
+TEST_F (ExchangeTest, AtMostOnceRequestWaitsOnSilentConnection)
 {
     proxy.addRunner ("i-1", runner);
     RawCaller caller (proxy.listening);
     caller.write (ProxyFixture::request ("once.test"));
     ASSERT_TRUE (runner.waitForRequest());
     runFor (std::chrono::milliseconds (2000));
-    EXPECT_EQ (runner.connections.size(), 1U) << "it may run there";
+    EXPECT_EQ (runner.connections.size(), 1U) << "the request may have been executed";
     EXPECT_FALSE (caller.isClosed());
 }
 
-TEST_F (ExchangeTest, ARequestThatMayRunOnceIsNotSentAgainAfterALostAnswer)
+TEST_F (ExchangeTest, AtMostOnceRequestIsNotResentAfterLostAnswer)
 {
     proxy.addRunner ("i-1", runner);
     proxy.addRunner ("i-2", other);
@@ -474,7 +476,7 @@
     EXPECT_EQ (runner.connections.size() + other.connections.size(), 1U);
 }
 
-TEST_F (ExchangeTest, ARepeatableRequestIsSentElsewhereAfterALostAnswer)
+TEST_F (ExchangeTest, RepeatableRequestIsResentAfterLostAnswer)
 {
     proxy.addRunner ("i-1", runner);
     proxy.addRunner ("i-2", other);
@@ -491,7 +493,7 @@
     EXPECT_TRUE (caller.waitFor ("hello"));
 }
 
-TEST_F (ExchangeTest, ARefusalOfTheRunnerIsPassedOnAsNotRunWithATimeToComeBack)
+TEST_F (ExchangeTest, ForwardsRefusalAsNotExecutedWithRetryAfter)
 {
     proxy.addRunner ("i-1", runner);
     RawCaller caller (proxy.listening);
@@ -504,7 +506,7 @@
     EXPECT_NE (caller.received().find ("Retry-After: "), std::string::npos);
 }
 
-TEST_F (ExchangeTest, TheRunnersWorkIsCancelledWhenTheCallerLeaves)
+TEST_F (ExchangeTest, CancelsAttemptWhenCallerDisconnects)
 {
     proxy.addRunner ("i-1", runner);
     RawCaller caller (proxy.listening);
@@ -514,7 +516,7 @@
     EXPECT_TRUE (waitUntil ([&] { return runner.connections[0]->isClosed(); }));
 }
 
-TEST_F (ExchangeTest, AResumableStreamGoesOnAfterTheLastWholeEvent)
+TEST_F (ExchangeTest, ResumesStreamAfterLastCompleteEvent)
 {
     proxy.addRunner ("i-1", runner);
     proxy.addRunner ("i-2", other);
@@ -539,7 +541,7 @@
     EXPECT_TRUE (caller.received().ends_with (expected)) << caller.received();
 }
 
-TEST_F (ExchangeTest, AResumableStreamThatFallsSilentGoesOnElsewhere)
+TEST_F (ExchangeTest, ResumesSilentStreamAtAnotherRunner)
 {
     proxy.addRunner ("i-1", runner);
     proxy.addRunner ("i-2", other);
@@ -558,7 +560,7 @@
     EXPECT_TRUE (waitUntil ([&] { return first.connections[0]->isClosed(); }));
 }
 
-TEST_F (ExchangeTest, ASilentStreamIsWaitedForWhenItMayNotGoOnElsewhere)
+TEST_F (ExchangeTest, WaitsForSilentStreamWithoutRetryBudget)
 {
     proxy.addRunner ("i-1", runner);
     proxy.addRunner ("i-2", other);
@@ -575,14 +577,14 @@
         "HTTP/1.1 200 OK\r\nTest-Id: r1\r\nContent-Type: text/event-stream\r\n"
         "Transfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n");
     ASSERT_TRUE (caller.waitFor ("data: a"));
-    runFor (std::chrono::milliseconds (2000));  // Longer than such a stream may be silent.
+    runFor (std::chrono::milliseconds (2000));  // Longer than the silence limit of such a stream.
     EXPECT_FALSE (caller.isClosed());
     first.connections[0]->write ("f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n");
     EXPECT_TRUE (caller.waitFor ("data: b"));
     EXPECT_TRUE (caller.waitFor ("0\r\n\r\n"));
 }
 
-TEST_F (ExchangeTest, AnUnknownRouteIsNotFoundAndNoConfigurationIsUnavailable)
+TEST_F (ExchangeTest, AnswersUnknownRouteWith404AndMissingConfigurationWith503)
 {
     RawCaller caller (proxy.listening);
     caller.write (ProxyFixture::request ("nowhere.test"));
@@ -621,7 +623,7 @@
     EXPECT_TRUE (caller.waitFor ("hello"));
 }
 
-TEST_F (ExchangeTest, AnUnknownRouteIsNoAnswerBeforeALeaderConfirmsTheConfiguration)
+TEST_F (ExchangeTest, HoldsRequestOfUnknownRouteUntilConfigurationIsConfirmed)
 {
     proxy.context.areRoutesConfirmed = false;
     RawCaller caller (proxy.listening);
@@ -633,18 +635,18 @@
     EXPECT_TRUE (caller.waitFor ("HTTP/1.1 404"));
 }
 
-TEST_F (ExchangeTest, AnUnreachableRunnerCostsNoAttempt)
+TEST_F (ExchangeTest, UnreachableRunnerDoesNotCountAsAttempt)
 {
-    auto gone = std::make_unique<StubRunner>();
-    proxy.addRunner ("i-0", *gone);
-    gone.reset();
+    auto crashed = std::make_unique<StubRunner>();
+    proxy.addRunner ("i-0", *crashed);
+    crashed.reset();
     RawCaller caller (proxy.listening);
     caller.write (ProxyFixture::request ("once.test"));
     ASSERT_TRUE (caller.waitFor ("HTTP/1.1 503"));
     EXPECT_NE (caller.received().find ("Retry-After: "), std::string::npos);
 }
 
-TEST_F (ExchangeTest, ClosingFinishesOpenRequestsAndClosesRestingConnections)
+TEST_F (ExchangeTest, ClosingFinishesOpenRequestsAndClosesIdleConnections)
 {
     proxy.addRunner ("i-1", runner);
     RawCaller resting (proxy.listening);
@@ -666,7 +668,7 @@
     EXPECT_TRUE (busy.waitForClose());
 }
 
-TEST_F (ExchangeTest, AWaitingRequestIsAnsweredBeforeAStoppingRouterEnds)
+TEST_F (ExchangeTest, AnswersWaitingRequestBeforeRouterStops)
 {
     RawCaller caller (proxy.listening);
     caller.write (ProxyFixture::request ("app.test"));
@@ -677,7 +679,7 @@
     EXPECT_NE (caller.received().find ("Retry-After: 0.050\r\n"), std::string::npos);
 }
 
-TEST_F (ExchangeTest, AStoppingRouterServesOnAndThenRefusesAsNotRun)
+TEST_F (ExchangeTest, StoppingRouterServesThenRefusesAsNotExecuted)
 {
     proxy.addRunner ("i-1", runner);
     RawCaller early (proxy.listening);
--- a/src/proxy/ForwardedMessage.cpp
+++ b/src/proxy/ForwardedMessage.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// Fields that concern one connection only, and those of framing.
+/// Hop-by-hop fields and fields of the framing.
 constexpr std::array<std::string_view, 11> kConnectionFields{ "Connection",
                                                               "Keep-Alive",
                                                               "Proxy-Connection",
@@ -26,7 +26,7 @@
                                                               "Content-Length",
                                                               "Expect" };
 
-/// Names in the fields `Connection`: they too concern one connection only.
+/// Names listed in the `Connection` fields, which are hop-by-hop fields as well.
 std::vector<std::string> namedByConnection (const http::Headers& headers)
 {
     std::vector<std::string> names;
@@ -83,7 +83,7 @@
         const std::vector<std::string> named = namedByConnection (m_request.headers);
         for (const http::Header& field : m_request.headers.fields())
         {
-            if (isConnectionField (field.name, named) || isSetHere (field.name))
+            if (isConnectionField (field.name, named) || isReplaced (field.name))
                 continue;
             add (field.name, field.value);
         }
@@ -97,7 +97,7 @@
     }
 
 private:
-    [[nodiscard]] bool isSetHere (std::string_view name) const
+    [[nodiscard]] bool isReplaced (std::string_view name) const
     {
         const bool isResumed =
             m_fields.lastEventId && http::equalsIgnoringCase (name, m_names.lastEventId);
@@ -112,7 +112,7 @@
     void addOwnFields()
     {
         add (m_names.deadline,
-             std::to_string (std::max<std::int64_t> (base::toMilliseconds (m_fields.left), 1)));
+             std::to_string (std::max<std::int64_t> (base::toMilliseconds (m_fields.timeLeft), 1)));
         add (m_names.targetInstance, m_fields.instance);
         add (m_names.priority, std::to_string (m_fields.priority));
         if (! m_fields.tenant.empty())
@@ -142,7 +142,7 @@
     return RequestWriter (request, names, fields).write();
 }
 
-http::Headers passedAnswerHeaders (const http::Headers& headers, const ProtocolNames& names)
+http::Headers forwardedAnswerHeaders (const http::Headers& headers, const ProtocolNames& names)
 {
     http::Headers passed;
     const std::vector<std::string> named = namedByConnection (headers);
@@ -163,8 +163,8 @@
     double milliseconds = 0;
     const auto [end, status] =
         std::from_chars (text.data(), text.data() + text.size(), milliseconds);
-    constexpr double kLongest = 1e9;
-    if (status != std::errc() || milliseconds <= 0 || milliseconds > kLongest)
+    constexpr double kMaxMilliseconds = 1e9;
+    if (status != std::errc() || milliseconds <= 0 || milliseconds > kMaxMilliseconds)
         return std::nullopt;
     return base::Duration (static_cast<std::int64_t> (milliseconds * 1000));
 }
--- a/src/proxy/ForwardedMessage.h
+++ b/src/proxy/ForwardedMessage.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// How requests and answers change on their way through the router: which header fields are passed
-/// on and which the router sets itself.
+/// Conversion of requests and answers on their way through the router: which header fields are
+/// forwarded and which the router sets itself.
 
 #include <optional>
 #include <string>
@@ -15,26 +15,27 @@
 namespace fernlift::proxy
 {
 
-/// What the router sets on one attempt.
+/// Header fields that the router sets for one attempt.
 struct AttemptFields
 {
-    std::string instance;  ///< The only instance that may run it.
-    base::Duration left{};
+    std::string instance;  ///< The only instance that may execute the request.
+    base::Duration timeLeft{};
     int priority = 0;
-    std::string tenant;             ///< Holds the caller's key; empty: no field is set.
-    bool dropsCredentials = false;  ///< The caller's key was read here and is not passed on.
-    std::optional<std::string> lastEventId;  ///< A stream goes on after this event.
+    std::string tenant;  ///< Tenant that holds the caller's key; empty: the field is not set.
+    bool dropsCredentials = false;  ///< Whether the caller's key was checked here and is not
+                                    ///< forwarded.
+    std::optional<std::string> lastEventId;  ///< Event after which a stream is resumed.
 };
 
-/// The request as the runner gets it: method, target and body unchanged.
+/// Request as sent to the runner, with method, target and body unchanged.
 [[nodiscard]] std::string requestBytes (const ParsedRequest& request, const ProtocolNames& names,
                                         const AttemptFields& fields);
 
-/// The fields of a runner's answer that the caller gets; framing is left to the connection.
-[[nodiscard]] http::Headers passedAnswerHeaders (const http::Headers& headers,
-                                                 const ProtocolNames& names);
+/// Header fields of a runner's answer that are sent to the caller. The connection adds the framing.
+[[nodiscard]] http::Headers forwardedAnswerHeaders (const http::Headers& headers,
+                                                    const ProtocolNames& names);
 
-/// Milliseconds that the caller waits, as its request states; none when it does not.
+/// Time that the caller waits, as stated in its request; none if not stated.
 [[nodiscard]] std::optional<base::Duration> statedDeadline (const ParsedRequest& request,
                                                             const ProtocolNames& names);
 
--- a/src/proxy/ForwardedMessageTest.cpp
+++ b/src/proxy/ForwardedMessageTest.cpp
@@ -26,7 +26,7 @@
 {
     AttemptFields fields;
     fields.instance = "i-1";
-    fields.left = base::seconds (1);
+    fields.timeLeft = base::seconds (1);
     return fields;
 }
 
@@ -37,7 +37,7 @@
     return text;
 }
 
-/// The name with the case of some letters changed, as the bits of `mask` say.
+/// The name with the case of the letters selected by the bits of `mask` changed.
 std::string withCase (std::string name, std::uint32_t mask)
 {
     for (std::size_t i = 0; i < name.size(); ++i)
@@ -75,7 +75,7 @@
     }
 }
 
-TEST (ForwardedMessageTest, TheTenantIsTheRoutersWord)
+TEST (ForwardedMessageTest, OnlyRouterSetsTenantField)
 {
     ParsedRequest request;
     request.method = "GET";
@@ -88,7 +88,7 @@
     EXPECT_EQ (bytes.find ("another"), std::string::npos);
 }
 
-TEST (ForwardedMessageTest, AKeyThatWasReadDoesNotReachTheRunner)
+TEST (ForwardedMessageTest, CheckedKeyIsNotForwarded)
 {
     ParsedRequest request;
     request.method = "GET";
@@ -100,14 +100,14 @@
     EXPECT_EQ (requestBytes (request, names(), fields).find ("secret"), std::string::npos);
 }
 
-TEST (ForwardedMessageTest, WhatARunnerTellsTheRouterIsNotPassedOn)
+TEST (ForwardedMessageTest, InternalAnswerFieldsAreNotForwarded)
 {
     const http::Headers passed =
-        passedAnswerHeaders ({ { "test-load", "1,0,8" }, { "X-Own", "1" } }, names());
+        forwardedAnswerHeaders ({ { "test-load", "1,0,8" }, { "X-Own", "1" } }, names());
     EXPECT_EQ (passed.fields(), (std::vector<http::Header>{ { "X-Own", "1" } }));
 }
 
-TEST (RequestParserTest, ATrailerIsNoField)
+TEST (RequestParserTest, DiscardsTrailers)
 {
     RequestParser parser ({});
     std::string bytes =
--- a/src/proxy/InstanceDirectory.cpp
+++ b/src/proxy/InstanceDirectory.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-/// A load that a runner stated longer ago says little.
-constexpr base::Duration kLoadLife = base::milliseconds (500);
-constexpr base::Duration kNotHeldLife = base::milliseconds (1500);
+/// Lifetime of a load stated by a runner.
+constexpr base::Duration kLoadLifetime = base::milliseconds (500);
+constexpr base::Duration kNotHeldLifetime = base::milliseconds (1500);
 constexpr base::Duration kFirstAvoidance = base::milliseconds (300);
 constexpr base::Duration kLongestAvoidance = base::seconds (4);
 constexpr base::Duration kUnreachableAvoidance = base::milliseconds (500);
@@ -24,24 +24,26 @@
 // Costs in milliseconds.
 constexpr double kFailureCost = 500;
 constexpr double kSilentCost = 500;
-/// A runner that works on requests and sent nothing for this long may be dead.
+/// A runner with open requests that sent nothing for this time may be dead.
 constexpr base::Duration kQuietAfter = base::milliseconds (700);
 constexpr double kAvoidedCost = 100'000;
-/// Loads of other routers count in full for this time after the last news of any, and less and less
-/// up to the end of their life: news come several times a second while loads change.
-constexpr base::Duration kOthersFresh = base::milliseconds (500);
-constexpr base::Duration kOthersLife = base::seconds (1);
-/// A report comes back as part of the sums after some such time.
-constexpr base::Duration kReportTravel = base::milliseconds (150);
-/// Routers that see the same picture choose at random among runners that are behind the best by
-/// less than so many requests like theirs; the nearer, the likelier. 80 routers before 12 runners
-/// of two speeds, on loads 0.2 s old, 75 requests a second, two thirds with prompts of 9,000
-/// tokens: of the others 0.16 to 0.17 were late by each router's own knowledge, 0.36 to 0.45 with
-/// the best taken, 0.002 at most so (SharedLoadsPlay, four seeds).
+/// Loads of other routers have full weight for this time after the last update; the weight then
+/// falls to zero at the end of their lifetime. Updates arrive several times per second while loads
+/// change.
+constexpr base::Duration kOthersFullWeightTime = base::milliseconds (500);
+constexpr base::Duration kOthersLifetime = base::seconds (1);
+/// Approximate time after which the sums from the controller include a report.
+constexpr base::Duration kReportRoundTrip = base::milliseconds (150);
+/// Routers with the same view of the load choose at random among the runners whose cost exceeds the
+/// lowest by less than this many requests of the same kind; lower costs are more likely. Simulated
+/// with 80 routers, 12 runners of two speeds, loads 0.2 s old and 75 requests per second, two
+/// thirds of them with prompts of 9,000 tokens: the late share of the other requests was 0.16 to
+/// 0.17 with each router's own load only, 0.36 to 0.45 with the best runner always taken, and at
+/// most 0.002 with this choice.
 constexpr double kSpread = 2;
-/// What a runner has kept of a prompt counts this many times over when the runner is behind others:
-/// tokens that another one reads once more delay all that wait there too.
-constexpr double kKeptWorth = 2;
+/// Weight of the prefill time saved by a cached prefix against the higher cost of its runner.
+/// Processing the tokens again at another runner also delays all requests that wait there.
+constexpr double kCachedPrefixWeight = 2;
 
 double hashShare (const std::string& id, const std::string& affinity)
 {
@@ -65,7 +67,7 @@
            / cell::kUsualPercent;
 }
 
-/// Whether MODEL/ADAPTER, or MODEL/ without one, is among the models.
+/// Whether the models include MODEL/ADAPTER, or MODEL/ for the model without an adapter.
 bool isListed (const std::vector<cell::HeldModel>& models, const std::string& key)
 {
     const std::size_t slash = key.find ('/');
@@ -83,21 +85,21 @@
 
 }  // namespace
 
-std::string_view nameOf (NoChoice reason)
+std::string_view nameOf (NoRunnerReason reason)
 {
     switch (reason)
     {
-        case NoChoice::kNone:
+        case NoRunnerReason::kNone:
             return "none";
-        case NoChoice::kUnknown:
+        case NoRunnerReason::kUnknown:
             return "no_runner";
-        case NoChoice::kNotLoaded:
+        case NoRunnerReason::kNotLoaded:
             return "not_loaded";
-        case NoChoice::kUnconfirmed:
+        case NoRunnerReason::kUnconfirmed:
             return "unconfirmed";
-        case NoChoice::kRateLimited:
+        case NoRunnerReason::kRateLimited:
             return "rate_limited";
-        case NoChoice::kFull:
+        case NoRunnerReason::kFull:
             break;
     }
     return "full";
@@ -117,7 +119,7 @@
         for (const auto& [id, view] : m_views)
         {
             if (! present.contains (id))
-                noteReplaced (view);
+                recordReplaced (view);
         }
         std::erase_if (m_views,
                        [&] (const auto& item)
@@ -133,7 +135,7 @@
         const auto found = m_views.find (id);
         if (found == m_views.end())
             continue;
-        noteReplaced (found->second);
+        recordReplaced (found->second);
         dropFromIndex (found->second);
         m_views.erase (found);
     }
@@ -166,12 +168,13 @@
         View& view = found->second;
         view.others = usedByOthers (view, { load.inFlight, load.unreadTokens }, now);
         view.speed = shareOf (load.speedPercent);
-        noteSlowdown (view, load.slowdownPercent,
-                      now - base::milliseconds (load.slowdownAgeMilliseconds));
+        setSlowdown (view, load.slowdownPercent,
+                     now - base::milliseconds (load.slowdownAgeMilliseconds));
     }
 }
 
-void InstanceDirectory::onReported (const cell::InstanceLoadReport& report, base::TimePoint now)
+void InstanceDirectory::onLoadsReported (const cell::InstanceLoadReport& report,
+                                         base::TimePoint now)
 {
     for (const cell::InstanceUse& use : report.uses)
     {
@@ -179,8 +182,8 @@
         if (found == m_views.end())
             continue;
         View& view = found->second;
-        view.toldBefore = std::exchange (view.told, { use.inFlight, use.unreadTokens });
-        view.toldAt = now;
+        view.reportedBefore = std::exchange (view.reported, { use.inFlight, use.unreadTokens });
+        view.reportedAt = now;
     }
 }
 
@@ -188,29 +191,30 @@
 {
     for (auto& [id, view] : m_views)
     {
-        view.told = {};
-        view.toldBefore = {};
+        view.reported = {};
+        view.reportedBefore = {};
     }
 }
 
 InstanceDirectory::Use InstanceDirectory::usedByOthers (const View& view, const Use& all,
                                                         base::TimePoint now)
 {
-    const Use& told = now - view.toldAt < kReportTravel ? view.toldBefore : view.told;
-    return { all.inFlight - std::min (all.inFlight, told.inFlight),
-             all.unreadTokens - std::min (all.unreadTokens, told.unreadTokens) };
+    const Use& reported =
+        now - view.reportedAt < kReportRoundTrip ? view.reportedBefore : view.reported;
+    return { all.inFlight - std::min (all.inFlight, reported.inFlight),
+             all.unreadTokens - std::min (all.unreadTokens, reported.unreadTokens) };
 }
 
-double InstanceDirectory::shareOfOthers (base::TimePoint now) const
+double InstanceDirectory::weightOfOthers (base::TimePoint now) const
 {
     if (m_loadsAt == base::TimePoint{})
         return 0;
-    const std::chrono::duration<double> old = now - m_loadsAt - kOthersFresh;
-    const std::chrono::duration<double> fading = kOthersLife - kOthersFresh;
+    const std::chrono::duration<double> old = now - m_loadsAt - kOthersFullWeightTime;
+    const std::chrono::duration<double> fading = kOthersLifetime - kOthersFullWeightTime;
     return std::clamp (1 - old / fading, 0.0, 1.0);
 }
 
-void InstanceDirectory::noteSlowdown (View& view, std::uint32_t percent, base::TimePoint statedAt)
+void InstanceDirectory::setSlowdown (View& view, std::uint32_t percent, base::TimePoint statedAt)
 {
     if (statedAt < view.slowdownAt)
         return;
@@ -218,20 +222,20 @@
     view.slowdownAt = statedAt;
 }
 
-void InstanceDirectory::noteReplaced (const View& view)
+void InstanceDirectory::recordReplaced (const View& view)
 {
     if (! view.row.instance.isDraining)
         m_replaced.push_back (incarnationNameOf (view.row));
 }
 
-void InstanceDirectory::forgetEarlier (View& view, const cell::RoutableInstance& row)
+void InstanceDirectory::resetIfRestarted (View& view, const cell::RoutableInstance& row)
 {
     const base::UnixMilliseconds startedAt = view.row.instance.startedAt;
     if (startedAt == row.instance.startedAt)
         return;
-    // One whose start was not known may be the same.
+    // An incarnation whose start was unknown may be the same one.
     if (startedAt != 0)
-        noteReplaced (view);
+        recordReplaced (view);
     view = View{};
 }
 
@@ -279,8 +283,8 @@
 {
     View& view = m_views[row.instance.id];
     dropFromIndex (view);
-    forgetEarlier (view, row);
-    // A new leader knows the models only once it has heard the runner.
+    resetIfRestarted (view, row);
+    // A new leader does not know the models of a runner before its first report.
     std::vector<cell::HeldModel> known = std::move (view.row.instance.models);
     view.row = row;
     view.address =
@@ -292,11 +296,11 @@
         return;
     }
     addToIndex (view);
-    // Only a model or adapter that has come since may be there now; what else changed at the runner
-    // says nothing of one that it answered not to hold.
+    // A missing model is trusted again only when the runner newly reports it. Other changes of the
+    // row do not outweigh the runner's answer that it does not hold the model.
     std::erase_if (
-        view.notHeldUntil, [&] (const auto& doubt)
-        { return isListed (row.instance.models, doubt.first) && ! isListed (known, doubt.first); });
+        view.notHeldUntil, [&] (const auto& entry)
+        { return isListed (row.instance.models, entry.first) && ! isListed (known, entry.first); });
 }
 
 bool InstanceDirectory::holds (const View& view, const InstanceQuery& query, base::TimePoint now)
@@ -311,8 +315,8 @@
         || std::ranges::find (model->adapters, query.adapter) != model->adapters.end();
     if (! hasAdapter)
         return false;
-    const auto doubt = view.notHeldUntil.find (query.model + "/" + query.adapter);
-    return doubt == view.notHeldUntil.end() || now >= doubt->second;
+    const auto entry = view.notHeldUntil.find (query.model + "/" + query.adapter);
+    return entry == view.notHeldUntil.end() || now >= entry->second;
 }
 
 bool InstanceDirectory::isCandidate (const View& view, const InstanceQuery& query,
@@ -330,68 +334,71 @@
     state.unreadTokens = static_cast<double> (view.own.unreadTokens);
     state.slots = view.row.instance.slots;
     state.speed = view.speed;
-    state.slowdown = fadedSlowdown (view.slowdown, millisecondsOf (now - view.slowdownAt));
+    state.slowdown = decayedSlowdown (view.slowdown, millisecondsOf (now - view.slowdownAt));
     state.isInOtherZone = view.row.instance.zone != m_zone;
-    const double others = shareOfOthers (now);
+    const double others = weightOfOthers (now);
     if (others > 0)
     {
         state.requests += others * view.others.inFlight;
         state.unreadTokens += others * static_cast<double> (view.others.unreadTokens);
         state.needsConnection = query.hasConnection && ! query.hasConnection (view.address);
     }
-    else if (now - view.loadStatedAt < kLoadLife)
+    else if (now - view.loadStatedAt < kLoadLifetime)
     {
         state.requests = std::max (state.requests, static_cast<double> (view.statedLoad));
     }
     return state;
 }
 
-InstanceDirectory::Offer InstanceDirectory::offerOf (const View& view, const View* home,
-                                                     const InstanceQuery& query,
-                                                     base::TimePoint now) const
-{
-    const std::uint64_t kept =
-        &view == home ? std::min (query.sharedTokens, query.promptTokens) : 0;
-    Offer offer;
-    offer.view = &view;
-    offer.state = stateOf (view, query, now);
-    offer.work = { ! query.model.empty(), query.promptTokens - kept };
-    offer.milliseconds =
-        expectedMilliseconds (offer.state, offer.work) + kFailureCost * view.failureShare;
-    // While an engine reads a long prompt all that it answers waits. Of 2,000 short chats whose
-    // events must not be 500 ms apart 347, 401 and 532 were late without this, 326, 333 and 483
-    // with it (whole days of three seeds, played before and after).
-    if (offer.work.isForModel && query.gapTarget > base::Duration::zero() && knowsOthers (now))
+InstanceDirectory::Candidate InstanceDirectory::candidateOf (const View& view,
+                                                             const View* affinityRunner,
+                                                             const InstanceQuery& query,
+                                                             base::TimePoint now) const
+{
+    const std::uint64_t cachedTokens =
+        &view == affinityRunner ? std::min (query.sharedTokens, query.promptTokens) : 0;
+    Candidate candidate;
+    candidate.view = &view;
+    candidate.state = stateOf (view, query, now);
+    candidate.work = { ! query.model.empty(), query.promptTokens - cachedTokens };
+    candidate.milliseconds =
+        expectedMilliseconds (candidate.state, candidate.work) + kFailureCost * view.failureShare;
+    // All streams of an engine wait during the prefill of a long prompt. Of 2,000 short chats with
+    // a gap target of 500 ms, 347, 401 and 532 were late without this term and 326, 333 and 483
+    // with it, over three simulated days.
+    if (candidate.work.isForModel && query.gapTarget > base::Duration::zero()
+        && hasLoadsOfOthers (now))
     {
-        offer.milliseconds +=
-            delayOfStreams (offer.state, offer.work, millisecondsOf (query.gapTarget));
+        candidate.milliseconds += streamDelayMilliseconds (candidate.state, candidate.work,
+                                                           millisecondsOf (query.gapTarget));
     }
-    offer.savedMilliseconds = readingMilliseconds (offer.state, static_cast<double> (kept));
+    candidate.savedMilliseconds =
+        prefillMilliseconds (candidate.state, static_cast<double> (cachedTokens));
     if (view.row.isSilent || isQuiet (view, now))
-        offer.milliseconds += kSilentCost;
+        candidate.milliseconds += kSilentCost;
     const bool isAvoided = now < view.avoidedUntil || view.row.instance.id == query.avoidedInstance;
     if (isAvoided)
-        offer.milliseconds += kAvoidedCost;
-    return offer;
+        candidate.milliseconds += kAvoidedCost;
+    return candidate;
 }
 
 bool InstanceDirectory::canServe (const View& view, const InstanceQuery& query, base::TimePoint now)
 {
-    const auto hasEnded = [&]
+    const auto hasCrashed = [&]
     {
-        const std::vector<std::string>& ended = query.endedInstances;
-        return ! ended.empty()
-               && std::ranges::find (ended, incarnationNameOf (view.row)) != ended.end();
+        const std::vector<std::string>& crashed = query.crashedInstances;
+        return ! crashed.empty()
+               && std::ranges::find (crashed, incarnationNameOf (view.row)) != crashed.end();
     };
-    return isCandidate (view, query, now) && ! hasEnded() && holds (view, query, now);
+    return isCandidate (view, query, now) && ! hasCrashed() && holds (view, query, now);
 }
 
-const InstanceDirectory::View* InstanceDirectory::homeOf (const InstanceQuery& query,
-                                                          base::TimePoint now) const
+const InstanceDirectory::View* InstanceDirectory::affinityRunnerOf (const InstanceQuery& query,
+                                                                    base::TimePoint now) const
 {
-    const View* home = nullptr;
+    const View* affinityRunner = nullptr;
     if (query.affinity.empty())
-        return home;
+        return affinityRunner;
     double highest = -1;
     for (const auto& [id, view] : viewsFor (query.service, query.model))
     {
@@ -401,115 +408,120 @@
         if (share <= highest)
             continue;
         highest = share;
-        home = view;
+        affinityRunner = view;
     }
-    return home;
+    return affinityRunner;
 }
 
 bool InstanceDirectory::isQuiet (const View& view, base::TimePoint now)
 {
-    return view.own.inFlight > 0 && now - view.heardAt > kQuietAfter;
+    return view.own.inFlight > 0 && now - view.lastBytesAt > kQuietAfter;
 }
 
-bool InstanceDirectory::isInDoubt (const View& view, base::TimePoint now)
+bool InstanceDirectory::mayHaveFailed (const View& view, base::TimePoint now)
 {
     return view.row.isSilent || isQuiet (view, now) || now < view.avoidedUntil;
 }
 
-InstanceChoice InstanceDirectory::chooseForTrial (const InstanceQuery& query,
-                                                  base::TimePoint now) const
+InstanceChoice InstanceDirectory::chooseIsolationRunner (const InstanceQuery& query,
+                                                         base::TimePoint now) const
 {
     InstanceChoice choice;
-    choice.reason = NoChoice::kNotLoaded;
-    // Runners in doubt come last: requests of a crashed runner that went by their text alone to
-    // others of its rack, which had fallen silent with it, would wait for a second one in vain.
+    choice.reason = NoRunnerReason::kNotLoaded;
+    // Runners that may have failed come last. Otherwise, requests of a crashed runner could be sent
+    // by their key alone to another silent runner of the same rack and wait for a second runner in
+    // vain.
     std::pair<int, double> best;
-    RateRoom room;
+    RateCapacity capacity;
     for (const auto& [id, view] : viewsFor (query.service, query.model))
     {
         if (! canServe (*view, query, now))
             continue;
         const bool isLastResort = id == query.avoidedInstance;
-        const int doubt = (isInDoubt (*view, now) ? 1 : 0) + (isLastResort ? 2 : 0);
-        const std::pair<int, double> rank (-doubt, hashShare (id, query.trial));
-        if (choice.reason == NoChoice::kNone && rank <= best)
+        const int penalty = (mayHaveFailed (*view, now) ? 1 : 0) + (isLastResort ? 2 : 0);
+        const std::pair<int, double> rank (-penalty, hashShare (id, query.isolationKey));
+        if (choice.reason == NoRunnerReason::kNone && rank <= best)
             continue;
         best = rank;
-        room = roomByRate (*view, query);
-        choice = choiceOf (offerOf (*view, nullptr, query, now), query, now);
+        capacity = rateCapacity (*view, query);
+        choice = choiceOf (candidateOf (*view, nullptr, query, now), query, now);
     }
-    // All copies go to this one runner, so that they wait for its rate together.
-    return room.wait > base::Duration::zero() ? rateLimited (room) : choice;
+    // All copies are sent to this one runner, so they share the wait for its rate limit.
+    return capacity.wait > base::Duration::zero() ? rateLimited (capacity) : choice;
 }
 
-NoChoice InstanceDirectory::reasonWithout (const InstanceQuery& query, base::TimePoint now) const
+NoRunnerReason InstanceDirectory::reasonWithout (const InstanceQuery& query,
+                                                 base::TimePoint now) const
 {
     const Views& views = viewsFor (query.service, {});
     const bool isAny = std::ranges::any_of (
         views, [&] (const auto& item) { return isCandidate (*item.second, query, now); });
-    return isAny ? NoChoice::kNotLoaded : NoChoice::kUnknown;
+    return isAny ? NoRunnerReason::kNotLoaded : NoRunnerReason::kUnknown;
 }
 
-InstanceChoice InstanceDirectory::choiceOf (const Offer& offer, const InstanceQuery& query,
+InstanceChoice InstanceDirectory::choiceOf (const Candidate& candidate, const InstanceQuery& query,
                                             base::TimePoint now) const
 {
     InstanceChoice choice;
-    choice.reason = NoChoice::kNone;
-    choice.id = offer.view->row.instance.id;
-    choice.address = offer.view->row.instance.address;
-    choice.expectedAnswer = std::chrono::duration_cast<base::Duration> (
-        std::chrono::duration<double, std::milli> (expectedMilliseconds (offer.state, offer.work)));
-    choice.tokensToRead = knowsOthers (now) ? offer.work.tokensToRead : query.promptTokens;
+    choice.reason = NoRunnerReason::kNone;
+    choice.id = candidate.view->row.instance.id;
+    choice.address = candidate.view->row.instance.address;
+    choice.expectedAnswer =
+        std::chrono::duration_cast<base::Duration> (std::chrono::duration<double, std::milli> (
+            expectedMilliseconds (candidate.state, candidate.work)));
+    choice.prefillTokens =
+        hasLoadsOfOthers (now) ? candidate.work.prefillTokens : query.promptTokens;
     return choice;
 }
 
-const InstanceDirectory::Offer& InstanceDirectory::pickAmongBest (const std::vector<Offer>& offers,
-                                                                  const Offer& lowest, double draw)
+const InstanceDirectory::Candidate& InstanceDirectory::pickAmongBest (
+    const std::vector<Candidate>& candidates, const Candidate& lowest, double draw)
 {
-    const auto isWorthItsDelay = [&] (const Offer& offer)
+    const auto isWorthItsDelay = [&] (const Candidate& candidate)
     {
-        return offer.savedMilliseconds > 0
-               && offer.milliseconds < lowest.milliseconds + kKeptWorth * offer.savedMilliseconds;
+        return candidate.savedMilliseconds > 0
+               && candidate.milliseconds
+                      < lowest.milliseconds + kCachedPrefixWeight * candidate.savedMilliseconds;
     };
-    const auto home = std::ranges::find_if (offers, isWorthItsDelay);
-    if (home != offers.end())
-        return *home;
+    const auto affinityRunner = std::ranges::find_if (candidates, isWorthItsDelay);
+    if (affinityRunner != candidates.end())
+        return *affinityRunner;
     const double limit =
         lowest.milliseconds + kSpread * addedMilliseconds (lowest.state, lowest.work);
     const bool isConnected = std::ranges::any_of (
-        offers, [&] (const Offer& offer)
-        { return ! offer.state.needsConnection && offer.milliseconds < limit; });
-    const auto weightOf = [&] (const Offer& offer)
+        candidates, [&] (const Candidate& candidate)
+        { return ! candidate.state.needsConnection && candidate.milliseconds < limit; });
+    const auto weightOf = [&] (const Candidate& candidate)
     {
-        const bool isLeftOut = isConnected && offer.state.needsConnection;
-        return isLeftOut ? 0.0 : std::max (limit - offer.milliseconds, 0.0);
+        const bool isLeftOut = isConnected && candidate.state.needsConnection;
+        return isLeftOut ? 0.0 : std::max (limit - candidate.milliseconds, 0.0);
     };
     double sum = 0;
-    for (const Offer& offer : offers)
-        sum += weightOf (offer);
+    for (const Candidate& candidate : candidates)
+        sum += weightOf (candidate);
     double left = draw * sum;
-    for (const Offer& offer : offers)
+    for (const Candidate& candidate : candidates)
     {
-        left -= weightOf (offer);
+        left -= weightOf (candidate);
         if (left < 0)
-            return offer;
+            return candidate;
     }
     return lowest;
 }
 
-RateRoom InstanceDirectory::roomByRate (const View& view, const InstanceQuery& query)
+RateCapacity InstanceDirectory::rateCapacity (const View& view, const InstanceQuery& query)
 {
-    if (! query.roomByRate)
+    if (! query.rateCapacity)
         return {};
-    return query.roomByRate (view.row.instance.id, view.row.instance.startedAt);
+    return query.rateCapacity (view.row.instance.id, view.row.instance.startedAt);
 }
 
-InstanceChoice InstanceDirectory::rateLimited (const RateRoom& room)
+InstanceChoice InstanceDirectory::rateLimited (const RateCapacity& capacity)
 {
     InstanceChoice choice;
-    choice.reason = NoChoice::kRateLimited;
-    choice.rateWait = room.wait;
-    choice.ratePerSecond = room.perSecond;
+    choice.reason = NoRunnerReason::kRateLimited;
+    choice.rateWait = capacity.wait;
+    choice.ratePerSecond = capacity.perSecond;
     return choice;
 }
 
@@ -522,33 +534,35 @@
 
 InstanceChoice InstanceDirectory::choose (const InstanceQuery& query, base::TimePoint now) const
 {
-    if (! query.trial.empty())
-        return chooseForTrial (query, now);
-    const View* const home = homeOf (query, now);
-    std::vector<Offer> offers;
-    std::optional<RateRoom> later;  ///< Of those that have none left now, together.
+    if (! query.isolationKey.empty())
+        return chooseIsolationRunner (query, now);
+    const View* const affinityRunner = affinityRunnerOf (query, now);
+    std::vector<Candidate> candidates;
+    std::optional<RateCapacity> later;  ///< Combined capacity of the runners that are at their rate
+                                        ///< limits.
     for (const auto& [id, view] : viewsFor (query.service, query.model))
     {
         if (! canServe (*view, query, now))
             continue;
-        const RateRoom room = roomByRate (*view, query);
-        if (room.wait == base::Duration::zero())
+        const RateCapacity capacity = rateCapacity (*view, query);
+        if (capacity.wait == base::Duration::zero())
         {
-            offers.push_back (offerOf (*view, home, query, now));
+            candidates.push_back (candidateOf (*view, affinityRunner, query, now));
             continue;
         }
-        later =
-            later ? RateRoom{ std::min (later->wait, room.wait), later->perSecond + room.perSecond }
-                  : room;
+        later = later ? RateCapacity{ std::min (later->wait, capacity.wait),
+                                      later->perSecond + capacity.perSecond }
+                      : capacity;
     }
-    if (offers.empty() && later)
+    if (candidates.empty() && later)
         return rateLimited (*later);
-    if (offers.empty())
+    if (candidates.empty())
         return { reasonWithout (query, now) };
-    // In a small cell what is known is this router's own, and never the same at two of them.
-    const bool spreads = query.draw && knowsOthers (now);
-    const Offer& lowest = *std::ranges::min_element (offers, {}, &Offer::milliseconds);
-    const Offer& chosen = spreads ? pickAmongBest (offers, lowest, *query.draw) : lowest;
+    // Without loads of other routers, each router knows only its own load, so two routers never
+    // share the same view.
+    const bool spreads = query.draw && hasLoadsOfOthers (now);
+    const Candidate& lowest = *std::ranges::min_element (candidates, {}, &Candidate::milliseconds);
+    const Candidate& chosen = spreads ? pickAmongBest (candidates, lowest, *query.draw) : lowest;
     return choiceOf (chosen, query, now);
 }
 
@@ -556,7 +570,7 @@
 {
     const auto found = m_views.find (id);
     if (found != m_views.end())
-        found->second.heardAt = now;
+        found->second.lastBytesAt = now;
 }
 
 void InstanceDirectory::onAttemptBegin (const std::string& id, std::uint64_t promptTokens,
@@ -566,7 +580,7 @@
     if (found == m_views.end())
         return;
     if (found->second.own.inFlight == 0)
-        found->second.heardAt = now;
+        found->second.lastBytesAt = now;
     ++found->second.own.inFlight;
     found->second.own.unreadTokens += promptTokens;
 }
@@ -595,7 +609,7 @@
     view.consecutiveFailures = isFailure ? view.consecutiveFailures + 1 : 0;
     if (end == AttemptEnd::kUnreachable)
     {
-        noteUnreachable (view, now);
+        recordUnreachable (view, now);
     }
     else
     {
@@ -611,10 +625,10 @@
     }
 }
 
-void InstanceDirectory::noteUnreachable (View& view, base::TimePoint now)
+void InstanceDirectory::recordUnreachable (View& view, base::TimePoint now)
 {
     view.unreachableUntil = now + kUnreachableAvoidance;
-    // A single packet that was lost is no reason to tell the leader.
+    // One failure may be due to a single lost packet and is not reported.
     if (++view.unreachableCount == kUnreachableBeforeReport)
     {
         m_unreachable.push_back (view.row.instance.id);
@@ -631,10 +645,11 @@
     view.loadStatedAt = now;
     if (load.slowdownPercent)
     {
-        // A runner that always takes longer than others states that too.
+        // A runner that is slower than others also states its permanent slowdown, which `speed`
+        // already covers.
         const double share = shareOf (*load.slowdownPercent) * view.speed;
-        noteSlowdown (view, static_cast<std::uint32_t> (std::lround (share * cell::kUsualPercent)),
-                      now);
+        setSlowdown (view, static_cast<std::uint32_t> (std::lround (share * cell::kUsualPercent)),
+                     now);
     }
 }
 
@@ -645,9 +660,9 @@
     if (found == m_views.end())
         return;
     View& view = found->second;
-    view.notHeldUntil[model + "/" + adapter] = now + kNotHeldLife;
+    view.notHeldUntil[model + "/" + adapter] = now + kNotHeldLifetime;
     if (model.empty())
-        noteUnreachable (view, now);  // Another instance answers there.
+        recordUnreachable (view, now);  // Another instance answers at that address.
 }
 
 }  // namespace fernlift::proxy
--- a/src/proxy/InstanceDirectory.h
+++ b/src/proxy/InstanceDirectory.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The router's view of the runners of services, and the choice of a runner for a request. Pure:
-/// time is passed in.
+/// The router's copy of the table of runners, and the choice of a runner for a request. Pure: time
+/// is passed in.
 
 #include <cstdint>
 #include <functional>
@@ -22,77 +22,80 @@
 namespace fernlift::proxy
 {
 
-/// What a runner takes by the rate that it states.
-struct RateRoom
+/// Capacity that a runner has left under its stated rate limit.
+struct RateCapacity
 {
-    base::Duration wait{};  ///< Until it may take another request; zero: now.
-    double perSecond = 0;   ///< 0 when it states none.
+    base::Duration wait{};  ///< Time until the runner accepts another request; zero: now.
+    double perSecond = 0;   ///< Stated rate; 0 without a limit.
 };
 
-/// What a request needs of a runner.
+/// Requirements of a request on its runner.
 struct InstanceQuery
 {
     std::string service;
     std::string model;    ///< Empty: any runner of the service.
     std::string adapter;  ///< Empty: none.
-    /// Requests with the same text here do best at the same runner, which keeps what they share;
-    /// empty: anywhere.
+    /// Key of requests with a common prompt prefix, which are best served by the same runner
+    /// because it caches the prefix. Empty: no affinity.
     std::string affinity;
-    std::uint64_t sharedTokens = 0;  ///< Of the prompt, that such requests share.
-    std::uint64_t promptTokens = 0;  ///< Of the whole prompt.
-    std::string avoidedInstance;     ///< Chosen only when there is no other; may be empty.
-    /// Not empty: a runner has ended under a request with this text, so that all copies of it go to
-    /// one and the same runner, not to one each.
-    std::string trial{};
-    /// Names of incarnations that ended under the request of the trial; never chosen.
-    std::vector<std::string> endedInstances{};
-    /// From 0 to below 1, at random: routers that see the same loads are to choose differently.
-    /// None: the best is chosen.
+    std::uint64_t sharedTokens = 0;  ///< Prompt tokens of the prefix that these requests share.
+    std::uint64_t promptTokens = 0;  ///< Tokens of the whole prompt.
+    std::string avoidedInstance;     ///< Chosen only when there is no other runner; may be empty.
+    /// Set when a runner crashed under the request: all copies with the same key go to one
+    /// isolation runner instead of one each. Empty: not suspect.
+    std::string isolationKey{};
+    /// Names of the incarnations that crashed under a suspect request; never chosen.
+    std::vector<std::string> crashedInstances{};
+    /// Random number in [0, 1), so that routers with the same view of the load choose different
+    /// runners. None: the best runner is chosen.
     std::optional<double> draw{};
-    base::Duration gapTarget{};  ///< Longest pause between events of streams; zero: any.
-    /// Whether a connection to the address rests here; may be empty.
+    base::Duration gapTarget{};  ///< Longest acceptable gap between the events of a stream; zero:
+                                 ///< any.
+    /// Whether the pool holds an idle connection to the address; may be empty.
     std::function<bool (const base::SocketAddress& address)> hasConnection{};
-    /// What a runner that states a rate has left of it; may be empty: no runner states any.
-    std::function<RateRoom (const std::string& instance, base::UnixMilliseconds startedAt)>
-        roomByRate{};
+    /// Remaining capacity under the rate limit of a runner. Empty when no runner states a rate.
+    std::function<RateCapacity (const std::string& instance, base::UnixMilliseconds startedAt)>
+        rateCapacity{};
 };
 
-enum class NoChoice : std::uint8_t
+enum class NoRunnerReason : std::uint8_t
 {
     kNone,         ///< A runner was chosen.
-    kUnknown,      ///< No runner of the service takes requests.
-    kNotLoaded,    ///< None of them holds the model and adapter.
-    kFull,         ///< All that could take it are full.
-    kUnconfirmed,  ///< The table may be out of date: no leader has confirmed it for long.
-    kRateLimited,  ///< All that could take it get as many requests as they state to take.
+    kUnknown,      ///< No runner of the service accepts requests.
+    kNotLoaded,    ///< No runner of the service holds the model and adapter.
+    kFull,         ///< All runners that could serve the request are full.
+    kUnconfirmed,  ///< The table may be out of date: no leader confirmed it within the grace
+                   ///< period.
+    kRateLimited,  ///< All runners that could serve the request have reached their stated rates.
 };
 
 struct InstanceChoice
 {
-    NoChoice reason = NoChoice::kUnknown;
+    NoRunnerReason reason = NoRunnerReason::kUnknown;
     std::string id{};
     std::string address{};
-    /// From now until the answer begins, as far as is known; zero when no runner was chosen.
+    /// Estimated time until the answer begins; zero when no runner was chosen.
     base::Duration expectedAnswer{};
-    /// Of the prompt, less what the runner has likely kept.
-    std::uint64_t tokensToRead = 0;
-    // Of kRateLimited only:
-    base::Duration rateWait{};  ///< Until one of the runners may take another request.
-    double ratePerSecond = 0;   ///< That they take together.
+    /// Prompt tokens to process, without the prefix that the runner has probably cached.
+    std::uint64_t prefillTokens = 0;
+    // Set with kRateLimited only:
+    base::Duration rateWait{};  ///< Time until one of the runners accepts another request.
+    double ratePerSecond = 0;   ///< Sum of the stated rates of these runners.
 };
 
-/// For logs, for example "not_loaded".
-[[nodiscard]] std::string_view nameOf (NoChoice reason);
+/// Text for logs, for example "not_loaded".
+[[nodiscard]] std::string_view nameOf (NoRunnerReason reason);
 
-/// How an attempt at a runner ended, as far as the choice of runners cares.
+/// Result of an attempt, as far as it affects the choice of runners.
 enum class AttemptEnd : std::uint8_t
 {
-    kAnswered,     ///< A proper answer came.
-    kRefused,      ///< The runner said that it has not run the request: it is full or leaving.
-    kNotHeld,      ///< The runner does not hold what was asked for, or is another instance.
-    kFailed,       ///< It broke off, sent something else or answered with a failure of its own.
+    kAnswered,  ///< The runner sent a proper answer.
+    kRefused,   ///< The runner stated that it did not execute the request: it is full or draining.
+    kNotHeld,   ///< The runner does not hold the model or adapter, or is another instance.
+    kFailed,    ///< The runner broke off its answer, sent an invalid one or answered with a server
+                ///< error.
     kUnreachable,  ///< No connection could be opened.
-    kAbandoned,    ///< The router gave it up for reasons of its own; says nothing.
+    kAbandoned,    ///< The router cancelled the attempt, which is no evidence about the runner.
 };
 
 class InstanceDirectory
@@ -100,53 +103,59 @@
 public:
     explicit InstanceDirectory (std::string zone) : m_zone (std::move (zone)) {}
 
-    /// Takes over a change of the table. False when it does not fit what is held: the whole table
-    /// is needed then.
+    /// Applies a change of the table. Returns false when the change is not based on the held
+    /// version, so that the whole table is needed.
     bool apply (const cell::InstanceUpdate& update, base::TimePoint now);
 
-    /// Takes over what all routers of the cell together have at the runners, this one included.
+    /// Applies the load that all routers of the cell, including this one, have at the runners.
     void applyLoads (const cell::InstanceLoadUpdate& update, base::TimePoint now);
-    /// This router tells the cell of its use of runners: what others have is the rest of the sums
-    /// that come back.
-    void onReported (const cell::InstanceLoadReport& report, base::TimePoint now);
-    /// The connection to the controller is lost: what was told on it is told again.
+    /// Records a load report that this router sent. Its share is subtracted from the sums that come
+    /// back, which leaves the load of the other routers.
+    void onLoadsReported (const cell::InstanceLoadReport& report, base::TimePoint now);
+    /// Called when the connection to the controller was lost; all loads are reported again after
+    /// that.
     void onLinkLost();
     /// Whether the load of other routers is known.
-    [[nodiscard]] bool knowsOthers (base::TimePoint now) const { return shareOfOthers (now) > 0; }
+    [[nodiscard]] bool hasLoadsOfOthers (base::TimePoint now) const
+    {
+        return weightOfOthers (now) > 0;
+    }
 
     [[nodiscard]] InstanceChoice choose (const InstanceQuery& query, base::TimePoint now) const;
-    /// Whether a runner that was chosen a moment ago may still be.
+    /// Whether a runner chosen earlier can still serve the request.
     [[nodiscard]] bool mayStillServe (const std::string& id, const InstanceQuery& query,
                                       base::TimePoint now) const;
 
-    /// `promptTokens` are read there until the answer begins.
+    /// Adds an attempt to the load of the runner. `promptTokens` count as prefill until the answer
+    /// begins.
     void onAttemptBegin (const std::string& id, std::uint64_t promptTokens, base::TimePoint now);
-    /// Something of an answer came from the runner.
+    /// Called when bytes of an answer were received from the runner.
     void onBytes (const std::string& id, base::TimePoint now);
     void onAnswerBegun (const std::string& id, std::uint64_t promptTokens);
     void onAttemptEnd (const std::string& id, AttemptEnd end, base::TimePoint now);
-    /// Start of the incarnation in the table; 0: it does not tell, or is not there.
+    /// Start of the incarnation in the table; 0 if not stated or not listed.
     [[nodiscard]] base::UnixMilliseconds startOf (const std::string& id) const
     {
         const auto found = m_views.find (id);
         return found == m_views.end() ? 0 : found->second.row.instance.startedAt;
     }
-    /// Incarnations that went out of the table since the last call without having said that they
-    /// leave, by their names.
+    /// Names of the incarnations that left the table since the last call without having been
+    /// draining.
     [[nodiscard]] std::vector<std::string> takeReplaced() { return std::exchange (m_replaced, {}); }
-    /// Whether the instance is known and has said that it leaves.
+    /// Whether the instance is listed as draining.
     [[nodiscard]] bool isDraining (const std::string& id) const
     {
         const auto found = m_views.find (id);
         return found != m_views.end() && found->second.row.instance.isDraining;
     }
-    /// Instances that were found unreachable since the last call, for the leader.
+    /// Instances found unreachable since the last call, to be reported to the leader.
     [[nodiscard]] std::vector<std::string> takeUnreachable()
     {
         return std::exchange (m_unreachable, {});
     }
     void onLoad (const std::string& id, const StatedLoad& load, base::TimePoint now);
-    /// The runner was found not to hold a model or adapter that the table says it holds.
+    /// Called when the runner answered that it does not hold a model or adapter listed in the
+    /// table.
     void onNotHeld (const std::string& id, const std::string& model, const std::string& adapter,
                     base::TimePoint now);
 
@@ -159,103 +168,108 @@
     [[nodiscard]] bool hasTable() const { return m_version != 0; }
     [[nodiscard]] base::Term term() const { return m_term; }
     [[nodiscard]] std::uint64_t version() const { return m_version; }
-    /// Time since the table last changed; -1 without one.
+    /// Time since the last change of the table; -1 without a table.
     [[nodiscard]] std::int64_t ageMilliseconds (base::TimePoint now) const
     {
         return hasTable() ? base::toMilliseconds (now - m_appliedAt) : -1;
     }
 
 private:
-    /// Requests at a runner.
+    /// Load of requests at a runner.
     struct Use
     {
         std::uint32_t inFlight = 0;
-        std::uint64_t unreadTokens = 0;  ///< Of prompts whose answer has not begun.
+        std::uint64_t unreadTokens = 0;  ///< Prompt tokens of requests whose answer has not begun.
     };
 
     struct View
     {
         cell::RoutableInstance row;
-        base::SocketAddress address;  ///< Of the row; empty when that cannot be read.
-        Use own;                      ///< Of this router.
-        base::TimePoint heardAt{};    ///< Last bytes of an answer, or first of the open attempts.
-        double failureShare = 0;      ///< Of late attempts, decaying.
+        base::SocketAddress address;    ///< Parsed from the row; empty when invalid.
+        Use own;                        ///< Load from this router.
+        base::TimePoint lastBytesAt{};  ///< Last bytes of an answer, or start of the first open
+                                        ///< attempt.
+        double failureShare = 0;        ///< Decaying share of failed attempts.
         std::uint32_t consecutiveFailures = 0;
-        base::TimePoint avoidedUntil{};      ///< Chosen only when there is no other.
-        base::TimePoint unreachableUntil{};  ///< Not chosen.
-        std::uint32_t unreachableCount = 0;  ///< Connections in a row that could not be opened.
+        base::TimePoint avoidedUntil{};  ///< Until then chosen only when there is no other runner.
+        base::TimePoint unreachableUntil{};  ///< Until then never chosen.
+        std::uint32_t unreachableCount = 0;  ///< Consecutive connections that could not be opened.
         std::uint32_t statedLoad = 0;
         base::TimePoint loadStatedAt{};
-        Use others;  ///< Of all other routers.
-        Use told;    ///< Of this router, as reported last.
-        base::TimePoint toldAt{};
-        Use toldBefore;    ///< The same before `toldAt`.
-        double speed = 1;  ///< Against the mean of its service.
+        Use others;    ///< Load from all other routers.
+        Use reported;  ///< Load of this router in its last report.
+        base::TimePoint reportedAt{};
+        Use reportedBefore;  ///< Load of this router in the report before `reportedAt`.
+        double speed = 1;    ///< Speed relative to the mean of the service.
         double slowdown = 1;
         base::TimePoint slowdownAt{};
-        std::map<std::string, base::TimePoint> notHeldUntil;  ///< By MODEL/ADAPTER.
+        std::map<std::string, base::TimePoint> notHeldUntil;  ///< Keyed by MODEL/ADAPTER.
     };
 
-    /// A runner that may be chosen.
-    struct Offer
+    /// Runner that can serve the request, with its cost.
+    struct Candidate
     {
         const View* view = nullptr;
         RunnerState state;
         RequestWork work;
-        double milliseconds = 0;  ///< Until the answer begins, with what else speaks against it.
-        double savedMilliseconds = 0;  ///< By what it has kept of the prompt.
+        double milliseconds = 0;       ///< Time until the answer begins plus penalties.
+        double savedMilliseconds = 0;  ///< Prefill time saved by the cached prefix.
     };
 
-    /// By id, so that equal runners are chosen in the same order everywhere.
+    /// Sorted by id, so that runners of equal cost are considered in the same order at every
+    /// router.
     using Views = std::map<std::string, View*>;
 
     void put (const cell::RoutableInstance& row);
-    /// Notes the runner under its service and each of its models, or drops it there.
+    /// Adds the runner to the index under its service and each of its models, or removes it.
     void addToIndex (View& view);
     void dropFromIndex (const View& view);
-    void noteUnreachable (View& view, base::TimePoint now);
-    void noteReplaced (const View& view);
-    /// Forgets what is known of an earlier incarnation than that of the row.
-    void forgetEarlier (View& view, const cell::RoutableInstance& row);
-    void noteSlowdown (View& view, std::uint32_t percent, base::TimePoint statedAt);
-    /// What others have there, from the sum over all routers.
+    void recordUnreachable (View& view, base::TimePoint now);
+    void recordReplaced (const View& view);
+    /// Clears the state of the view when the row belongs to another incarnation.
+    void resetIfRestarted (View& view, const cell::RoutableInstance& row);
+    void setSlowdown (View& view, std::uint32_t percent, base::TimePoint statedAt);
+    /// Load of the other routers, computed from the sum over all routers.
     [[nodiscard]] static Use usedByOthers (const View& view, const Use& all, base::TimePoint now);
-    /// Part of what was last known of others that still counts.
-    [[nodiscard]] double shareOfOthers (base::TimePoint now) const;
-    /// Runners of the service that may hold the model; all of the service without one.
+    /// Weight from 0 to 1 of the last known load of other routers, which falls with its age.
+    [[nodiscard]] double weightOfOthers (base::TimePoint now) const;
+    /// Runners of the service that may hold the model; all runners of the service without a model.
     [[nodiscard]] const Views& viewsFor (const std::string& service,
                                          const std::string& model) const;
-    /// Whether a runner may be chosen for requests of the service at all.
+    /// Whether the runner accepts requests of the service.
     [[nodiscard]] static bool isCandidate (const View& view, const InstanceQuery& query,
                                            base::TimePoint now);
     [[nodiscard]] static bool holds (const View& view, const InstanceQuery& query,
                                      base::TimePoint now);
-    /// Why there is no runner for the request.
-    [[nodiscard]] NoChoice reasonWithout (const InstanceQuery& query, base::TimePoint now) const;
+    /// Why no runner can serve the request.
+    [[nodiscard]] NoRunnerReason reasonWithout (const InstanceQuery& query,
+                                                base::TimePoint now) const;
     [[nodiscard]] RunnerState stateOf (const View& view, const InstanceQuery& query,
                                        base::TimePoint now) const;
-    /// `home` keeps what requests like this one share; may be null.
-    [[nodiscard]] Offer offerOf (const View& view, const View* home, const InstanceQuery& query,
-                                 base::TimePoint now) const;
-    /// The runner that keeps a part of the prompt while that is worth it, else one of those that
-    /// are nearly as good as the best, as `draw` falls; one with a connection if there is any.
-    [[nodiscard]] static const Offer& pickAmongBest (const std::vector<Offer>& offers,
-                                                     const Offer& lowest, double draw);
-    [[nodiscard]] InstanceChoice choiceOf (const Offer& offer, const InstanceQuery& query,
+    /// `affinityRunner` has the shared prefix of the request in its cache; may be null.
+    [[nodiscard]] Candidate candidateOf (const View& view, const View* affinityRunner,
+                                         const InstanceQuery& query, base::TimePoint now) const;
+    /// Returns the runner with the cached prefix while the saved prefill outweighs its delay; else
+    /// picks by `draw` among the runners that are nearly as good as the best, preferring those with
+    /// an open connection.
+    [[nodiscard]] static const Candidate& pickAmongBest (const std::vector<Candidate>& candidates,
+                                                         const Candidate& lowest, double draw);
+    [[nodiscard]] InstanceChoice choiceOf (const Candidate& candidate, const InstanceQuery& query,
                                            base::TimePoint now) const;
-    /// Whether it may be chosen, and holds what the request needs.
+    /// Whether the runner may be chosen and holds the model and adapter.
     [[nodiscard]] static bool canServe (const View& view, const InstanceQuery& query,
                                         base::TimePoint now);
-    /// The runner where requests like this one meet; null without affinity.
-    [[nodiscard]] const View* homeOf (const InstanceQuery& query, base::TimePoint now) const;
-    [[nodiscard]] static RateRoom roomByRate (const View& view, const InstanceQuery& query);
-    [[nodiscard]] static InstanceChoice rateLimited (const RateRoom& room);
-    /// Whether it works on requests and sent nothing for long.
+    /// Runner to which all requests with the same affinity are sent; null without affinity.
+    [[nodiscard]] const View* affinityRunnerOf (const InstanceQuery& query,
+                                                base::TimePoint now) const;
+    [[nodiscard]] static RateCapacity rateCapacity (const View& view, const InstanceQuery& query);
+    [[nodiscard]] static InstanceChoice rateLimited (const RateCapacity& capacity);
+    /// Whether the runner has open requests and sent nothing for longer than kQuietAfter.
     [[nodiscard]] static bool isQuiet (const View& view, base::TimePoint now);
-    /// Whether it may have ended.
-    [[nodiscard]] static bool isInDoubt (const View& view, base::TimePoint now);
-    [[nodiscard]] InstanceChoice chooseForTrial (const InstanceQuery& query,
-                                                 base::TimePoint now) const;
+    /// Whether the runner shows signs of having failed.
+    [[nodiscard]] static bool mayHaveFailed (const View& view, base::TimePoint now);
+    [[nodiscard]] InstanceChoice chooseIsolationRunner (const InstanceQuery& query,
+                                                        base::TimePoint now) const;
 
     std::string m_zone;
     base::Term m_term = 0;
@@ -264,10 +278,10 @@
     std::uint32_t m_routers = 1;
     std::vector<cell::ControllerEndpoint> m_controllers;
     std::map<std::string, View> m_views;
-    /// By service and, below it, by model; "" holds all of the service. A choice looks at runners
-    /// that can serve the request only, however many there are.
+    /// Keyed by service, then by model; "" lists all runners of the service. The cost of a choice
+    /// depends only on the number of runners that can serve the request.
     std::map<std::string, std::map<std::string, Views>> m_index;
-    base::TimePoint m_loadsAt{};  ///< Of the last news of other routers.
+    base::TimePoint m_loadsAt{};  ///< Time of the last update of the loads of other routers.
     std::vector<std::string> m_unreachable;
     std::vector<std::string> m_replaced;
 };
--- a/src/proxy/InstanceDirectoryTest.cpp
+++ b/src/proxy/InstanceDirectoryTest.cpp
@@ -41,7 +41,7 @@
         query.model = model;
         return m_directory.choose (query, now).id;
     }
-    NoChoice reason (const InstanceQuery& query)
+    NoRunnerReason reason (const InstanceQuery& query)
     {
         return m_directory.choose (query, kStart).reason;
     }
@@ -50,7 +50,7 @@
     std::uint64_t m_version = 0;
 };
 
-TEST_F (InstanceDirectoryTest, AGapInTheTableIsNoticed)
+TEST_F (InstanceDirectoryTest, DetectsGapInTableVersions)
 {
     put ({ rowOf ("i-1") });
     cell::InstanceUpdate update;
@@ -64,7 +64,7 @@
     EXPECT_TRUE (m_directory.apply (update, kStart));
     EXPECT_EQ (m_directory.size(), 0U);
     update.term = 1;
-    EXPECT_FALSE (m_directory.apply (update, kStart));  // Of an earlier leader.
+    EXPECT_FALSE (m_directory.apply (update, kStart));  // Update of an earlier leader.
 }
 
 TEST_F (InstanceDirectoryTest, PrefersTheIdleRunnerAndItsOwnZone)
@@ -76,27 +76,28 @@
     EXPECT_EQ (choose(), "i-2");
 }
 
-TEST_F (InstanceDirectoryTest, CopiesOfASuspectMeetWhereItDidNotEndARunner)
+TEST_F (InstanceDirectoryTest, CopiesOfSuspectGoToOneRunnerThatDidNotCrash)
 {
     put ({ rowOf ("i-1"), rowOf ("i-2"), rowOf ("i-3"), rowOf ("i-4") });
     InstanceQuery query;
     query.service = "service";
-    query.trial = "digest";
+    query.isolationKey = "digest";
     const std::string first = m_directory.choose (query, kStart).id;
     m_directory.onAttemptBegin (first, 0, kStart);
-    EXPECT_EQ (m_directory.choose (query, kStart).id, first) << "load does not count";
-    query.endedInstances = { first };
+    EXPECT_EQ (m_directory.choose (query, kStart).id, first)
+        << "the load does not affect the isolation runner";
+    query.crashedInstances = { first };
     EXPECT_NE (m_directory.choose (query, kStart).id, first);
-    query.endedInstances = { "i-1", "i-2", "i-3", "i-4" };
-    EXPECT_EQ (m_directory.choose (query, kStart).reason, NoChoice::kNotLoaded);
+    query.crashedInstances = { "i-1", "i-2", "i-3", "i-4" };
+    EXPECT_EQ (m_directory.choose (query, kStart).reason, NoRunnerReason::kNotLoaded);
 }
 
-TEST_F (InstanceDirectoryTest, ASuspectGoesToARunnerInDoubtOnlyWhenThereIsNoOther)
+TEST_F (InstanceDirectoryTest, SuspectGoesToPossiblyFailedRunnerOnlyAsLastResort)
 {
     put ({ rowOf ("i-1"), rowOf ("i-2"), rowOf ("i-3") });
     InstanceQuery query;
     query.service = "service";
-    query.trial = "digest";
+    query.isolationKey = "digest";
     const std::string first = m_directory.choose (query, kStart).id;
     cell::RoutableInstance silent = rowOf (first);
     silent.isSilent = true;
@@ -106,8 +107,8 @@
     query.avoidedInstance = second;
     EXPECT_NE (m_directory.choose (query, kStart).id, first);
     EXPECT_NE (m_directory.choose (query, kStart).id, second);
-    query.endedInstances = { "i-1", "i-2", "i-3" };
-    std::erase (query.endedInstances, first);
+    query.crashedInstances = { "i-1", "i-2", "i-3" };
+    std::erase (query.crashedInstances, first);
     EXPECT_EQ (m_directory.choose (query, kStart).id, first);
 }
 
@@ -116,19 +117,19 @@
     cell::RoutableInstance draining = rowOf ("i-1");
     draining.instance.isDraining = true;
     put ({ draining });
-    EXPECT_EQ (reason ({ "service", "", "", "", 0, 0, "" }), NoChoice::kUnknown);
+    EXPECT_EQ (reason ({ "service", "", "", "", 0, 0, "" }), NoRunnerReason::kUnknown);
 }
 
 TEST_F (InstanceDirectoryTest, OnlyHoldersOfModelAndAdapterAreChosen)
 {
     put ({ rowOf ("i-1") });
-    EXPECT_EQ (reason ({ "service", "m", "a1", "", 0, 0, "" }), NoChoice::kNone);
-    EXPECT_EQ (reason ({ "service", "m", "a2", "", 0, 0, "" }), NoChoice::kNotLoaded);
-    EXPECT_EQ (reason ({ "service", "x", "", "", 0, 0, "" }), NoChoice::kNotLoaded);
-    EXPECT_EQ (reason ({ "other", "", "", "", 0, 0, "" }), NoChoice::kUnknown);
+    EXPECT_EQ (reason ({ "service", "m", "a1", "", 0, 0, "" }), NoRunnerReason::kNone);
+    EXPECT_EQ (reason ({ "service", "m", "a2", "", 0, 0, "" }), NoRunnerReason::kNotLoaded);
+    EXPECT_EQ (reason ({ "service", "x", "", "", 0, 0, "" }), NoRunnerReason::kNotLoaded);
+    EXPECT_EQ (reason ({ "other", "", "", "", 0, 0, "" }), NoRunnerReason::kUnknown);
 }
 
-TEST_F (InstanceDirectoryTest, ARunnerFoundNotToHoldAModelIsPassedOverForAWhile)
+TEST_F (InstanceDirectoryTest, SkipsRunnerThatDoesNotHoldModelForAWhile)
 {
     put ({ rowOf ("i-1") });
     m_directory.onNotHeld ("i-1", "m", "", kStart);
@@ -136,7 +137,7 @@
     EXPECT_EQ (choose ("m", kStart + base::seconds (2)), "i-1");
 }
 
-TEST_F (InstanceDirectoryTest, OtherNewsOfARunnerDoesNotBringBackWhatItDidNotHold)
+TEST_F (InstanceDirectoryTest, OtherRowChangesDoNotRestoreModelNotHeld)
 {
     put ({ rowOf ("i-1") });
     m_directory.onNotHeld ("i-1", "m", "", kStart);
@@ -147,11 +148,11 @@
     EXPECT_EQ (choose ("another"), "i-1");
     row.instance.models = { { "another", 1, {} } };
     put ({ row });
-    put ({ rowOf ("i-1") });  // It was gone, and has come again.
+    put ({ rowOf ("i-1") });  // The model was missing and has been reported again.
     EXPECT_EQ (choose ("m"), "i-1");
 }
 
-TEST_F (InstanceDirectoryTest, AnUnreachableRunnerIsPassedOverAndToldOnce)
+TEST_F (InstanceDirectoryTest, SkipsUnreachableRunnerAndReportsItOnce)
 {
     put ({ rowOf ("i-1") });
     for (int attempt = 0; attempt < 3; ++attempt)
@@ -186,19 +187,19 @@
     EXPECT_EQ (choose ("", later), "i-1");
 }
 
-TEST_F (InstanceDirectoryTest, RequestsThatShareAPromptMeetUntilTheirRunnerIsBusy)
+TEST_F (InstanceDirectoryTest, RequestsWithSharedPrefixUseOneRunnerUntilBusy)
 {
     put ({ rowOf ("i-1"), rowOf ("i-2"), rowOf ("i-3"), rowOf ("i-4") });
     InstanceQuery query{ "service", "m", "", "m,part", 6000, 9000, "" };
-    const std::string home = m_directory.choose (query, kStart).id;
-    m_directory.onAttemptBegin (home, 0, kStart);
-    EXPECT_EQ (m_directory.choose (query, kStart).id, home);
+    const std::string affinityRunner = m_directory.choose (query, kStart).id;
+    m_directory.onAttemptBegin (affinityRunner, 0, kStart);
+    EXPECT_EQ (m_directory.choose (query, kStart).id, affinityRunner);
     for (int request = 0; request < 10; ++request)
-        m_directory.onAttemptBegin (home, 9000, kStart);
-    EXPECT_NE (m_directory.choose (query, kStart).id, home);
+        m_directory.onAttemptBegin (affinityRunner, 9000, kStart);
+    EXPECT_NE (m_directory.choose (query, kStart).id, affinityRunner);
 }
 
-TEST_F (InstanceDirectoryTest, WhatARunnerHoldsIsKeptWhenANewLeaderDoesNotKnowItYet)
+TEST_F (InstanceDirectoryTest, KeepsHeldModelsWhenNewLeaderHasNoReportYet)
 {
     put ({ rowOf ("i-1") });
     cell::RoutableInstance unknown = rowOf ("i-1");
@@ -208,7 +209,7 @@
     EXPECT_EQ (choose ("m"), "i-1");
 }
 
-TEST_F (InstanceDirectoryTest, NothingOfAnEarlierIncarnationHolds)
+TEST_F (InstanceDirectoryTest, ResetsStateForNewIncarnation)
 {
     cell::RoutableInstance row = rowOf ("i-1");
     row.instance.startedAt = 1000;
@@ -228,15 +229,15 @@
     EXPECT_EQ (m_directory.takeReplaced(), std::vector<std::string>{ "i-1@1000" });
 }
 
-TEST_F (InstanceDirectoryTest, ARequestThatEndedAnIncarnationMayGoToTheNextOne)
+TEST_F (InstanceDirectoryTest, CrashedIncarnationDoesNotExcludeNextOne)
 {
     cell::RoutableInstance row = rowOf ("i-1");
     row.instance.startedAt = 1000;
     put ({ row });
     InstanceQuery query;
     query.service = "service";
-    query.trial = "digest";
-    query.endedInstances = { "i-1@1000" };
+    query.isolationKey = "digest";
+    query.crashedInstances = { "i-1@1000" };
     EXPECT_EQ (m_directory.choose (query, kStart).id, "");
     row.instance.startedAt = 2000;
     put ({ row });
--- a/src/proxy/InstanceLoadReporter.cpp
+++ b/src/proxy/InstanceLoadReporter.cpp
@@ -9,20 +9,21 @@
 {
 
 constexpr base::Duration kShortestReportInterval = base::milliseconds (50);
-/// Together with the two steps at controllers, what a router knows is then half a second old.
+/// With the two forwarding steps at controllers, the loads known to a router are then at most half
+/// a second old.
 constexpr base::Duration kLongestReportInterval = base::milliseconds (250);
-/// A controller reads at most 330 reports a second, 10 ms of its time at 30 us each.
-constexpr base::Duration kReportIntervalForRouter = base::milliseconds (3);
-/// A slowdown changes within some tenths of a second: pauses that come later after the runner
-/// stated it tell nothing of its speed.
-constexpr base::Duration kSlowdownHolds = base::milliseconds (400);
+/// Bounds a controller to 330 reports per second, which take 10 ms of its time at 30 us each.
+constexpr base::Duration kReportIntervalPerRouter = base::milliseconds (3);
+/// Slowdowns change within some tenths of a second, so gaps observed later than this after the
+/// statement say nothing about the speed of the runner.
+constexpr base::Duration kSlowdownLifetime = base::milliseconds (400);
 
 }  // namespace
 
 base::Duration loadReportInterval (std::uint32_t routers)
 {
     return std::clamp<base::Duration> (
-        static_cast<std::int64_t> (routers) * kReportIntervalForRouter, kShortestReportInterval,
+        static_cast<std::int64_t> (routers) * kReportIntervalPerRouter, kShortestReportInterval,
         kLongestReportInterval);
 }
 
@@ -58,7 +59,7 @@
     if (runner != m_runners.end() && runner->second.slowdown)
     {
         const Slowdown& stated = *runner->second.slowdown;
-        if (now - stated.statedAt > kSlowdownHolds)
+        if (now - stated.statedAt > kSlowdownLifetime)
             return;
         slowdown = static_cast<double> (std::max (stated.percent, 1U)) / cell::kUsualPercent;
     }
@@ -78,9 +79,9 @@
 {
     for (auto& [instance, runner] : m_runners)
     {
-        runner.told = {};
+        runner.reported = {};
         if (runner.slowdown)
-            runner.slowdown->isTold = false;
+            runner.slowdown->isReported = false;
         m_changed.insert (instance);
     }
     m_reportedAt = {};
@@ -94,17 +95,18 @@
         m_changed.insert (instance);
 }
 
-void InstanceLoadReporter::tell (const std::string& instance, Runner& runner, base::TimePoint now,
-                                 cell::InstanceLoadReport& report) const
+void InstanceLoadReporter::appendChanges (const std::string& instance, Runner& runner,
+                                          base::TimePoint now,
+                                          cell::InstanceLoadReport& report) const
 {
     const Use use = m_isShared ? runner.use : Use{};
-    if (use != runner.told)
+    if (use != runner.reported)
         report.uses.push_back ({ instance, use.inFlight, use.unreadTokens });
-    runner.told = use;
-    if (! m_isShared || ! runner.slowdown || std::exchange (runner.slowdown->isTold, true))
+    runner.reported = use;
+    if (! m_isShared || ! runner.slowdown || std::exchange (runner.slowdown->isReported, true))
         return;
     const base::Duration age = now - runner.slowdown->statedAt;
-    if (age <= kSlowdownHolds)
+    if (age <= kSlowdownLifetime)
         report.slowdowns.push_back (
             { instance, runner.slowdown->percent, base::toMilliseconds (age) });
 }
@@ -118,8 +120,8 @@
     for (const std::string& instance : std::exchange (m_changed, {}))
     {
         const auto found = m_runners.find (instance);
-        tell (instance, found->second, now, report);
-        if (found->second.use == Use{} && found->second.told == Use{})
+        appendChanges (instance, found->second, now, report);
+        if (found->second.use == Use{} && found->second.reported == Use{})
             m_runners.erase (found);
     }
     for (const auto& [key, pace] : std::exchange (m_paces, {}))
--- a/src/proxy/InstanceLoadReporter.h
+++ b/src/proxy/InstanceLoadReporter.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * What this router tells the cell of its requests at runners, and of how fast the runners work.
+ * Collects the reports on this router's requests at runners and on the speed of the runners.
  *
- * Each router sends a runner a request now and then and learns little of it; all routers together
- * know all of its load. Reports hold what changed, and wait for nothing: a request that has just
- * been sent is told within one interval.
+ * Each router sends only few requests to a single runner; only the sum over all routers shows its
+ * load. A report holds what changed since the last one, so a new request is reported within one
+ * interval.
  */
 
 #include <cstdint>
@@ -21,8 +21,8 @@
 namespace fernlift::proxy
 {
 
-/** Time between reports of one router when `routers` report to the same controller, which then
-    reads a bounded number a second.
+/** Interval between the reports of one router when `routers` routers report to the same controller,
+    chosen so that the controller reads a bounded number of reports per second.
 */
 [[nodiscard]] base::Duration loadReportInterval (std::uint32_t routers);
 
@@ -30,23 +30,25 @@
 class InstanceLoadReporter
 {
 public:
-    /** A request with a prompt of so many tokens goes to the runner. */
+    /** Called when a request with a prompt of `promptTokens` tokens is sent to the runner. */
     void onAttemptBegin (const std::string& instance, std::uint64_t promptTokens);
-    /** The runner has read the prompt, or never will. */
+    /** Called when the prefill ended or the attempt failed before that. */
     void onAnswerBegun (const std::string& instance, std::uint64_t promptTokens);
     void onAttemptEnd (const std::string& instance);
-    /** So many events of a stream came within `time` after the one before them. */
+    /** Called when `events` events of a stream arrived `time` after the event before them. */
     void onPause (const std::string& instance, const std::string& model, base::Duration time,
                   std::uint32_t events, base::TimePoint now);
-    /** The runner stated how much longer work takes on its machine: 100 as usual. */
+    /** Called when the runner stated the slowdown of its machine in percent; 100 is nominal. */
     void onSlowdown (const std::string& instance, std::uint32_t percent, base::TimePoint now);
-    /** The controller is another one, or has forgotten: the next report tells all. */
+    /** Called when the controller changed or lost its state; the next report is complete. */
     void onLinkLost();
-    /** Whether routers of the cell share loads. When they stop, what was told is withdrawn. */
+    /** Sets whether the routers of the cell share loads. When sharing stops, reported loads are
+        withdrawn.
+    */
     void setShared (bool isShared);
 
-    /** The report that is due, `interval` after the last one at the earliest; nothing when nothing
-        changed. It must be sent at `now`.
+    /** Returns the report that is due, at the earliest `interval` after the last one; nothing
+        without changes. The report must be sent at `now`.
     */
     [[nodiscard]] std::optional<cell::InstanceLoadReport> takeDue (base::TimePoint now,
                                                                    base::Duration interval);
@@ -63,12 +65,12 @@
     {
         std::uint32_t percent = 100;
         base::TimePoint statedAt{};
-        bool isTold = false;
+        bool isReported = false;
     };
     struct Runner
     {
         Use use;
-        Use told;  ///< To the present controller.
+        Use reported;  ///< Values reported to the current controller.
         std::optional<Slowdown> slowdown;
     };
     struct Pace
@@ -77,12 +79,12 @@
         double microseconds = 0;
     };
 
-    void tell (const std::string& instance, Runner& runner, base::TimePoint now,
-               cell::InstanceLoadReport& report) const;
+    void appendChanges (const std::string& instance, Runner& runner, base::TimePoint now,
+                        cell::InstanceLoadReport& report) const;
 
     std::map<std::string, Runner> m_runners;
-    std::set<std::string> m_changed;  ///< Runners of which something may be to be told.
-    std::map<std::pair<std::string, std::string>, Pace> m_paces;  ///< By runner and model.
+    std::set<std::string> m_changed;  ///< Runners that may have changes to report.
+    std::map<std::pair<std::string, std::string>, Pace> m_paces;  ///< Keyed by runner and model.
     bool m_isShared = false;
     base::TimePoint m_reportedAt{};
 };
--- a/src/proxy/InstanceLoadReporterTest.cpp
+++ b/src/proxy/InstanceLoadReporterTest.cpp
@@ -28,7 +28,7 @@
     InstanceLoadReporter m_reporter;
 };
 
-TEST_F (InstanceLoadReporterTest, TellsUseAsItIsAndOnlyWhatChanged)
+TEST_F (InstanceLoadReporterTest, ReportsAbsoluteLoadOfChangedRunnersOnly)
 {
     m_reporter.onAttemptBegin ("a", 900);
     m_reporter.onAttemptBegin ("b", 100);
@@ -43,7 +43,7 @@
     EXPECT_EQ (report->uses, (std::vector<cell::InstanceUse>{ { "a", 2, 50 } }));
 }
 
-TEST_F (InstanceLoadReporterTest, SaysNothingTwiceAndNothingEarly)
+TEST_F (InstanceLoadReporterTest, ReportsNothingTwiceOrEarly)
 {
     m_reporter.onAttemptBegin ("a", 1);
     ASSERT_TRUE (m_reporter.takeDue (at (0), kInterval));
@@ -55,14 +55,14 @@
     EXPECT_TRUE (m_reporter.takeDue (at (550), kInterval));
 }
 
-TEST_F (InstanceLoadReporterTest, WhatBeganAndEndedBetweenReportsIsNotTold)
+TEST_F (InstanceLoadReporterTest, DoesNotReportAttemptsWithinOneInterval)
 {
     m_reporter.onAttemptBegin ("a", 7);
     m_reporter.onAttemptEnd ("a");
     EXPECT_FALSE (m_reporter.takeDue (at (0), kInterval));
 }
 
-TEST_F (InstanceLoadReporterTest, AnotherControllerIsToldAllAtOnce)
+TEST_F (InstanceLoadReporterTest, ReportsEverythingToNewController)
 {
     m_reporter.onAttemptBegin ("a", 10);
     m_reporter.onAttemptBegin ("b", 20);
@@ -74,7 +74,7 @@
     EXPECT_EQ (report->uses, (std::vector<cell::InstanceUse>{ { "a", 1, 10 } }));
 }
 
-TEST_F (InstanceLoadReporterTest, WithdrawsWhatItToldWhenLoadsAreNoLongerShared)
+TEST_F (InstanceLoadReporterTest, WithdrawsReportedLoadsWhenSharingStops)
 {
     m_reporter.onAttemptBegin ("a", 10);
     ASSERT_TRUE (m_reporter.takeDue (at (0), kInterval));
@@ -92,7 +92,7 @@
     EXPECT_EQ (again->uses, (std::vector<cell::InstanceUse>{ { "a", 1, 10 }, { "b", 1, 10 } }));
 }
 
-TEST_F (InstanceLoadReporterTest, PausesAreAddedUpByRunnerAndModelAsOnAUsualMachine)
+TEST_F (InstanceLoadReporterTest, SumsGapsByRunnerAndModelCorrectedForSlowdown)
 {
     m_reporter.onSlowdown ("a", 250, at (0));
     m_reporter.onPause ("a", "m", milliseconds (25), 1, at (20));
@@ -102,10 +102,10 @@
     ASSERT_TRUE (report);
     const std::vector<cell::InstancePace> paces{ { "a", "m", 3, 30'000 }, { "b", "m", 1, 10'000 } };
     EXPECT_EQ (report->paces, paces);
-    EXPECT_FALSE (m_reporter.takeDue (at (200), kInterval)) << "they were told";
+    EXPECT_FALSE (m_reporter.takeDue (at (200), kInterval)) << "the gaps were reported already";
 }
 
-TEST_F (InstanceLoadReporterTest, PausesLongAfterTheRunnerStatedItsSlowdownSayNothing)
+TEST_F (InstanceLoadReporterTest, IgnoresGapsLongAfterStatedSlowdown)
 {
     m_reporter.onSlowdown ("a", 100, at (0));
     m_reporter.onPause ("a", "m", milliseconds (25), 1, at (900));
@@ -113,7 +113,7 @@
     EXPECT_TRUE (! report || report->paces.empty());
 }
 
-TEST_F (InstanceLoadReporterTest, ASlowdownIsToldOnceWithItsAge)
+TEST_F (InstanceLoadReporterTest, ReportsSlowdownOnceWithItsAge)
 {
     m_reporter.onAttemptBegin ("a", 0);
     m_reporter.onSlowdown ("a", 250, at (0));
@@ -134,8 +134,8 @@
     EXPECT_EQ (loadReportInterval (100'000), milliseconds (250));
 }
 
-/// What a controller knows by absolute reports, after any events, moves to other controllers
-/// included, is what the router has.
+/// After any sequence of events, including changes of the controller, the absolute reports give the
+/// controller the same loads as the router has.
 RC_GTEST_PROP (InstanceLoadReports, WhatWasToldIsTheTruthOnceAllIsTold,
                (const std::vector<std::uint8_t>& events))
 {
@@ -148,12 +148,12 @@
         bool isBegun = false;
     };
     std::vector<Attempt> attempts;
-    std::map<std::string, cell::InstanceUse> told;
+    std::map<std::string, cell::InstanceUse> reported;
     const auto take = [&] (base::TimePoint now, base::Duration interval)
     {
         const auto report = reporter.takeDue (now, interval);
         for (std::size_t at = 0; report && at < report->uses.size(); ++at)
-            told[report->uses[at].instance] = report->uses[at];
+            reported[report->uses[at].instance] = report->uses[at];
     };
     int time = 0;
     for (const std::uint8_t event : events)
@@ -181,7 +181,7 @@
         }
         else if (event % 50 == 4)
         {
-            told.clear();
+            reported.clear();
             reporter.onLinkLost();
         }
         take (at (time), kInterval);
@@ -197,8 +197,8 @@
             ++truth.inFlight;
             truth.unreadTokens += attempt.isBegun ? 0 : attempt.tokens;
         }
-        const auto found = told.find (instance);
-        RC_ASSERT ((found == told.end() ? cell::InstanceUse{ instance, 0, 0 } : found->second)
+        const auto found = reported.find (instance);
+        RC_ASSERT ((found == reported.end() ? cell::InstanceUse{ instance, 0, 0 } : found->second)
                    == truth);
     }
 }
--- a/src/proxy/KeyTable.cpp
+++ b/src/proxy/KeyTable.cpp
@@ -33,7 +33,7 @@
 
 std::size_t KeyTable::DigestHash::operator() (const Digest& digest) const
 {
-    // A digest is as random as a hash can be.
+    // The bytes of a digest are uniformly distributed already.
     std::size_t hash = 0;
     std::memcpy (&hash, digest.data(), sizeof hash);
     return hash;
@@ -53,7 +53,7 @@
     for (const config::Tenant& tenant : tenants)
     {
         for (const std::string& key : tenant.keys)
-            m_holders.emplace (digestOf (key), &tenant);
+            m_tenantsByDigest.emplace (digestOf (key), &tenant);
     }
 }
 
@@ -65,8 +65,8 @@
     const std::string_view key = bearerToken (credentials);
     if (key.empty())
         return nullptr;
-    const auto found = m_holders.find (digestOf (key));
-    return found == m_holders.end() ? nullptr : found->second;
+    const auto found = m_tenantsByDigest.find (digestOf (key));
+    return found == m_tenantsByDigest.end() ? nullptr : found->second;
 }
 
 }  // namespace fernlift::proxy
--- a/src/proxy/KeyTable.h
+++ b/src/proxy/KeyTable.h
@@ -3,8 +3,8 @@
 /**
  * Finds the tenant that holds the key of a request.
  *
- * Only digests of keys are kept, so that neither the time of a look-up nor an image of the memory
- * of this table tells a key.
+ * Only digests of keys are stored, so that neither the duration of a look-up nor a memory dump
+ * reveals a key.
  */
 
 #include <array>
@@ -20,23 +20,23 @@
 namespace fernlift::proxy
 {
 
-/** Field in which a request carries its key. */
+/** Header field that carries the key of a request. */
 constexpr std::string_view kCredentialsField = "Authorization";
 
-/** Immutable. Threading: none needed. */
+/** Immutable, so access needs no synchronisation. */
 class KeyTable
 {
 public:
     /** The tenants must outlive the table. */
     explicit KeyTable (const std::vector<config::Tenant>& tenants);
 
-    /** The tenant whose key the request carries as bearer token. Null when it carries none, more
-        than one, or one that no tenant holds.
+    /** The tenant whose key the request carries as bearer token. Null without a key, with more than
+        one, or with a key that no tenant holds.
     */
     [[nodiscard]] const config::Tenant* tenantOf (const http::Headers& headers) const;
 
 private:
-    static constexpr std::size_t kDigestBytes = 32;  ///< SHA-256.
+    static constexpr std::size_t kDigestBytes = 32;  ///< Size of a SHA-256 digest.
     using Digest = std::array<char, kDigestBytes>;
     struct DigestHash
     {
@@ -45,11 +45,11 @@
 
     [[nodiscard]] static Digest digestOf (std::string_view key);
 
-    std::unordered_map<Digest, const config::Tenant*, DigestHash> m_holders;
+    std::unordered_map<Digest, const config::Tenant*, DigestHash> m_tenantsByDigest;
 };
 
-/** The key of a field `Authorization` of the scheme "Bearer", whose name may be in any case; empty
-    when the field is not of that form.
+/** Key in an `Authorization` field of the scheme "Bearer" (case-insensitive); empty when the field
+    has another form.
 */
 [[nodiscard]] std::string_view bearerToken (std::string_view credentials);
 
--- a/src/proxy/KeyTableTest.cpp
+++ b/src/proxy/KeyTableTest.cpp
@@ -26,14 +26,14 @@
     return tenant == nullptr ? "" : tenant->name;
 }
 
-TEST (KeyTableTest, FindsTheHolderOfEachKey)
+TEST (KeyTableTest, FindsTenantOfEachKey)
 {
     EXPECT_EQ (holderOf ({ { "Authorization", "Bearer k1" } }), "farm");
     EXPECT_EQ (holderOf ({ { "authorization", "bearer  k2 " } }), "farm");
     EXPECT_EQ (holderOf ({ { "Authorization", "Bearer k3" } }), "port");
 }
 
-TEST (KeyTableTest, NoOtherCredentialsHaveAHolder)
+TEST (KeyTableTest, OtherCredentialsHaveNoTenant)
 {
     EXPECT_EQ (holderOf ({}), "");
     EXPECT_EQ (holderOf ({ { "Authorization", "" } }), "");
--- a/src/proxy/PromptParts.h
+++ b/src/proxy/PromptParts.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Reads the list of a prompt's parts, each ID:TOKENS, separated by commas.
+/// Parses the list of the parts of a prompt: ID:TOKENS, separated by commas.
 
 #include <cstdint>
 #include <string>
@@ -9,9 +9,9 @@
 namespace fernlift::proxy
 {
 
-/// The parts but the last, which is the request's own; empty when there is only one.
+/// All parts except the last, which is unique to the request; empty with a single part.
 [[nodiscard]] std::string sharedParts (const std::string& parts);
-/// Tokens of all parts; a part without a number counts as none.
+/// Sum of the tokens of all parts. A part without a number counts as 0.
 [[nodiscard]] std::uint64_t tokensOf (std::string_view parts);
 
 }  // namespace fernlift::proxy
--- a/src/proxy/PromptPartsTest.cpp
+++ b/src/proxy/PromptPartsTest.cpp
@@ -7,14 +7,14 @@
 namespace
 {
 
-TEST (PromptPartsTest, TheLastPartIsTheRequestsOwn)
+TEST (PromptPartsTest, LastPartIsNotShared)
 {
     EXPECT_EQ (sharedParts ("a:800,b:410,c:250"), "a:800,b:410");
     EXPECT_EQ (sharedParts ("a:800"), "");
     EXPECT_EQ (sharedParts (""), "");
 }
 
-TEST (PromptPartsTest, TokensAreSummedAndWhatIsNoNumberCountsAsNone)
+TEST (PromptPartsTest, SumsTokensAndCountsInvalidNumbersAsZero)
 {
     EXPECT_EQ (tokensOf ("a:800,b:410,c:250"), 1460U);
     EXPECT_EQ (tokensOf ("a:800,b,c:x,,d:"), 800U);
--- a/src/proxy/ProtocolNames.h
+++ b/src/proxy/ProtocolNames.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Names of the header fields by which a platform speaks of one thing. An empty name: the platform
-/// has no such field.
+/// Names of the header fields that a platform uses. An empty name means that the platform does not
+/// have the field.
 
 #include <string>
 #include <vector>
@@ -12,29 +12,32 @@
 /// Header fields of forwarded requests and of their answers.
 struct ProtocolNames
 {
-    // From callers; passed on unchanged.
+    // Sent by callers and forwarded unchanged, except for the deadline.
     std::string requestId;  ///< Identifies one attempt of a caller.
-    std::string deadline;   ///< Milliseconds that the receiver may take; rewritten to what is left.
+    std::string deadline;   ///< Milliseconds until the answer is due; the router replaces it by the
+                            ///< remaining time.
     std::string model;      ///< MODEL or MODEL/ADAPTER.
     std::string promptParts;   ///< Parts of the prompt in order, as ID:TOKENS, separated by commas.
-    std::string promptTokens;  ///< Tokens of the prompt and most tokens out, separated by a comma.
+    std::string promptTokens;  ///< Tokens of the prompt and the output limit, separated by a comma.
     // Set by the router.
-    std::string targetInstance;  ///< Every other instance refuses the request.
+    std::string targetInstance;  ///< Instance that may execute the request; every other one refuses
+                                 ///< it.
     std::string priority;        ///< 0 (most urgent) to 9.
     std::string tenant;          ///< Name of the tenant that holds the caller's key.
-    /// Fields by which only this system may steer a runner. What a caller sent in one never
-    /// reaches a runner: a forged reservation alone made runners refuse 8 in 100 requests.
+    /// Fields reserved for this system to control a runner. They are removed from the requests of
+    /// callers: forged reservations alone made runners refuse 8 % of the requests.
     std::vector<std::string> reserved;
-    // From runners.
-    std::string notExecuted;  ///< Present: the runner has not run the request and never will.
-    std::string load;         ///< Requests running, waiting and slots, separated by commas.
-    /// Requests a second that the runner takes from all routers together, for as long as its
-    /// answers say so.
+    // Sent by runners.
+    std::string notExecuted;  ///< Present when the runner did not and will not execute the request.
+    std::string load;  ///< Running requests, waiting requests, slots and slowdown, separated by
+                       ///< commas.
+    /// Requests per second that the runner accepts from all routers together, for as long as its
+    /// answers state it.
     std::string rateLimit;
-    /// Fields that runners write for this system only; callers do not get them.
+    /// Fields of answers that are meant for this system and are not forwarded to callers.
     std::vector<std::string> internalAnswerFields;
-    std::string lastEventId = "Last-Event-Id";  ///< Where a stream goes on.
-    /// Path on which readiness is asked for; any other path of that address is unknown.
+    std::string lastEventId = "Last-Event-Id";  ///< Event after which a stream is resumed.
+    /// Path of the readiness check. Every other path of its address is unknown.
     std::string readinessPath;
 };
 
