--- a/src/proxy/ProxyContext.h
+++ b/src/proxy/ProxyContext.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What all exchanges of one router share.
+/// State shared by all exchanges of one router.
 
 #include <cstdint>
 #include <functional>
@@ -29,15 +29,15 @@
 struct ProxyCounters
 {
     std::uint64_t requests = 0;
-    std::uint64_t answered = 0;  ///< Answers of runners passed on whole.
-    std::uint64_t refused = 0;   ///< Not run, and said so.
-    std::uint64_t failed = 0;    ///< Ended without an answer of a runner, and may have run.
-    std::uint64_t left = 0;      ///< The caller went away.
+    std::uint64_t answered = 0;  ///< Answers of runners forwarded completely.
+    std::uint64_t refused = 0;   ///< Answered as not executed.
+    std::uint64_t failed = 0;    ///< Ended without an answer of a runner, possibly after execution.
+    std::uint64_t disconnected = 0;  ///< Ended because the caller disconnected.
     std::uint64_t attempts = 0;
     std::uint64_t retries = 0;
     std::uint64_t resumed = 0;
-    std::uint64_t overQuota = 0;    ///< Refused for the quota of their tenant.
-    std::uint64_t quarantined = 0;  ///< Not passed on, as runners ended under them.
+    std::uint64_t overQuota = 0;    ///< Refused because of the quota of their tenant.
+    std::uint64_t quarantined = 0;  ///< Not forwarded because runners crashed under them.
 };
 
 struct ProxyContext
@@ -54,14 +54,14 @@
     TenantQuotas& quotas;
     quarantine::SuspectRequests& suspects;
     ProxyCounters& counters;
-    std::function<void()> onUrgentDemand;      ///< A request began to wait.
+    std::function<void()> onUrgentDemand;      ///< Called when a request began to wait.
     std::shared_ptr<const RouteTable> routes;  ///< Null before the first configuration.
-    /// A leader has confirmed the configuration, or a newer one, since the router started. Before
-    /// that a route that is missing may only be missing here.
+    /// Whether a leader confirmed the held configuration, or a newer one, since the router started.
+    /// Before that a missing route may exist in the configuration in force.
     bool areRoutesConfirmed = false;
-    /// Whether requests may be served from the routes and the directory now.
+    /// Whether requests may currently be served from the routes and the directory.
     std::function<Freshness()> freshness = [] { return Freshness::kConfirmed; };
-    /// A runner broke off an answer: whether it has ended is to be found out.
+    /// Called after a runner broke off an answer, to probe whether the runner has crashed.
     std::function<void (const std::string& instance, const base::SocketAddress& address)>
         checkRunner = [] (const std::string&, const base::SocketAddress&) {};
 };
--- a/src/proxy/ProxyProcess.cpp
+++ b/src/proxy/ProxyProcess.cpp
@@ -14,15 +14,16 @@
 
 constexpr base::milliseconds kTickInterval (25);
 
-/// A router whose controller is not the one that it prefers tries that one no more often than
-/// this, and up to twice as long at random: it may be down.
-constexpr base::Duration kMovePause = base::seconds (5);
-/// Before the end of a planned stop requests that still wait for a runner are answered: a refusal
-/// reaches its caller within some milliseconds, a request cut off with the process never does.
-constexpr base::Duration kAnswerBeforeEnd = base::milliseconds (300);
-/// Part of the reserve for retries of the whole cell that its routers use. The rest covers that
-/// routers come and go, and learn how many they are at different times.
-constexpr double kUsedReserve = 0.8;
+/// Shortest interval between attempts to move to the preferred controller, which may be down. A
+/// random time of up to the same length is added.
+constexpr base::Duration kMoveInterval = base::seconds (5);
+/// Time before the end of a planned stop at which requests that still wait for a runner are
+/// answered. A refusal reaches its caller within some milliseconds; a request that ends with the
+/// process gets no answer.
+constexpr base::Duration kAnswerBeforeStop = base::milliseconds (300);
+/// Part of the cell's retry reserve that its routers use. The rest covers changes in the number of
+/// routers, which they learn at different times.
+constexpr double kUsedReserveShare = 0.8;
 
 std::vector<base::SocketAddress> peersOf (const ProxySettings& settings)
 {
@@ -70,15 +71,15 @@
                 {
                     m_freshness.onContact();
                     m_session.onConnected (m_clock.now());
-                    // A router that is sent on to another controller has lost none.
-                    forgetController();
+                    // A redirect replaces the connection without a preceding loss.
+                    resetControllerState();
                     sendHello();
                     pollController();
                 },
                 [this] (const cell::ControllerToRouter& message) { onControllerMessage (message); },
                 [this]
                 {
-                    forgetController();
+                    resetControllerState();
                     m_session.onLost (m_clock.now(), m_random);
                 } }),
       m_freshness ({ m_settings.unconfirmedGrace, m_settings.isolatedGrace }),
@@ -137,7 +138,8 @@
                  m_suspects.size());
             set ("fernlift_proxy_failed", "Requests that ended without a whole answer.",
                  m_counters.failed);
-            set ("fernlift_proxy_left", "Requests whose caller went away.", m_counters.left);
+            set ("fernlift_proxy_left", "Requests whose caller went away.",
+                 m_counters.disconnected);
             set ("fernlift_proxy_attempts", "Attempts at runners.", m_counters.attempts);
             set ("fernlift_proxy_retries", "Attempts after the first.", m_counters.retries);
             set ("fernlift_proxy_resumed", "Streams that went on at another runner.",
@@ -176,7 +178,7 @@
     return ! m_stopBegan && isKnown && m_freshness.at (m_clock.now()) != Freshness::kExpired;
 }
 
-void ProxyProcess::forgetController()
+void ProxyProcess::resetControllerState()
 {
     m_quotas.pool().onLinkLost();
     m_rates.onLinkLost();
@@ -205,7 +207,7 @@
 {
     m_session.onHeard (m_clock.now());
     m_freshness.onContact();
-    takeRates (message);
+    applyRates (message);
     if (const auto* other = std::get_if<cell::NotLeaderReply> (&message))
     {
         m_session.onNotLeader (*other, m_clock.now(), m_random);
@@ -213,13 +215,13 @@
     else if (const auto* grant = std::get_if<cell::LeaseGrant> (&message))
     {
         m_session.onGrant (*grant);
-        noteController (true);
+        setControllerAnswering (true);
         confirmConfiguration();
         confirmRoutes (*grant);
     }
     else if (const auto* configuration = std::get_if<cell::ConfigurationUpdate> (&message))
     {
-        takeConfiguration (*configuration);
+        applyConfiguration (*configuration);
     }
     else if (const auto* quota = std::get_if<cell::QuotaGrant> (&message))
     {
@@ -231,14 +233,14 @@
         m_suspects.apply (*suspects, m_clock.now());
         m_server.onSuspectsChanged();
     }
-    else if (const auto* told = std::get_if<cell::SuspectReport> (&message))
+    else if (const auto* suspectReport = std::get_if<cell::SuspectReport> (&message))
     {
-        m_suspects.onTold (*told, m_clock.now());
+        m_suspects.onTold (*suspectReport, m_clock.now());
         m_server.onSuspectsChanged();
     }
     else if (const auto* instances = std::get_if<cell::InstanceUpdate> (&message))
     {
-        takeInstances (*instances);
+        applyInstances (*instances);
     }
     else if (const auto* loads = std::get_if<cell::InstanceLoadUpdate> (&message))
     {
@@ -246,7 +248,7 @@
     }
 }
 
-void ProxyProcess::takeRates (const cell::ControllerToRouter& message)
+void ProxyProcess::applyRates (const cell::ControllerToRouter& message)
 {
     const auto* update = std::get_if<cell::InstanceRateUpdate> (&message);
     const auto* grant = std::get_if<cell::InstancePermitGrant> (&message);
@@ -269,7 +271,7 @@
     m_server.onDirectoryChanged();
 }
 
-void ProxyProcess::takeConfiguration (const cell::ConfigurationUpdate& update)
+void ProxyProcess::applyConfiguration (const cell::ConfigurationUpdate& update)
 {
     if (update.version <= m_held.version)
         return;
@@ -306,10 +308,10 @@
                   { "pieces", update.pieces.size() },
                   { "whole_bytes", update.text.size() },
                   { "read_ms", base::toMilliseconds (m_clock.now() - receivedAt) } });
-    m_freshness.onTaken (m_clock.now());
+    m_freshness.onApplied (m_clock.now());
     confirmConfiguration();
     m_server.onDirectoryChanged();
-    // The leader waits to hear that it is in force here.
+    // The leader waits for the statement that the configuration is in force here.
     m_session.requestSoon (m_clock.now());
     pollController();
 }
@@ -324,9 +326,9 @@
 {
     const base::TimePoint now = m_clock.now();
     const Freshness present = m_freshness.at (now);
-    if (present == m_toldFreshness)
+    if (present == m_loggedFreshness)
         return present;
-    m_toldFreshness = present;
+    m_loggedFreshness = present;
     log::write (present == Freshness::kConfirmed ? log::Event::kConfigurationIsConfirmed
                                                  : log::Event::kConfigurationIsUnconfirmed,
                 { { "version", m_held.version },
@@ -335,11 +337,11 @@
     return present;
 }
 
-void ProxyProcess::takeInstances (const cell::InstanceUpdate& update)
+void ProxyProcess::applyInstances (const cell::InstanceUpdate& update)
 {
     if (! m_directory.apply (update, m_clock.now()))
     {
-        // A gap: a new connection gets the whole table.
+        // The update does not follow the held version; a new connection receives the whole table.
         m_link.close();
         m_session.onLost (m_clock.now(), m_random);
         return;
@@ -360,7 +362,8 @@
     m_rates.setRouters (m_directory.routers());
     for (const std::string& id : m_directory.takeReplaced())
         m_suspects.onReplaced (id);
-    // The last known state of a controller that does not lead does not tell how many there are.
+    // The last known state of a controller that does not lead does not include the number of
+    // routers.
     m_quotas.setRouters (update.term == cell::kTermOfLastKnownState ? 0 : m_directory.routers());
     m_server.onDirectoryChanged();
     if (! update.mustConfirm)
@@ -375,8 +378,9 @@
     const bool isThere = ! m_preferredController || *m_preferredController == m_link.address();
     if (isThere || ! m_hasController || now < m_moveAt)
         return;
-    m_moveAt = now + kMovePause
-               + base::Duration (m_random.uniformInteger (0, base::Duration (kMovePause).count()));
+    m_moveAt =
+        now + kMoveInterval
+        + base::Duration (m_random.uniformInteger (0, base::Duration (kMoveInterval).count()));
     m_session.goTo (m_preferredController->toString(), now);
     pollController();
 }
@@ -385,11 +389,11 @@
 {
     if (m_settings.cellRetryReserve == 0)
         return;
-    m_retryBudget.limitReserve (dispatch::partOfReserve (kUsedReserve * m_settings.cellRetryReserve,
-                                                         m_directory.routers(), m_settings.id));
+    m_retryBudget.limitReserve (dispatch::partOfReserve (
+        kUsedReserveShare * m_settings.cellRetryReserve, m_directory.routers(), m_settings.id));
 }
 
-void ProxyProcess::noteController (bool isAnswering)
+void ProxyProcess::setControllerAnswering (bool isAnswering)
 {
     if (m_hasController == isAnswering)
         return;
@@ -405,7 +409,7 @@
         return;
     if (const auto* connect = std::get_if<cell::ConnectController> (&*due))
     {
-        noteController (false);
+        setControllerAnswering (false);
         m_freshness.onConnectionTried();
         m_link.connect (connect->address);
         return;
@@ -441,14 +445,14 @@
 
 void ProxyProcess::reportLoads()
 {
-    const std::int64_t least = m_settings.sharedLoadsFromRouters;
-    m_loadReporter.setShared (least != 0 && m_directory.routers() >= least);
+    const std::int64_t minRouters = m_settings.sharedLoadsFromRouters;
+    m_loadReporter.setShared (minRouters != 0 && m_directory.routers() >= minRouters);
     if (! m_session.isConnected())
         return;
     const base::Duration interval = loadReportInterval (routersAtController());
     if (auto report = m_loadReporter.takeDue (m_clock.now(), interval))
     {
-        m_directory.onReported (*report, m_clock.now());
+        m_directory.onLoadsReported (*report, m_clock.now());
         m_link.send (std::move (*report));
     }
 }
@@ -488,12 +492,12 @@
         m_link.send (std::move (*report));
 }
 
-void ProxyProcess::followSuspension()
+void ProxyProcess::handleSuspension()
 {
-    // Timers count no suspension. What has arrived meanwhile is read first: an answer that is ready
-    // is delivered, also late.
+    // Timers do not count suspended time. Data that arrived in the meantime is read before the
+    // deadlines are checked, so that an answer that is ready is delivered even if late.
     if (std::exchange (m_wasSuspended, false))
-        m_server.onTimePassed();
+        m_server.checkDeadlines();
     const base::Duration suspended = m_suspensions.observe (m_clock.now(), m_clock.runningTime());
     if (suspended == base::Duration::zero())
         return;
@@ -504,7 +508,7 @@
 
 void ProxyProcess::onTick()
 {
-    followSuspension();
+    handleSuspension();
     pollController();
     reportDemand();
     reportLoads();
@@ -513,7 +517,7 @@
     reportSuspects();
     moveToPreferred();
     m_pool.expire (m_clock.now());
-    // Runners that were avoided for a while may be tried again.
+    // The avoidance of a runner may have ended.
     if (m_server.waitingExchanges() > 0)
         m_server.onDirectoryChanged();
     checkStop();
@@ -522,7 +526,7 @@
 void ProxyProcess::reload (const ProxySettings& changed)
 {
     m_settings.seeds = changed.seeds;
-    // Members that the leader named are known better than seeds.
+    // Members named by the leader take precedence over seeds.
     if (m_directory.controllers().empty())
         m_link.setControllers (peersOf (m_settings));
 }
@@ -548,7 +552,7 @@
     {
         m_server.beginRefusing();
     }
-    if (passed >= m_settings.stopTimeout - kAnswerBeforeEnd)
+    if (passed >= m_settings.stopTimeout - kAnswerBeforeStop)
         m_server.refuseWaiting();
     const bool isDone =
         m_isRefusing && m_server.openExchanges() == 0 && m_server.openConnections() == 0;
--- a/src/proxy/ProxyProcess.h
+++ b/src/proxy/ProxyProcess.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A router that forwards requests to registered services, as a process.
+/// Process of a router that forwards requests to registered services.
 
 #include <QObject>
 #include <QTimer>
@@ -35,62 +35,62 @@
 class ProxyProcess
 {
 public:
-    /// `parser` reads the operator's file; `onFinished` is called once, with the exit code, when a
-    /// planned stop is done. `clock` must outlive the process.
+    /// `parser` parses the operator's configuration. `onFinished` is called once, with the exit
+    /// code, when a planned stop is complete. `clock` must outlive the process.
     ProxyProcess (ProxySettings settings, ProtocolNames names, cell::CatalogueParser parser,
                   const base::Clock& clock, std::uint64_t randomSeed,
                   std::function<void (int exitCode)> onFinished);
 
-    /// Listens and begins to look for the leader of the cell.
+    /// Starts listening and connecting to the controllers of the cell.
     base::Result<void> start();
-    /// Takes over what may change while the process runs: the seeds.
+    /// Applies the settings that may change at run time: the seeds.
     void reload (const ProxySettings& changed);
-    /// Begins a planned stop: not ready, serves on for the grace, then finishes what is open. A
-    /// second call ends it at once.
+    /// Begins a planned stop: reports not ready, serves for the grace period, then finishes the
+    /// open requests. A second call ends the process at once.
     void beginStop();
 
-    /// Where callers reach the process; known once it has started.
+    /// Address for callers; known after start().
     [[nodiscard]] const base::SocketAddress& frontAddress() const { return m_frontAddress; }
-    /// Whether callers should be sent here.
+    /// Whether callers should be sent to this router.
     [[nodiscard]] bool isReady() const;
 
 private:
     void connectController (const std::string& address);
-    /// What was told on the connection before is told again, and nothing is taken for granted of
-    /// what its controller could read.
-    void forgetController();
+    /// Resets everything that was reported to the controller or known about its version, so that
+    /// the next connection starts anew.
+    void resetControllerState();
     void sendHello();
     void onControllerMessage (const cell::ControllerToRouter& message);
     void confirmRoutes (const cell::LeaseGrant& grant);
-    void takeConfiguration (const cell::ConfigurationUpdate& update);
-    void takeInstances (const cell::InstanceUpdate& update);
-    /// Takes this router's part of the retries that all routers of the cell may make.
+    void applyConfiguration (const cell::ConfigurationUpdate& update);
+    void applyInstances (const cell::InstanceUpdate& update);
+    /// Sets this router's part of the retries that all routers of the cell may make.
     void limitRetries();
     void pollController();
-    /// Goes to the controller that this router had better be connected to, now and then.
+    /// Connects to the preferred controller from time to time, if connected to another one.
     void moveToPreferred();
-    /// About how many routers share this one's controller.
+    /// Approximate number of routers connected to the same controller.
     [[nodiscard]] std::uint32_t routersAtController() const;
-    /// Logs when the leader begins or ceases to answer.
-    void noteController (bool isAnswering);
-    /// Takes over the leases that cover the configuration held.
+    /// Logs when a leader starts or stops answering.
+    void setControllerAnswering (bool isAnswering);
+    /// Applies the leases that cover the held configuration.
     void confirmConfiguration();
-    /// Whether requests may be served now; logs when that changes.
+    /// Whether requests may currently be served. Logs changes.
     Freshness freshness();
     void reportDemand();
-    /// Tells the controller what changed of this router's use of runners.
+    /// Reports changes in this router's load at the runners to the controller.
     void reportLoads();
-    /// Asks the controller for units of tenants' quotas, if any are needed.
+    /// Requests units of tenants' quotas from the controller, if any are needed.
     void requestQuota();
-    void takeRates (const cell::ControllerToRouter& message);
-    /// Tells the controller what runners stated of their rates, and asks for permits.
+    void applyRates (const cell::ControllerToRouter& message);
+    /// Reports the rates stated by runners to the controller and requests permits.
     void reportRates();
-    /// Tells the controller of runners that ended under requests, if it does not know.
+    /// Reports runners that crashed under requests to the controller, if it does not know of them.
     void reportSuspects();
     void onRunnerChecked (const std::string& instance, RunnerFate fate);
     void onTick();
-    /// Requests whose time ran out while the machine was suspended end.
-    void followSuspension();
+    /// Ends the requests whose deadlines passed while the machine was suspended.
+    void handleSuspension();
     void checkStop();
     void createMetrics();
     void finish (int exitCode);
@@ -114,14 +114,15 @@
     cell::ControllerSession m_session;
     cell::ControllerLink m_link;
     cell::HeldConfiguration m_held;
-    bool m_needsWholeConfiguration = false;  ///< A change came that does not fit.
+    bool m_needsWholeConfiguration = false;  ///< Set after a change that was not based on the held
+                                             ///< configuration.
     ConfigurationFreshness m_freshness;
-    Freshness m_toldFreshness = Freshness::kConfirmed;
+    Freshness m_loggedFreshness = Freshness::kConfirmed;
     std::optional<base::TimePoint> m_stopBegan;
     bool m_isRefusing = false;
     bool m_hasController = false;
     std::optional<base::SocketAddress> m_preferredController;  ///< None before the first table.
-    base::TimePoint m_moveAt{};  ///< Not to another controller before.
+    base::TimePoint m_moveAt{};  ///< Earliest time of the next move to another controller.
     bool m_isFinished = false;
     http::Metrics m_metrics;
     std::unique_ptr<http::Server> m_metricsServer;
@@ -130,8 +131,9 @@
     ReadinessServer m_readiness;
     RunnerProbes m_probes;
     base::SuspensionWatch m_suspensions;
-    bool m_wasSuspended = false;  ///< Noticed at the last tick.
-    QTimer m_demandTimer;  ///< Sends an urgent report of demand once control is in the event loop.
+    bool m_wasSuspended = false;  ///< A suspension was detected at the last tick.
+    QTimer m_demandTimer;  ///< Sends an urgent demand report once control is back in the event
+                           ///< loop.
     QTimer m_ticker;
 };
 
--- a/src/proxy/ProxyProcessTest.cpp
+++ b/src/proxy/ProxyProcessTest.cpp
@@ -1,4 +1,4 @@
-// A forwarding router as a process, with a leader that the test plays.
+// Tests of a forwarding router as a process; the test acts as the leader.
 
 #include <gtest/gtest.h>
 
@@ -20,7 +20,7 @@
 class ProxyProcessTest : public ::testing::Test
 {
 protected:
-    /// Status of the answer to one request on a connection of its own; 0 without an answer.
+    /// Status of the answer to one request on a new connection; 0 without an answer.
     int statusOfRequest()
     {
         RawCaller caller (m_process.frontAddress());
@@ -46,25 +46,27 @@
     ASSERT_TRUE (m_process.waitUntilReady());
     m_leader.grantsLeases = false;
     runFor (std::chrono::milliseconds (2000));
-    EXPECT_EQ (statusOfRequest(), 503) << "an operator may have been told that it is replaced";
+    EXPECT_EQ (statusOfRequest(), 503)
+        << "the replacement may have been acknowledged to an operator";
     EXPECT_FALSE (m_process.isReady());
     m_leader.grantsLeases = true;
     ASSERT_TRUE (m_process.waitUntilReady());
 }
 
-TEST_F (ProxyProcessTest, ARouterThatWakesServesByNoLeaseThatIsOver)
+TEST_F (ProxyProcessTest, ResumedRouterDoesNotServeByExpiredLease)
 {
     ASSERT_TRUE (m_process.waitUntilReady());
     m_leader.grantsLeases = false;
     m_process.clock.suspendedFor = base::seconds (5);
     EXPECT_FALSE (m_process.isReady());
-    EXPECT_EQ (statusOfRequest(), 503) << "an operator may have been told that it is replaced";
+    EXPECT_EQ (statusOfRequest(), 503)
+        << "the replacement may have been acknowledged to an operator";
     m_leader.grantsLeases = true;
     ASSERT_TRUE (m_process.waitUntilReady());
     EXPECT_TRUE (m_runner.connections.empty());
 }
 
-TEST_F (ProxyProcessTest, RequestsWhoseTimeRanOutWhileTheMachineWasSuspendedEndSoonAfter)
+TEST_F (ProxyProcessTest, EndsRequestsWithDeadlinesPassedDuringSuspension)
 {
     ASSERT_TRUE (m_process.waitUntilReady());
     RawCaller caller (m_process.frontAddress());
@@ -74,10 +76,10 @@
     EXPECT_TRUE (test::waitUntil (
         [&] { return caller.received().find ("HTTP/1.1 504") != std::string::npos; },
         std::chrono::seconds (1)))
-        << "the timer of its deadline, 3 s after its arrival, has stood still";
+        << "the timer of the deadline, 3 s after arrival, did not run during the suspension";
 }
 
-TEST_F (ProxyProcessTest, ARouterStatesAConfigurationAtOnceAndAsksForTheWholeAfterAGap)
+TEST_F (ProxyProcessTest, StatesNewConfigurationAtOnceAndRequestsWholeOneAfterGap)
 {
     ASSERT_TRUE (m_process.waitUntilReady());
     m_leader.setConfiguration (2);
@@ -94,18 +96,16 @@
     EXPECT_TRUE (states (2));
 }
 
-// A router that is sent on to another controller.
+// Guards against sending messages to a controller that cannot read them. During an upgrade,
+// controllers of the earlier version closed the connections of routers with "unknown message type".
 //
-// What operators saw while a cell was upgraded: controllers of the earlier version closed the
-// connections of routers with "unknown message type".
+// What a router knew about its controller was reset when the connection was lost, but not when a
+// controller that does not lead redirected it to another one. Loads, quota claims and suspects
+// reported to the previous controller were not reported again either.
 //
-// The cause: what a router knew of its controller was forgotten when the connection was lost, but
-// not when a controller that does not lead sent it on to another one. Loads, claims on quotas and
-// suspects that the one before had been told were not told again either.
-//
-// The evidence: the closed connections came right after the router's line ControllerLost without a
-// loss, within the 0.4 s in which the leader was looked for.
-TEST_F (ProxyProcessTest, ARouterThatIsSentOnForgetsWhatTheControllerBeforeCouldRead)
+// The closed connections followed the router's line ControllerLost without a loss, within the 0.4 s
+// in which it searched for the leader.
+TEST_F (ProxyProcessTest, RedirectResetsFeaturesOfPreviousController)
 {
     m_leader.knowsRates = true;
     m_leader.redirect();
--- a/src/proxy/ProxyProcessTestSupport.h
+++ b/src/proxy/ProxyProcessTestSupport.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Helpers of the tests of ProxyProcess: the process on loopback, and a leader that the test plays.
+/// Helpers for the tests of ProxyProcess: the process on loopback, and a leader controlled by the
+/// test.
 
 #include <QTcpServer>
 #include <QTcpSocket>
@@ -19,7 +20,8 @@
 namespace fernlift::proxy::test
 {
 
-/// A configuration text is its version and anything; the services are those of ProxyFixture.
+/// Parses a test configuration, which is a version followed by any text; the services are those of
+/// ProxyFixture.
 inline config::CatalogueOutcome parseTestConfiguration (std::string_view text)
 {
     config::CatalogueOutcome outcome;
@@ -36,7 +38,7 @@
     return outcome;
 }
 
-/// The leader of a cell with one runner.
+/// Leader of a cell with one runner.
 class StubLeader
 {
 public:
@@ -55,14 +57,14 @@
         if (m_connection)
             m_connection->send (wire::Channel::kControllerToRouter, wire::encodeMessage (message));
     }
-    /// Tells routers that connect, and the one that is connected, of this configuration.
+    /// Sends this configuration to the connected router and to those that connect later.
     void setConfiguration (std::uint64_t version)
     {
         m_version = version;
         sendConfiguration();
     }
 
-    /// Sends a change of a configuration that the router does not hold.
+    /// Sends a change based on a configuration that the router does not hold.
     void sendChangeThatDoesNotFit (std::uint64_t version)
     {
         cell::ConfigurationUpdate update{ version, "digest", "" };
@@ -72,14 +74,15 @@
         send (update);
     }
 
-    /// Sends the router to this leader again, as controllers do that do not lead.
+    /// Redirects the router to this leader again, as controllers that do not lead do.
     void redirect() { send (cell::NotLeaderReply{ address().toString() }); }
 
     bool grantsLeases = true;
-    bool knowsRates = false;  ///< Of runners; versions before do not read messages about them.
+    bool knowsRates = false;  ///< Whether messages about rates of runners are understood, which
+                              ///< earlier versions do not support.
     std::vector<cell::LeaseRequest> leaseRequests;
-    std::size_t connections = 0;   ///< That a router has greeted.
-    std::size_t rateMessages = 0;  ///< On the present connection.
+    std::size_t connections = 0;   ///< Connections on which a router sent its hello.
+    std::size_t rateMessages = 0;  ///< Messages about rates on the current connection.
 
 private:
     void accept()
--- a/src/proxy/ProxyServer.cpp
+++ b/src/proxy/ProxyServer.cpp
@@ -12,7 +12,7 @@
 {
 
 constexpr int kListenBacklog = 512;
-/// Seconds after which a caller reaches another router.
+/// Retry-After in seconds; the caller then reaches another router.
 constexpr const char* kRetryElsewhere = "0.05";
 
 }  // namespace
@@ -23,11 +23,11 @@
     { onRequest (connection, std::move (request)); };
     m_handlers.onInvalid = [this] (CallerConnection& connection, const base::Error& error)
     { onInvalid (connection, error); };
-    m_handlers.onLeft = [this] (CallerConnection& connection)
+    m_handlers.onDisconnected = [this] (CallerConnection& connection)
     {
         const auto found = m_exchanges.find (&connection);
         if (found != m_exchanges.end())
-            found->second->onCallerLeft();
+            found->second->onCallerDisconnected();
     };
     m_handlers.onClosed = [this] (CallerConnection& connection)
     {
@@ -36,7 +36,7 @@
             return;
         m_closed.push_back (std::move (found->second));
         m_connections.erase (found);
-        sweepSoon();
+        scheduleSweep();
     };
     m_sweeper.setSingleShot (true);
     QObject::connect (&m_sweeper, &QTimer::timeout, &m_sweeper,
@@ -97,7 +97,7 @@
                                                         return;
                                                     m_ended.push_back (std::move (found->second));
                                                     m_exchanges.erase (found);
-                                                    sweepSoon();
+                                                    scheduleSweep();
                                                 });
     Exchange& begun = *exchange;
     m_exchanges[&connection] = std::move (exchange);
@@ -118,7 +118,7 @@
     connection.sendAnswer (response.status, response.headers, response.body);
 }
 
-void ProxyServer::sweepSoon()
+void ProxyServer::scheduleSweep()
 {
     if (! m_sweeper.isActive())
         m_sweeper.start (0);
@@ -129,8 +129,8 @@
     std::vector<Exchange*> open;
     for (const auto& [caller, exchange] : m_exchanges)
         open.push_back (exchange.get());
-    // Where room comes a little at a time it goes to those whom it is worth most to.
-    std::ranges::sort (open, {}, &Exchange::turn);
+    // Capacity that becomes free gradually goes to the most urgent requests first.
+    std::ranges::sort (open, {}, &Exchange::queueOrder);
     // Ended exchanges stay alive until the sweep.
     for (Exchange* exchange : open)
         visit (*exchange);
@@ -141,7 +141,7 @@
     visitExchanges ([] (Exchange& exchange) { exchange.onDirectoryChanged(); });
 }
 
-void ProxyServer::onTimePassed()
+void ProxyServer::checkDeadlines()
 {
     visitExchanges ([] (Exchange& exchange) { exchange.onTimer(); });
 }
@@ -167,14 +167,14 @@
 void ProxyServer::beginRefusing()
 {
     m_isRefusing = true;
-    const auto connections = m_connections;  // Closing changes the map.
+    const auto connections = m_connections;  // Copied because closing modifies the map.
     for (const auto& [key, connection] : connections)
         connection->closeAfterAnswer();
 }
 
 void ProxyServer::refuseWaiting()
 {
-    visitExchanges ([] (Exchange& exchange) { exchange.onRouterEnding(); });
+    visitExchanges ([] (Exchange& exchange) { exchange.onRouterStopping(); });
 }
 
 void ProxyServer::stopListening() { m_server.close(); }
--- a/src/proxy/ProxyServer.h
+++ b/src/proxy/ProxyServer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Takes the connections of callers and runs an exchange for each request.
+/// Accepts the connections of callers and runs an exchange for each request.
 
 #include <QTcpServer>
 #include <QTimer>
@@ -25,23 +25,22 @@
     explicit ProxyServer (ProxyContext& context);
     ~ProxyServer();
 
-    /// Listens; returns the real address or fails with kConnectionFailed.
+    /// Starts listening. Returns the actual address or fails with kConnectionFailed.
     base::Result<base::SocketAddress> listen (const base::SocketAddress& address);
-    /// Requests that wait for a runner look again.
+    /// Lets waiting requests try again to find a runner.
     void onDirectoryChanged();
-    /// Time passed that timers did not count: requests look at their deadlines.
-    void onTimePassed();
-    /// More may be known of requests under which runners ended.
+    /// Checks the deadlines of all requests after time that timers did not count.
+    void checkDeadlines();
+    /// Called when the status of suspect requests changed.
     void onSuspectsChanged();
-    /// Limits of connections accepted or at rest from now on.
+    /// Sets the limits of new connections and, from their next request, of the existing ones.
     void setLimits (const config::ClientLimits& limits);
     /// Closes each connection after its next answer, so that callers move to other routers. New
-    /// connections are still taken, for one request each.
+    /// connections are still accepted, for one request each.
     void beginClosing();
-    /// Refuses new requests as not run and closes resting connections.
+    /// Refuses new requests as not executed and closes idle connections.
     void beginRefusing();
-    /// Takes no new connection.
-    /// Answers requests that wait: no runner that comes would be in time.
+    /// Answers the waiting requests, since a runner found now would be too late.
     void refuseWaiting();
     void stopListening();
 
@@ -54,10 +53,11 @@
     void onRequest (CallerConnection& connection, ParsedRequest request);
     void onInvalid (CallerConnection& connection, const base::Error& error);
     static void refuseStopping (CallerConnection& connection);
-    /// Calls `visit` for each open exchange; it may end exchanges.
+    /// Calls `visit` for each open exchange. `visit` may end exchanges.
     void visitExchanges (const std::function<void (Exchange& exchange)>& visit);
-    /// Drops what ended; not from within its own calls.
-    void sweepSoon();
+    /// Destroys ended exchanges and closed connections from the event loop, outside of their own
+    /// calls.
+    void scheduleSweep();
 
     ProxyContext& m_context;
     CallerConnection::Handlers m_handlers;
--- a/src/proxy/ProxyTestSupport.h
+++ b/src/proxy/ProxyTestSupport.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Helpers of the tests: a stand-in runner that speaks raw bytes, and a proxy before it.
+/// Helpers for the tests: a stub runner that writes raw bytes, and a proxy that forwards to it.
 
 #include <sys/socket.h>
 
@@ -23,7 +23,7 @@
 using http::test::runFor;
 using http::test::waitUntil;
 
-/// One connection that a runner accepted.
+/// Connection accepted by a stub runner.
 class StubConnection
 {
 public:
@@ -38,9 +38,9 @@
         m_socket->write (bytes.data(), static_cast<qint64> (bytes.size()));
         m_socket->flush();
     }
-    /// Closes in good order.
+    /// Closes the connection in order.
     void close() { m_socket->disconnectFromHost(); }
-    /// Closes so that the peer sees a reset.
+    /// Closes the connection so that the peer receives a reset.
     void reset()
     {
         const linger immediate{ 1, 0 };
@@ -59,7 +59,7 @@
     std::unique_ptr<QTcpSocket> m_socket;
 };
 
-/// A runner whose answers the test writes byte by byte.
+/// Runner whose answers the test writes byte by byte.
 class StubRunner
 {
 public:
@@ -79,9 +79,9 @@
     {
         return "127.0.0.1:" + std::to_string (m_server.serverPort());
     }
-    /// Takes no connection from now on.
+    /// Accepts no connection from now on.
     void stopListening() { m_server.close(); }
-    /// Waits until a request has come on the connection with this number.
+    /// Waits until a request has arrived on the connection with this number.
     [[nodiscard]] bool waitForRequest (std::size_t number = 0, const std::string& part = "\r\n\r\n")
     {
         return waitUntil (
@@ -98,7 +98,7 @@
     QTcpServer m_server;
 };
 
-/// A clock that goes on while timers stand still, as on a machine that is suspended.
+/// Clock that continues while timers stand still, as on a suspended machine.
 class SuspendedClock final : public base::Clock
 {
 public:
@@ -115,8 +115,8 @@
     base::SystemClock m_clock;
 };
 
-/// A proxy with one service behind two hosts: "app.test" may repeat, "once.test" may not,
-/// "stream.test" streams and "resume.test" streams that may be resumed.
+/// Proxy with one service and four hosts: "app.test" is repeatable, "once.test" is at-most-once,
+/// "stream.test" streams, and "resume.test" streams and may be resumed.
 class ProxyFixture
 {
 public:
--- a/src/proxy/ReadinessServer.cpp
+++ b/src/proxy/ReadinessServer.cpp
@@ -22,13 +22,13 @@
     { answer (connection, request); };
     m_handlers.onInvalid = [] (CallerConnection& connection, const base::Error& error)
     { connection.sendAnswer (base::traitsOf (error.kind).httpStatus, {}, ""); };
-    m_handlers.onLeft = [] (CallerConnection&) {};
+    m_handlers.onDisconnected = [] (CallerConnection&) {};
     m_handlers.onClosed = [this] (CallerConnection& connection)
     {
         const auto found = m_connections.find (&connection);
         if (found == m_connections.end())
             return;
-        // The connection may be in the middle of a call of its own.
+        // Deferred because the connection may be in a call of its own.
         QTimer::singleShot (0, &m_server, [closed = std::move (found->second)] {});
         m_connections.erase (found);
     };
--- a/src/proxy/ReadinessServer.h
+++ b/src/proxy/ReadinessServer.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Answers the platform's readiness checks: 200 while ready, else 503. Small on purpose: it reads
-/// nothing but the request line and answers one request a connection at a time.
+/// Answers the platform's readiness checks: 200 while ready, else 503. Kept minimal: only the path
+/// is evaluated, and each connection serves one request at a time.
 
 #include <QTcpServer>
 #include <functional>
@@ -19,10 +19,10 @@
 class ReadinessServer
 {
 public:
-    /// `path` is answered by `isReady`; every other path is unknown.
+    /// `path` is answered from `isReady`; every other path gets 404.
     ReadinessServer (std::string path, std::function<bool()> isReady);
 
-    /// Listens; fails with kConnectionFailed.
+    /// Starts listening; fails with kConnectionFailed.
     base::Result<void> listen (const base::SocketAddress& address);
 
 private:
--- a/src/proxy/RequestIdentity.cpp
+++ b/src/proxy/RequestIdentity.cpp
@@ -11,7 +11,8 @@
 
 constexpr std::size_t kDigestDigits = 32;
 
-/// Everything but the body. Lengths keep one part from running into the next.
+/// Text of all parts except the body. The length before each part makes the concatenation
+/// unambiguous.
 std::string headOf (const ParsedRequest& request, std::string_view caller)
 {
     std::string text;
@@ -27,7 +28,7 @@
 
 }  // namespace
 
-std::uint64_t outlineOf (const ParsedRequest& request, std::string_view caller)
+std::uint64_t fingerprintOf (const ParsedRequest& request, std::string_view caller)
 {
     return base::stableHash (headOf (request, caller));
 }
--- a/src/proxy/RequestIdentity.h
+++ b/src/proxy/RequestIdentity.h
@@ -1,12 +1,12 @@
 #pragma once
 
 /**
- * Tells which requests are the same work of the same caller.
+ * Computes whether two requests are the same work of the same caller.
  *
  * The caller is the tenant that holds the key. Without tenants all callers count as one: an address
- * tells no caller, as many share one and one has many, and a request of the same bytes is the same
- * work. Header fields don't count: ids, deadlines and the last event of a resumed stream change
- * with each try.
+ * does not identify a caller, because many callers may share one and one caller may have many, and
+ * requests of the same bytes are the same work. Header fields do not count, since ids, deadlines
+ * and the last event of a resumed stream change with each attempt.
  */
 
 #include <cstdint>
@@ -18,10 +18,10 @@
 namespace fernlift::proxy
 {
 
-/** Part of the identity that costs well under a microsecond, whatever the size of the body. */
-[[nodiscard]] std::uint64_t outlineOf (const ParsedRequest& request, std::string_view caller);
+/** Fingerprint part of the identity. It takes well under a microsecond for any size of the body. */
+[[nodiscard]] std::uint64_t fingerprintOf (const ParsedRequest& request, std::string_view caller);
 
-/** The whole identity. `caller` is a tenant's name, or empty. */
+/** Complete identity. `caller` is the name of a tenant, or empty. */
 [[nodiscard]] cell::RequestIdentity identityOf (const ParsedRequest& request,
                                                 std::string_view caller);
 
--- a/src/proxy/RequestIdentityTest.cpp
+++ b/src/proxy/RequestIdentityTest.cpp
@@ -1,4 +1,4 @@
-// Which requests are the same work of the same caller.
+// Tests of which requests have the same identity.
 
 #include <gtest/gtest.h>
 
@@ -19,7 +19,7 @@
     return request;
 }
 
-TEST (RequestIdentityTest, ARepeatWithOtherIdsAndDeadlinesIsTheSame)
+TEST (RequestIdentityTest, SameRequestWithOtherIdsAndDeadlinesHasSameIdentity)
 {
     const ParsedRequest first = requestOf ("/a?q=1", "body");
     ParsedRequest again = first;
@@ -27,10 +27,10 @@
     again.headers.add ("Test-Deadline", "10");
     again.headers.add ("Last-Event-Id", "7");
     EXPECT_EQ (identityOf (first, "farm"), identityOf (again, "farm"));
-    EXPECT_EQ (identityOf (first, "farm").outline, outlineOf (again, "farm"));
+    EXPECT_EQ (identityOf (first, "farm").outline, fingerprintOf (again, "farm"));
 }
 
-TEST (RequestIdentityTest, CallerMethodHostTargetAndBodyCount)
+TEST (RequestIdentityTest, IdentityDependsOnCallerMethodHostTargetAndBody)
 {
     const cell::RequestIdentity first = identityOf (requestOf ("/a", "body"), "farm");
     EXPECT_NE (first, identityOf (requestOf ("/a", "body"), "fish"));
@@ -44,7 +44,7 @@
     EXPECT_NE (first, identityOf (other, "farm"));
 }
 
-TEST (RequestIdentityTest, APartDoesNotRunIntoTheNext)
+TEST (RequestIdentityTest, PartsAreNotAmbiguousWhenConcatenated)
 {
     EXPECT_NE (identityOf (requestOf ("/a", "b"), "farm1"),
                identityOf (requestOf ("1/a", "b"), "farm"));
--- a/src/proxy/RequestParser.cpp
+++ b/src/proxy/RequestParser.cpp
@@ -10,7 +10,7 @@
 
 namespace beast = boost::beast;
 
-/// Callbacks of Beast's parser that build the request.
+/// Callbacks of Beast's parser that assemble the request.
 class RequestParser::Implementation final : public beast::http::basic_parser<true>
 {
 public:
@@ -48,7 +48,7 @@
         {
             m_expectsContinue = true;
         }
-        // A trailer is no part of the header: passed on as one it could stand for a field that the
+        // Trailers are discarded: forwarded as header fields they could replace fields that the
         // caller's header did not have.
         if (m_isHeaderRead)
         {
@@ -92,7 +92,7 @@
 
     ParsedRequest m_request;
     bool m_expectsContinue = false;
-    bool m_isHeaderRead = false;  ///< Fields that follow are trailers.
+    bool m_isHeaderRead = false;  ///< Fields after the header are trailers.
 };
 
 namespace
@@ -103,11 +103,11 @@
     using base::ErrorKind;
     if (error == beast::http::error::header_limit)
     {
-        return base::fail (ErrorKind::kHeaderTooLarge, "the header is too large");
+        return base::fail (ErrorKind::kHeaderTooLarge, "request header exceeds the size limit");
     }
     if (error == beast::http::error::body_limit)
     {
-        return base::fail (ErrorKind::kBodyTooLarge, "the body is too large");
+        return base::fail (ErrorKind::kBodyTooLarge, "request body exceeds the size limit");
     }
     const bool isFraming = error == beast::http::error::bad_content_length
                            || error == beast::http::error::bad_transfer_encoding
--- a/src/proxy/RequestParser.h
+++ b/src/proxy/RequestParser.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Incremental parser of HTTP/1.1 requests of one connection, on Boost.Beast's parser.
+/// Incremental parser of the HTTP/1.1 requests of one connection, based on Boost.Beast.
 
 #include <cstddef>
 #include <memory>
@@ -13,25 +13,26 @@
 namespace fernlift::proxy
 {
 
-/// Bounds on one request.
+/// Size limits of a request.
 struct RequestLimits
 {
     std::size_t headerBytes = 16UL * 1024;
     std::size_t bodyBytes = 4UL * 1024 * 1024;
 };
 
-/// A whole request, as it came but for the framing of its body.
+/// Complete request as received, except for the framing of its body.
 struct ParsedRequest
 {
     std::string method;
-    std::string target;  ///< Path and query, as sent.
+    std::string target;  ///< Path and query as sent.
     http::Headers headers;
     std::string body;
-    bool wantsClose = false;      ///< The connection ends after the answer.
-    bool isHttp10 = false;        ///< The caller cannot read chunks.
-    bool hasBodyFraming = false;  ///< A length or chunks were stated, also for an empty body.
+    bool wantsClose = false;      ///< Whether the connection closes after the answer.
+    bool isHttp10 = false;        ///< Whether the caller cannot parse chunks.
+    bool hasBodyFraming = false;  ///< Whether a length or chunks were stated, even for an empty
+                                  ///< body.
 
-    /// The target without its query.
+    /// Target without its query.
     [[nodiscard]] std::string_view path() const
     {
         return std::string_view (target).substr (0, target.find ('?'));
@@ -53,13 +54,14 @@
     RequestParser (const RequestParser&) = delete;
     RequestParser& operator= (const RequestParser&) = delete;
 
-    /// Takes bytes off the front of `buffer` until one request is whole or more bytes are needed.
-    /// Fails with kHeaderTooLarge, kBodyTooLarge, kUnsupportedFraming or kInvalidRequest.
+    /// Consumes bytes at the front of `buffer` until one request is complete or more bytes are
+    /// needed. Fails with kHeaderTooLarge, kBodyTooLarge, kUnsupportedFraming or kInvalidRequest.
     base::Result<void> parse (std::string& buffer);
     [[nodiscard]] State state() const;
-    /// Whether the header is read and the caller waits to be told to send the body.
+    /// Whether the header is complete and the caller waits for "100 Continue". Returns true once
+    /// per request.
     [[nodiscard]] bool takeExpectsContinue();
-    /// The request; the parser is then ready for the next one.
+    /// Returns the complete request and resets the parser for the next one.
     ParsedRequest take();
     void setLimits (RequestLimits limits) { m_limits = limits; }
 
--- a/src/proxy/RouteTable.cpp
+++ b/src/proxy/RouteTable.cpp
@@ -34,7 +34,7 @@
     const auto routes = m_hosts.find (normalisedHost (host));
     if (routes == m_hosts.end())
         return nullptr;
-    // Prefixes end with a slash: only the begins of the path up to a slash can match.
+    // Prefixes end with a slash, so only the parts of the path up to a slash can match.
     for (std::size_t end = path.rfind ('/'); end != std::string_view::npos;
          end = end == 0 ? std::string_view::npos : path.rfind ('/', end - 1))
     {
--- a/src/proxy/RouteTable.h
+++ b/src/proxy/RouteTable.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Finds the route of a request: of the routes of its host, the one with the longest path prefix.
+/// Finds the route of a request: the one with the longest matching path prefix among the routes of
+/// its host.
 
 #include <map>
 #include <memory>
@@ -13,7 +14,7 @@
 namespace fernlift::proxy
 {
 
-/// One configuration of services, ready for look-ups. Immutable.
+/// Configuration of the services, indexed for look-ups. Immutable.
 class RouteTable
 {
 public:
@@ -21,13 +22,13 @@
     RouteTable (const RouteTable&) = delete;
     RouteTable& operator= (const RouteTable&) = delete;
 
-    /// The route of a request to `host` (a port is passed over; case does not count) and `path`;
-    /// null if there is none.
+    /// Route of a request to `host` (case-insensitive, without the port) and `path`; null if there
+    /// is none.
     [[nodiscard]] const config::Route* find (std::string_view host, std::string_view path) const;
-    /// The service of a backend of the route, chosen by weight with `draw` from [0, 1).
+    /// Service of a backend of the route, chosen by weight with `draw` from [0, 1).
     [[nodiscard]] static const std::string& chooseService (const config::Route& route, double draw);
 
-    /// The tenant whose key a request carries; null if there is none.
+    /// Tenant whose key the request carries; null if there is none.
     [[nodiscard]] const config::Tenant* tenantOf (const http::Headers& headers) const
     {
         return m_keys.tenantOf (headers);
@@ -41,7 +42,7 @@
 
     std::uint64_t m_version;
     config::ServiceCatalogue m_catalogue;
-    KeyTable m_keys;  ///< Of the tenants of the catalogue.
+    KeyTable m_keys;  ///< Keys of the tenants of the catalogue.
     std::map<std::string, RoutesByPrefix, std::less<>> m_hosts;
 };
 
--- a/src/proxy/RunnerEstimate.cpp
+++ b/src/proxy/RunnerEstimate.cpp
@@ -9,39 +9,39 @@
 namespace
 {
 
-// In milliseconds.
-/// Work of an application's request, of which as many run at once as there are slots.
+// All times in milliseconds.
+/// Execution time of an application request; a runner executes as many at once as it has slots.
 constexpr double kApplicationWork = 30;
-/// Delay by each request that an engine works on.
+/// Delay caused by each request that an engine serves.
 constexpr double kEngineWork = 25;
-/// Time to read one token of a prompt.
-constexpr double kTokenReading = 0.026;
-/// Both ways between two zones.
-constexpr double kOtherZone = 3;
-/// A new connection takes a way there and back, and some work of the runner.
+/// Prefill time of one prompt token.
+constexpr double kPrefillPerToken = 0.026;
+/// Network round trip between two zones.
+constexpr double kOtherZoneRoundTrip = 3;
+/// Cost of a new connection: one round trip and some work of the runner.
 constexpr double kNewConnection = 2;
-/// Part of a pause between events that goes to prompts. The rest is for the event itself, and for
-/// prompts that other routers send there meanwhile.
-constexpr double kReadingShareOfGap = 0.4;
-/// Not all that is at a runner has begun to answer.
+/// Part of the gap between events that is available for prefill. The rest is for the event itself
+/// and for prompts that other routers send in the meantime.
+constexpr double kPrefillShareOfGap = 0.4;
+/// Share of the requests at a runner that already stream their answers.
 constexpr double kStreamShare = 0.5;
 
-/// Time that work takes there, in relation to a runner of usual speed on a free machine.
-double paceOf (const RunnerState& runner) { return runner.slowdown / runner.speed; }
+/// Duration of work relative to a runner of nominal speed on a machine without slowdown.
+double workTimeFactor (const RunnerState& runner) { return runner.slowdown / runner.speed; }
 
 }  // namespace
 
-double readingMilliseconds (const RunnerState& runner, double tokens)
+double prefillMilliseconds (const RunnerState& runner, double tokens)
 {
-    return kTokenReading * tokens * paceOf (runner);
+    return kPrefillPerToken * tokens * workTimeFactor (runner);
 }
 
 double addedMilliseconds (const RunnerState& runner, const RequestWork& work)
 {
     if (! work.isForModel)
-        return kApplicationWork / std::max (runner.slots, 1U) * paceOf (runner);
-    return kEngineWork * paceOf (runner)
-           + readingMilliseconds (runner, static_cast<double> (work.tokensToRead));
+        return kApplicationWork / std::max (runner.slots, 1U) * workTimeFactor (runner);
+    return kEngineWork * workTimeFactor (runner)
+           + prefillMilliseconds (runner, static_cast<double> (work.prefillTokens));
 }
 
 double expectedMilliseconds (const RunnerState& runner, const RequestWork& work)
@@ -49,8 +49,8 @@
     double atRunner = 0;
     if (work.isForModel)
     {
-        const double tokens = runner.unreadTokens + static_cast<double> (work.tokensToRead);
-        atRunner = kEngineWork * runner.requests + kTokenReading * tokens;
+        const double tokens = runner.unreadTokens + static_cast<double> (work.prefillTokens);
+        atRunner = kEngineWork * runner.requests + kPrefillPerToken * tokens;
     }
     else
     {
@@ -58,20 +58,20 @@
     }
     double way = 0;
     if (runner.isInOtherZone)
-        way += kOtherZone;
+        way += kOtherZoneRoundTrip;
     if (runner.needsConnection)
         way += kNewConnection;
-    return atRunner * paceOf (runner) + way;
+    return atRunner * workTimeFactor (runner) + way;
 }
 
-double delayOfStreams (const RunnerState& runner, const RequestWork& work, double gap)
+double streamDelayMilliseconds (const RunnerState& runner, const RequestWork& work, double gap)
 {
-    const double tokens = runner.unreadTokens + static_cast<double> (work.tokensToRead);
-    const double excess = readingMilliseconds (runner, tokens) - kReadingShareOfGap * gap;
+    const double tokens = runner.unreadTokens + static_cast<double> (work.prefillTokens);
+    const double excess = prefillMilliseconds (runner, tokens) - kPrefillShareOfGap * gap;
     return kStreamShare * runner.requests * std::max (excess, 0.0);
 }
 
-double fadedSlowdown (double slowdown, double age)
+double decayedSlowdown (double slowdown, double age)
 {
     const double left = std::clamp (
         1 - age / static_cast<double> (base::toMilliseconds (cell::kSlowdownLife)), 0.0, 1.0);
--- a/src/proxy/RunnerEstimate.h
+++ b/src/proxy/RunnerEstimate.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /**
- * How long a runner takes until a request's answer begins, from what is known of its load, its
- * speed and its machine. Pure. Which runner is chosen is up to the directory, which adds what else
- * speaks against one.
+ * Estimates how long a runner takes until the answer to a request begins, from its load, its speed
+ * and the slowdown of its machine. Pure. InstanceDirectory adds further penalties and chooses the
+ * runner.
  */
 
 #include <cstdint>
@@ -11,41 +11,43 @@
 namespace fernlift::proxy
 {
 
-/** What is known of one runner, of the requests of all routers that are known. */
+/** Load and speed of one runner, over the requests of all routers whose load is known. */
 struct RunnerState
 {
-    double requests = 0;      ///< Running or waiting there.
-    double unreadTokens = 0;  ///< Of their prompts.
-    std::uint32_t slots = 1;  ///< Requests that it works on at once.
-    double speed = 1;         ///< Work done in the same time; 1: as the mean of its service.
-    double slowdown = 1;      ///< Of its machine for the moment; 2: work takes twice as long.
+    double requests = 0;      ///< Requests running or waiting at the runner.
+    double unreadTokens = 0;  ///< Prompt tokens of these requests still to be processed.
+    std::uint32_t slots = 1;  ///< Requests that the runner executes at once.
+    double speed = 1;  ///< Work per unit of time relative to the mean of the service, which is 1.
+    double slowdown = 1;  ///< Current slowdown of the machine; 2: work takes twice as long.
     bool isInOtherZone = false;
-    bool needsConnection = false;  ///< None is open to it.
+    bool needsConnection = false;  ///< Whether no connection to the runner is open.
 };
 
-/** What a request asks of a runner. */
+/** Work that a request causes at a runner. */
 struct RequestWork
 {
-    bool isForModel = false;       ///< Else it is an application's.
-    std::uint64_t tokensToRead{};  ///< Of its prompt, less what the runner has likely kept.
+    bool isForModel = false;        ///< Whether the request is for a model, not for an application.
+    std::uint64_t prefillTokens{};  ///< Prompt tokens, without the prefix that the runner has
+                                    ///< probably cached.
 };
 
 /** Milliseconds from now until the answer begins. */
 [[nodiscard]] double expectedMilliseconds (const RunnerState& runner, const RequestWork& work);
 
-/** Milliseconds that it takes to read so many tokens of prompts. */
-[[nodiscard]] double readingMilliseconds (const RunnerState& runner, double tokens);
+/** Milliseconds that the prefill of so many prompt tokens takes. */
+[[nodiscard]] double prefillMilliseconds (const RunnerState& runner, double tokens);
 
-/** Milliseconds by which the request delays one like it that comes to the runner just after. */
+/** Milliseconds by which the request delays a similar request that arrives at the runner next. */
 [[nodiscard]] double addedMilliseconds (const RunnerState& runner, const RequestWork& work);
 
-/** Milliseconds by which its prompt delays streams that run there, all together, beyond the pauses
-    between events of `gap` milliseconds that their callers take: prompts are read between events.
+/** Milliseconds by which the prefill of the request delays the running streams of the runner,
+    summed over the streams, beyond the acceptable gap of `gap` milliseconds between events. Engines
+    run prefill between the events of streams.
 */
-[[nodiscard]] double delayOfStreams (const RunnerState& runner, const RequestWork& work,
-                                     double gap);
+[[nodiscard]] double streamDelayMilliseconds (const RunnerState& runner, const RequestWork& work,
+                                              double gap);
 
-/** How much longer work takes on a machine that was last heard of `age` milliseconds ago. */
-[[nodiscard]] double fadedSlowdown (double slowdown, double age);
+/** Slowdown of a machine that was last stated `age` milliseconds ago; approaches 1 with age. */
+[[nodiscard]] double decayedSlowdown (double slowdown, double age);
 
 }  // namespace fernlift::proxy
--- a/src/proxy/RunnerProbes.cpp
+++ b/src/proxy/RunnerProbes.cpp
@@ -11,13 +11,13 @@
 namespace
 {
 
-/// A runner that lives, or whose machine does, answers within two times the way there: a few
-/// milliseconds on the platforms known. Lost packets are sent again after 200 ms.
+/// A live runner, or its machine, answers within two round trips: a few milliseconds on the known
+/// platforms. Lost packets are retransmitted after 200 ms.
 constexpr base::milliseconds kProbeTimeout (300);
 
 }  // namespace
 
-/** One connection that is opened only to see whether it opens. */
+/** Connection that is opened only to check whether it can be opened. */
 class RunnerProbes::Probe final : private http::StreamListener
 {
 public:
@@ -58,7 +58,7 @@
     const auto found = m_open.find (instance);
     if (found == m_open.end())
         return;
-    // The probe is in the middle of a call of its own.
+    // The probe is in a call of its own, so it is destroyed from the event loop.
     const std::shared_ptr<Probe> ended = std::move (found->second);
     m_open.erase (found);
     QTimer::singleShot (0, [ended] {});
--- a/src/proxy/RunnerProbes.h
+++ b/src/proxy/RunnerProbes.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * Finds out whether a runner that broke off an answer is still there.
+ * Probes whether a runner that broke off an answer is still alive.
  *
- * A connection may be reset although the runner lives on. A runner that has ended refuses the next
- * connection at once; one that lives takes it. Requests that break at the same runner together
- * share one look at it.
+ * A connection may be reset although the runner is alive. A crashed runner refuses the next
+ * connection at once, a live one accepts it. Requests that break at the same runner at the same
+ * time share one probe.
  */
 
 #include <functional>
@@ -27,13 +27,13 @@
 public:
     using Handler = std::function<void (const std::string& instance, RunnerFate fate)>;
 
-    /** `handler` gets one result for each look, from the event loop. */
+    /** `handler` is called from the event loop with the result of each probe. */
     explicit RunnerProbes (Handler handler);
     ~RunnerProbes();
     RunnerProbes (const RunnerProbes&) = delete;
     RunnerProbes& operator= (const RunnerProbes&) = delete;
 
-    /** Begins to look at a runner, unless that is under way. */
+    /** Starts a probe of the runner unless one is in progress. */
     void check (const std::string& instance, const base::SocketAddress& address);
 
 private:
@@ -42,7 +42,7 @@
     void finish (const std::string& instance, RunnerFate fate);
 
     Handler m_handler;
-    std::map<std::string, std::unique_ptr<Probe>> m_open;  ///< By instance.
+    std::map<std::string, std::unique_ptr<Probe>> m_open;  ///< Keyed by instance.
 };
 
 }  // namespace fernlift::proxy
--- a/src/proxy/RunnerProbesTest.cpp
+++ b/src/proxy/RunnerProbesTest.cpp
@@ -1,4 +1,4 @@
-// A look at a runner that broke off an answer.
+// Tests of the probe of a runner that broke off an answer.
 
 #include <gtest/gtest.h>
 
@@ -22,7 +22,7 @@
         m_probes.check ("i-1", *parsed);
         EXPECT_TRUE (waitUntil ([this] { return m_results > 0; }));
         runFor (std::chrono::milliseconds (20));
-        EXPECT_EQ (m_results, 1) << "both requests share one look";
+        EXPECT_EQ (m_results, 1) << "both requests share one probe";
         return m_fate;
     }
 
@@ -36,13 +36,13 @@
                            } };
 };
 
-TEST_F (RunnerProbesTest, ARunnerThatTakesConnectionsIsAlive)
+TEST_F (RunnerProbesTest, RunnerThatAcceptsConnectionIsAlive)
 {
     const StubRunner runner;
     EXPECT_EQ (fateOf (runner.address()), RunnerFate::kAlive);
 }
 
-TEST_F (RunnerProbesTest, ARunnerThatNobodyListensForIsGone)
+TEST_F (RunnerProbesTest, RunnerWithoutListenerIsGone)
 {
     std::string address;
     {
--- a/src/proxy/RunnerRates.cpp
+++ b/src/proxy/RunnerRates.cpp
@@ -13,94 +13,98 @@
 
 using quota::QuotaAnswer;
 
-/// A grant takes some 5 ms by way of two controllers. A request that waits longer goes to another
-/// runner, if there is one.
+/// A grant takes some 5 ms through two controllers. A request that waits longer is sent to another
+/// runner if possible.
 constexpr base::Duration kGrantTimeout = base::milliseconds (100);
-/// Looked again for a permit so long after none could be asked for, or no answer came.
-constexpr base::Duration kRetry = base::milliseconds (100);
-/// A refusal that names no time.
+/// Delay before the next permit request after a permit could not be requested or was not answered.
+constexpr base::Duration kRetryDelay = base::milliseconds (100);
+/// Wait after a refusal that states no time.
 constexpr base::Duration kShortestWait = base::milliseconds (5);
-/// The leader has to know that a runner still states a rate, to tell later answers from those that
-/// were overtaken; it need not know it of each answer.
+/// The leader needs regular reports that a runner still states a rate, to tell newer answers from
+/// reordered ones, but not one report per answer.
 constexpr base::Duration kReportInterval = base::milliseconds (500);
-/// A limit that the leader has not taken over by then is none: the runner has left the table.
-constexpr base::Duration kUntoldLife = base::seconds (5);
-/// Part of its share of a rate that a router takes without permits: how many routers there are is
-/// known late. With 7 routers and 1 request a second each then sends one in 10.5 s, so that 4 s
-/// hold one of each at most.
-constexpr double kOwnPart = 2.0 / 3;
+/// A limit that the leader has not added to its table within this time is dropped, because the
+/// runner has left the table of instances.
+constexpr base::Duration kUnregisteredLifetime = base::seconds (5);
+/// Part of its share of a rate that a router uses without permits, because a changed number of
+/// routers becomes known late. With 7 routers and 1 request per second, each router sends one
+/// request in 10.5 s, so any 4 s contain at most one of each.
+constexpr double kOwnShareFactor = 2.0 / 3;
 
 }  // namespace
 
-void RunnerRates::onAnswer (const RateObservation& seen, const StatedRate& stated,
+void RunnerRates::onAnswer (const RateObservation& observation, const StatedRate& stated,
                             base::TimePoint now)
 {
-    std::visit (
-        base::Overloaded{ [&] (const LimitedRate& rate) { noteLimit (seen, rate.perSecond, now); },
-                          [&] (const UnlimitedRate&) { noteEnd (seen); },
-                          [&] (const UnreadableRate& rate)
-                          {
-                              log::write (log::Event::kRunnerRateUnreadable,
-                                          { { "runner", seen.instance }, { "text", rate.text } });
-                          } },
-        stated);
+    std::visit (base::Overloaded{ [&] (const LimitedRate& rate)
+                                  { setLimit (observation, rate.perSecond, now); },
+                                  [&] (const UnlimitedRate&) { recordUnlimited (observation); },
+                                  [&] (const UnreadableRate& rate)
+                                  {
+                                      log::write (log::Event::kRunnerRateUnreadable,
+                                                  { { "runner", observation.instance },
+                                                    { "text", rate.text } });
+                                  } },
+                stated);
 }
 
-void RunnerRates::noteLimit (const RateObservation& seen, double perSecond, base::TimePoint now)
+void RunnerRates::setLimit (const RateObservation& observation, double perSecond,
+                            base::TimePoint now)
 {
-    const auto [found, isNew] = m_limits.try_emplace (seen.instance);
+    const auto [found, isNew] = m_limits.try_emplace (observation.instance);
     Limit& limit = found->second;
-    const bool isOfAnother = limit.startedAt != seen.startedAt;
-    const bool isNews = isNew || isOfAnother || limit.perSecond != perSecond;
-    if (isNew || isOfAnother)
+    const bool isOtherIncarnation = limit.startedAt != observation.startedAt;
+    const bool isChange = isNew || isOtherIncarnation || limit.perSecond != perSecond;
+    if (isNew || isOtherIncarnation)
     {
         limit = {};
-        limit.startedAt = seen.startedAt;
+        limit.startedAt = observation.startedAt;
         limit.perSecond = perSecond;
-        limit.untoldSince = now;
-        // Routers that hear of a rate together do not all send at once.
-        limit.ownShareAt = now
-                           + std::chrono::duration_cast<base::Duration> (ownInterval (limit)
-                                                                         * m_random.uniformReal());
+        limit.missingSince = now;
+        // Spreads the requests of routers that receive a rate at the same time.
+        limit.nextOwnShareAt = now
+                               + std::chrono::duration_cast<base::Duration> (
+                                   ownInterval (limit) * m_random.uniformReal());
     }
     limit.perSecond = perSecond;
     limit.statedAt = now;
-    if (isNews)
+    if (isChange)
         log::write (log::Event::kRunnerRateStated,
-                    { { "runner", seen.instance }, { "per_second", perSecond } });
-    if (isNews || now - limit.reportedAt >= kReportInterval)
-        reportLimit (seen.instance, limit, now);
+                    { { "runner", observation.instance }, { "per_second", perSecond } });
+    if (isChange || now - limit.reportedAt >= kReportInterval)
+        reportLimit (observation.instance, limit, now);
 }
 
 void RunnerRates::reportLimit (const std::string& instance, Limit& limit, base::TimePoint now)
 {
-    if (m_granting != Granting::kLeader)
+    if (m_permitSource != PermitSource::kLeader)
         return;
     limit.reportedAt = now;
     m_unreported.push_back (
         { { instance, limit.startedAt, true, limit.perSecond, 0 }, limit.statedAt });
-    m_onNeed();
+    m_onSendNeeded();
 }
 
-void RunnerRates::noteEnd (const RateObservation& seen)
+void RunnerRates::recordUnlimited (const RateObservation& observation)
 {
-    const auto found = m_limits.find (seen.instance);
-    if (found == m_limits.end() || ! seen.isProper)
+    const auto found = m_limits.find (observation.instance);
+    if (found == m_limits.end() || ! observation.isSuccess)
         return;
-    // Answers overtake one another: one to a request that was sent before the rate was heard of may
-    // have been written before the runner stated it.
+    // Answers may be reordered: an answer to a request sent before the rate was received may have
+    // been written before the runner stated the rate.
     const Limit& limit = found->second;
-    const bool isNewer = seen.sentAt > limit.statedAt;
-    if (! isNewer || limit.startedAt != seen.startedAt)
+    const bool isNewer = observation.sentAt > limit.statedAt;
+    if (! isNewer || limit.startedAt != observation.startedAt)
         return;
-    if (m_granting == Granting::kLeader)
+    if (m_permitSource == PermitSource::kLeader)
     {
-        m_unreported.push_back ({ { seen.instance, seen.startedAt, false, 0, 0 }, seen.sentAt });
-        m_onNeed();
+        m_unreported.push_back (
+            { { observation.instance, observation.startedAt, false, 0, 0 }, observation.sentAt });
+        m_onSendNeeded();
     }
-    if (limit.isTold)
+    if (limit.isInTable)
         return;
-    log::write (log::Event::kRunnerRateEnded, { { "runner", seen.instance } });
+    log::write (log::Event::kRunnerRateEnded, { { "runner", observation.instance } });
     m_limits.erase (found);
 }
 
@@ -130,16 +134,16 @@
     if (limit == nullptr)
         return base::Duration::zero();
     base::TimePoint until;
-    switch (m_granting)
+    switch (m_permitSource)
     {
-        case Granting::kLeader:
-            until = limit->askAgainAt;
+        case PermitSource::kLeader:
+            until = limit->nextRequestAt;
             break;
-        case Granting::kNobody:
-            until = limit->ownShareAt;
+        case PermitSource::kNone:
+            until = limit->nextOwnShareAt;
             break;
-        case Granting::kUnknown:
-            until = now + kRetry;
+        case PermitSource::kUnknown:
+            until = now + kRetryDelay;
             break;
     }
     return std::max (until - now, base::Duration::zero());
@@ -151,44 +155,44 @@
     if (found == m_limits.end())
     {
         giveUp (claim);
-        return QuotaAnswer::kGranted;  // The limit has ended meanwhile.
+        return QuotaAnswer::kGranted;  // The limit has ended in the meantime.
     }
     Limit& limit = found->second;
-    if (m_granting != Granting::kLeader)
+    if (m_permitSource != PermitSource::kLeader)
     {
         giveUp (claim);
-        return count (m_granting == Granting::kNobody ? takeOwnShare (limit, now)
-                                                      : QuotaAnswer::kRefused);
+        return count (m_permitSource == PermitSource::kNone ? takeOwnShare (limit, now)
+                                                            : QuotaAnswer::kRefused);
     }
     claim.units = 1;
     const bool isNew = claim.sequence == 0;
     const QuotaAnswer answer = m_permits.take (claim, now);
     if (isNew && answer == QuotaAnswer::kPending)
-        m_onNeed();
+        m_onSendNeeded();
     if (answer == QuotaAnswer::kRefused)
-        limit.askAgainAt = std::max (limit.askAgainAt, now + kShortestWait);
+        limit.nextRequestAt = std::max (limit.nextRequestAt, now + kShortestWait);
     if (answer != QuotaAnswer::kPending)
         return count (answer);
     if (now - claim.askedAt < kGrantTimeout)
         return answer;
     giveUp (claim);
-    limit.askAgainAt = now + kRetry;
+    limit.nextRequestAt = now + kRetryDelay;
     ++m_counters.unanswered;
     return QuotaAnswer::kRefused;
 }
 
 QuotaAnswer RunnerRates::takeOwnShare (Limit& limit, base::TimePoint now)
 {
-    if (now < limit.ownShareAt)
+    if (now < limit.nextOwnShareAt)
         return QuotaAnswer::kRefused;
-    limit.ownShareAt = now + ownInterval (limit);
+    limit.nextOwnShareAt = now + ownInterval (limit);
     return QuotaAnswer::kGranted;
 }
 
 base::Duration RunnerRates::ownInterval (const Limit& limit) const
 {
     const double seconds =
-        m_routers / (kOwnPart * std::max (limit.perSecond, cell::kLeastRatePerSecond));
+        m_routers / (kOwnShareFactor * std::max (limit.perSecond, cell::kLeastRatePerSecond));
     return std::chrono::duration_cast<base::Duration> (std::chrono::duration<double> (seconds));
 }
 
@@ -200,37 +204,37 @@
 
 void RunnerRates::onLinkLost()
 {
-    m_granting = Granting::kUnknown;
+    m_permitSource = PermitSource::kUnknown;
     m_unreported.clear();
-    forgetReports();
+    markAllUnreported();
     m_permits.onLinkLost();
 }
 
 void RunnerRates::onOtherMessage()
 {
-    if (m_granting == Granting::kUnknown)
-        m_granting = Granting::kNobody;
+    if (m_permitSource == PermitSource::kUnknown)
+        m_permitSource = PermitSource::kNone;
 }
 
 void RunnerRates::apply (const cell::InstanceRateUpdate& update, base::TimePoint now)
 {
-    m_granting = update.isGranting ? Granting::kLeader : Granting::kNobody;
+    m_permitSource = update.isGranting ? PermitSource::kLeader : PermitSource::kNone;
     if (update.isGranting)
     {
-        takeTable (update, now);
-        m_onNeed();
+        applyTable (update, now);
+        m_onSendNeeded();
         return;
     }
-    // Nobody keeps a table any more: what the runners say themselves ends a limit.
+    // Without a leader's table, the answers of the runners end a limit.
     for (auto& [instance, limit] : m_limits)
-        limit.isTold = false;
-    forgetReports();
+        limit.isInTable = false;
+    markAllUnreported();
 }
 
-void RunnerRates::takeTable (const cell::InstanceRateUpdate& update, base::TimePoint now)
+void RunnerRates::applyTable (const cell::InstanceRateUpdate& update, base::TimePoint now)
 {
     const bool isNewTerm = update.term > m_term;
-    // Another controller may be behind the one before.
+    // After a change of controller the new one may be behind the previous one.
     const bool isOlder = update.term < m_term || (! isNewTerm && update.version < m_version);
     if (update.term == 0 || isOlder)
         return;
@@ -244,21 +248,21 @@
         if (found != earlier.end() && found->second.startedAt == rate.startedAt)
             limit = found->second;
         else
-            limit.ownShareAt = now;
+            limit.nextOwnShareAt = now;
         limit.perSecond = rate.perSecond;
         limit.startedAt = rate.startedAt;
-        limit.isTold = true;
+        limit.isInTable = true;
         limit.statedAt = std::max (limit.statedAt, now - base::milliseconds (rate.ageMilliseconds));
         m_limits[rate.instance] = limit;
     }
     for (auto& [instance, limit] : earlier)
     {
-        // Within one term the leader has taken it back; a new leader may not have heard of it yet.
-        if (m_limits.contains (instance) || (limit.isTold && ! isNewTerm))
+        // Within one term the leader removed the limit; a new leader may not have received it yet.
+        if (m_limits.contains (instance) || (limit.isInTable && ! isNewTerm))
             continue;
-        if (std::exchange (limit.isTold, false))
+        if (std::exchange (limit.isInTable, false))
         {
-            limit.untoldSince = now;
+            limit.missingSince = now;
             limit.reportedAt = {};
         }
         m_limits.emplace (instance, limit);
@@ -272,32 +276,32 @@
     {
         const auto found = m_limits.find (allowance.account);
         if (found != m_limits.end() && allowance.waitMilliseconds > 0)
-            found->second.askAgainAt = now + base::milliseconds (allowance.waitMilliseconds);
+            found->second.nextRequestAt = now + base::milliseconds (allowance.waitMilliseconds);
     }
 }
 
 void RunnerRates::expire (base::TimePoint now)
 {
-    if (m_granting != Granting::kLeader)
+    if (m_permitSource != PermitSource::kLeader)
         return;
     std::erase_if (m_limits,
                    [&] (const auto& item)
                    {
                        const Limit& limit = item.second;
-                       return ! limit.isTold && now - limit.untoldSince > kUntoldLife;
+                       return ! limit.isInTable && now - limit.missingSince > kUnregisteredLifetime;
                    });
 }
 
-void RunnerRates::reportUntold (base::TimePoint now)
+void RunnerRates::reportUnregistered (base::TimePoint now)
 {
     for (auto& [instance, limit] : m_limits)
     {
-        if (! limit.isTold && now - limit.reportedAt >= kReportInterval)
+        if (! limit.isInTable && now - limit.reportedAt >= kReportInterval)
             reportLimit (instance, limit, now);
     }
 }
 
-void RunnerRates::forgetReports()
+void RunnerRates::markAllUnreported()
 {
     for (auto& [instance, limit] : m_limits)
         limit.reportedAt = {};
@@ -306,7 +310,7 @@
 std::optional<cell::InstanceRateReport> RunnerRates::takeReport (base::TimePoint now)
 {
     expire (now);
-    reportUntold (now);
+    reportUnregistered (now);
     if (m_unreported.empty())
         return std::nullopt;
     cell::InstanceRateReport report;
@@ -320,7 +324,7 @@
 
 std::optional<cell::InstancePermitRequest> RunnerRates::takeRequest (base::TimePoint now)
 {
-    if (m_granting != Granting::kLeader)
+    if (m_permitSource != PermitSource::kLeader)
         return std::nullopt;
     if (auto claims = m_permits.takeRequest (now))
         return cell::InstancePermitRequest{ std::move (*claims) };
--- a/src/proxy/RunnerRatesTest.cpp
+++ b/src/proxy/RunnerRatesTest.cpp
@@ -12,7 +12,7 @@
     return base::TimePoint (base::milliseconds (1000 + milliseconds));
 }
 
-/// An answer to a request that was sent at `sentAt`.
+/// Observation of an answer to a request that was sent at `sentAt`.
 RateObservation answerTo (std::int64_t sentAt) { return { "i-1", 0, at (sentAt), true }; }
 
 TEST (RunnerRatesTest, ARateHoldsUntilAnAnswerToALaterRequestStatesNone)
@@ -26,18 +26,19 @@
     EXPECT_EQ (rates.size(), 0U);
 }
 
-TEST (RunnerRatesTest, AFailureOrAnUnreadableRateEndsNothing)
+TEST (RunnerRatesTest, FailureOrUnreadableRateDoesNotEndLimit)
 {
     RunnerRates rates (1, [] {});
     rates.onAnswer (answerTo (0), LimitedRate{ 2 }, at (100));
     RateObservation failed = answerTo (200);
-    failed.isProper = false;
+    failed.isSuccess = false;
     rates.onAnswer (failed, UnlimitedRate{}, at (250));
     rates.onAnswer (answerTo (300), UnreadableRate{ "nan" }, at (350));
     EXPECT_EQ (rates.size(), 1U);
 }
 
-/// Requests to the runner that the router lets go within that time, one tried each 10 ms.
+/// Number of requests to the runner that the router allows within that time, with one attempt every
+/// 10 ms.
 int requestsWithin (RunnerRates& rates, std::int64_t from, std::int64_t until)
 {
     int sent = 0;
@@ -52,14 +53,14 @@
     return sent;
 }
 
-TEST (RunnerRatesTest, NothingIsSentBeforeAControllerTellsWhoGrants)
+TEST (RunnerRatesTest, SendsNothingBeforePermitSourceIsKnown)
 {
     RunnerRates rates (1, [] {});
     rates.onAnswer (answerTo (0), LimitedRate{ 5 }, at (100));
     EXPECT_EQ (requestsWithin (rates, 100, 10'000), 0);
 }
 
-TEST (RunnerRatesTest, WithControllersOfAnEarlierVersionARouterKeepsToItsShare)
+TEST (RunnerRatesTest, UsesOwnShareWithControllersOfEarlierVersion)
 {
     RunnerRates rates (1, [] {});
     rates.setRouters (7);
@@ -74,7 +75,7 @@
     EXPECT_EQ (rates.size(), 0U);
 }
 
-TEST (RunnerRatesTest, OnlyTheLeaderTakesBackWhatItHasTold)
+TEST (RunnerRatesTest, OnlyLeaderEndsLimitInItsTable)
 {
     RunnerRates rates (1, [] {});
     cell::InstanceRateUpdate table{ 1, 1, true, { { "i-1", 0, 2, 0 } } };
@@ -89,7 +90,7 @@
     EXPECT_FALSE (rates.isLimited ("i-1", 0));
 }
 
-TEST (RunnerRatesTest, ATableThatIsOlderThanTheOneHeldIsPassedOver)
+TEST (RunnerRatesTest, IgnoresOlderTable)
 {
     RunnerRates rates (1, [] {});
     rates.apply ({ 2, 5, true, { { "i-1", 0, 2, 0 } } }, at (0));
@@ -99,19 +100,19 @@
     EXPECT_TRUE (rates.isLimited ("i-1", 0));
 }
 
-TEST (RunnerRatesTest, ALimitThatTheLeaderNeverTakesOverEnds)
+TEST (RunnerRatesTest, LimitMissingInLeaderTableExpires)
 {
     RunnerRates rates (1, [] {});
     rates.apply ({ 1, 1, true, {} }, at (0));
     rates.onAnswer (answerTo (0), LimitedRate{ 2 }, at (100));
     EXPECT_TRUE (rates.isLimited ("i-1", 0));
     EXPECT_TRUE (rates.takeReport (at (100)));
-    EXPECT_TRUE (rates.takeReport (at (1000))) << "the first may be lost";
+    EXPECT_TRUE (rates.takeReport (at (1000))) << "the first report may be lost";
     [[maybe_unused]] const auto last = rates.takeReport (at (6000));
     EXPECT_FALSE (rates.isLimited ("i-1", 0));
 }
 
-TEST (RunnerRatesTest, ARateOfAnEarlierIncarnationDoesNotHold)
+TEST (RunnerRatesTest, RateOfEarlierIncarnationDoesNotApply)
 {
     RunnerRates rates (1, [] {});
     rates.apply ({ 1, 1, true, { { "i-1", 1000, 2, 0 } } }, at (0));
--- a/src/proxy/SharedLoadsTest.cpp
+++ b/src/proxy/SharedLoadsTest.cpp
@@ -1,6 +1,6 @@
 /**
- * The choice of a runner by what all routers together know of the load, and what callers get by it:
- * routers that choose at the same time by the same picture, 0.2 s old.
+ * Choice of a runner by the load of all routers, and the resulting latency of callers, for routers
+ * that choose at the same time from the same view of the load, 0.2 s old.
  */
 
 #include <gtest/gtest.h>
@@ -80,7 +80,7 @@
     InstanceDirectory m_directory{ "z1" };
 };
 
-TEST_F (SharedLoadsTest, ShortRequestsKeepAwayFromLongPromptsOfOtherRouters)
+TEST_F (SharedLoadsTest, ShortRequestsAvoidLongPromptsOfOtherRouters)
 {
     m_directory.applyLoads (
         { true, { loadOf ("i-1", 1, kLongPrompt), loadOf ("i-2", 1, 0), loadOf ("i-3", 2, 0) } },
@@ -88,17 +88,17 @@
     EXPECT_EQ (choose (queryOf (kShortPrompt)), "i-2");
 }
 
-TEST_F (SharedLoadsTest, WhatThisRouterReportedIsNotCountedTwice)
+TEST_F (SharedLoadsTest, OwnReportedLoadIsNotCountedTwice)
 {
     m_directory.onAttemptBegin ("i-2", kLongPrompt, kStart);
-    m_directory.onReported ({ { { "i-2", 1, kLongPrompt } }, {}, {} }, kStart);
+    m_directory.onLoadsReported ({ { { "i-2", 1, kLongPrompt } }, {}, {} }, kStart);
     const base::TimePoint later = kStart + base::milliseconds (200);
     m_directory.applyLoads ({ true,
                               { loadOf ("i-1", 2, 2 * kLongPrompt), loadOf ("i-2", 1, kLongPrompt),
                                 loadOf ("i-3", 2, 2 * kLongPrompt) } },
                             later);
     EXPECT_EQ (choose (queryOf (kShortPrompt), later), "i-2");
-    // Its answer has ended since; the sum does not tell yet.
+    // The answer has ended since, but the sum does not show it yet.
     m_directory.onAnswerBegun ("i-2", kLongPrompt);
     m_directory.onAttemptEnd ("i-2", AttemptEnd::kAnswered, later);
     const InstanceChoice choice = m_directory.choose (queryOf (kShortPrompt), later);
@@ -106,34 +106,35 @@
     EXPECT_LT (choice.expectedAnswer, base::milliseconds (50));
 }
 
-TEST_F (SharedLoadsTest, AReportThatHasNotComeBackYetIsNotTakenOff)
+TEST_F (SharedLoadsTest, UnreturnedReportIsNotSubtracted)
 {
     m_directory.onAttemptBegin ("i-1", kLongPrompt, kStart);
-    m_directory.onReported ({ { { "i-1", 1, kLongPrompt } }, {}, {} }, kStart);
-    m_directory.applyLoads ({ true, { loadOf ("i-1", 1, kLongPrompt) } }, kStart);  // Of another.
+    m_directory.onLoadsReported ({ { { "i-1", 1, kLongPrompt } }, {}, {} }, kStart);
+    m_directory.applyLoads ({ true, { loadOf ("i-1", 1, kLongPrompt) } },
+                            kStart);  // Load of another router.
     const InstanceChoice alone = m_directory.choose (queryOf (kShortPrompt), kStart);
     EXPECT_EQ (alone.id, "i-2");
     m_directory.applyLoads (
         { false, { loadOf ("i-2", 3, 3 * kLongPrompt), loadOf ("i-3", 3, 3 * kLongPrompt) } },
         kStart);
-    // Its own prompt and the other's.
+    // Prefill of its own prompt and of the other router's.
     const InstanceChoice behind = m_directory.choose (queryOf (kShortPrompt), kStart);
     EXPECT_EQ (behind.id, "i-1");
     EXPECT_GT (behind.expectedAnswer, base::milliseconds (2 * 9190 * 26 / 1000));
 }
 
-TEST_F (SharedLoadsTest, WithoutNewsForASecondItGoesByItsOwnRequestsAgain)
+TEST_F (SharedLoadsTest, UsesOwnLoadOnlyAfterASecondWithoutUpdate)
 {
     m_directory.applyLoads ({ true, { loadOf ("i-1", 5, kLongPrompt) } }, kStart);
     EXPECT_EQ (choose (queryOf (kShortPrompt)), "i-2");
     const base::TimePoint later = kStart + base::milliseconds (1100);
-    EXPECT_FALSE (m_directory.knowsOthers (later));
+    EXPECT_FALSE (m_directory.hasLoadsOfOthers (later));
     EXPECT_EQ (choose (queryOf (kShortPrompt), later), "i-1");
     m_directory.onAttemptBegin ("i-1", 0, later);
     EXPECT_EQ (choose (queryOf (kShortPrompt), later), "i-2");
 }
 
-TEST_F (SharedLoadsTest, AnotherControllerTellsAllAnew)
+TEST_F (SharedLoadsTest, WholeUpdateOfNewControllerReplacesLoads)
 {
     m_directory.applyLoads ({ true, { loadOf ("i-1", 5, kLongPrompt, 50) } }, kStart);
     m_directory.onLinkLost();
@@ -150,7 +151,7 @@
     EXPECT_EQ (choose (queryOf (kLongPrompt)), "i-2");
     m_directory.applyLoads (
         { false, { loadOf ("i-2", 1, 6000, 133), loadOf ("i-3", 1, 6000, 133) } }, kStart);
-    EXPECT_NE (choose (queryOf (kLongPrompt)), "i-1") << "it takes twice as long there";
+    EXPECT_NE (choose (queryOf (kLongPrompt)), "i-1") << "i-1 takes twice as long";
     m_directory.applyLoads (
         { false,
           { loadOf ("i-2", 3, 3 * kLongPrompt, 133), loadOf ("i-3", 3, 3 * kLongPrompt, 133) } },
@@ -158,7 +159,7 @@
     EXPECT_EQ (choose (queryOf (kLongPrompt)), "i-1");
 }
 
-TEST_F (SharedLoadsTest, LongPromptsKeepAwayFromStreamsThatTheyWouldHoldUp)
+TEST_F (SharedLoadsTest, LongPromptsAvoidDelayingStreams)
 {
     m_directory.applyLoads (
         { true, { loadOf ("i-1", 8, 8000), loadOf ("i-2", 9, 9000), loadOf ("i-3", 2, 13'000) } },
@@ -166,9 +167,9 @@
     InstanceQuery query = queryOf (kLongPrompt);
     EXPECT_EQ (choose (query), "i-3");
     m_directory.applyLoads ({ false, { loadOf ("i-3", 3, 17'000) } }, kStart);
-    EXPECT_EQ (choose (query), "i-1") << "its own answer would begin there first";
+    EXPECT_EQ (choose (query), "i-1") << "the answer itself would begin first at i-1";
     query.gapTarget = base::milliseconds (500);
-    EXPECT_EQ (choose (query), "i-3") << "where it makes three streams pause, not eight";
+    EXPECT_EQ (choose (query), "i-3") << "at i-3 the prefill delays three streams instead of eight";
 }
 
 TEST_F (SharedLoadsTest, ApplicationsGoToTheFastRunnersToo)
@@ -180,7 +181,7 @@
     EXPECT_EQ (choose (queryOf (0, "")), "i-2");
 }
 
-TEST_F (SharedLoadsTest, ASlowdownKeepsRequestsAwayForSomeTenthsOfASecond)
+TEST_F (SharedLoadsTest, SlowdownIsAvoidedForSomeTenthsOfASecond)
 {
     m_directory.onLoad ("i-1", { 0, 0, 64, 250 }, kStart);
     EXPECT_EQ (choose (queryOf (kLongPrompt), kStart + base::milliseconds (200)), "i-2");
@@ -190,25 +191,25 @@
     EXPECT_EQ (choose (queryOf (kLongPrompt), kStart + base::milliseconds (1200)), "i-1");
 }
 
-TEST_F (SharedLoadsTest, WhatARunnerAlwaysStatesIsNotCountedBesideItsSpeed)
+TEST_F (SharedLoadsTest, PermanentSlowdownIsNotCountedBesideSpeed)
 {
     m_directory.applyLoads ({ true,
                               { loadOf ("i-1", 0, 0, 50), loadOf ("i-2", 0, 2 * kLongPrompt),
                                 loadOf ("i-3", 0, 2 * kLongPrompt) } },
                             kStart);
-    EXPECT_EQ (choose (queryOf (kLongPrompt)), "i-1") << "reading takes 2 against 3";
+    EXPECT_EQ (choose (queryOf (kLongPrompt)), "i-1") << "prefill takes 2 units against 3";
     m_directory.onLoad ("i-1", { 0, 0, 64, 200 }, kStart);
-    EXPECT_EQ (choose (queryOf (kLongPrompt)), "i-1") << "its usual figure";
+    EXPECT_EQ (choose (queryOf (kLongPrompt)), "i-1") << "nominal slowdown of i-1";
     m_directory.onLoad ("i-1", { 0, 0, 64, 500 }, kStart);
-    EXPECT_NE (choose (queryOf (kLongPrompt)), "i-1") << "5 against 3";
+    EXPECT_NE (choose (queryOf (kLongPrompt)), "i-1") << "prefill takes 5 units against 3";
 }
 
-TEST_F (SharedLoadsTest, AFigureThatIsUsualForASlowRunnerIsNotCountedBesideItsSpeed)
+TEST_F (SharedLoadsTest, NominalSlowdownOfSlowRunnerDoesNotChangeEstimate)
 {
     m_directory.applyLoads ({ true, { loadOf ("i-1", 0, 0, 50) } }, kStart);
     InstanceQuery query = queryOf (kLongPrompt);
-    query.endedInstances = { "i-2", "i-3" };
-    query.trial = "digest";  // So that only i-1 is left.
+    query.crashedInstances = { "i-2", "i-3" };
+    query.isolationKey = "digest";  // Leaves i-1 as the only runner.
     const base::Duration before = m_directory.choose (query, kStart).expectedAnswer;
     m_directory.onLoad ("i-1", { 0, 0, 64, 200 }, kStart);
     EXPECT_EQ (m_directory.choose (query, kStart).expectedAnswer, before);
@@ -229,7 +230,7 @@
     EXPECT_EQ (choose (queryOf (kLongPrompt), kStart + base::milliseconds (100)), "i-2");
 }
 
-TEST_F (SharedLoadsTest, AnOpenConnectionIsUsedWhereThatCostsNothing)
+TEST_F (SharedLoadsTest, PrefersOpenConnectionAtEqualCost)
 {
     InstanceQuery query = queryOf (kShortPrompt);
     query.hasConnection = [] (const base::SocketAddress& address) { return address.port == 3; };
@@ -243,9 +244,9 @@
     EXPECT_NE (choose (query), "i-3");
 }
 
-TEST_F (SharedLoadsTest, AFrozenRoutersPartDoesNotShutARunnerOut)
+TEST_F (SharedLoadsTest, StaleLoadOfFrozenRouterDoesNotExcludeRunner)
 {
-    // 3 requests at i-1 that have long been given up stay in the sums.
+    // The sums still contain 3 requests at i-1 that ended long ago.
     m_directory.applyLoads ({ true, { loadOf ("i-1", 3, 0) } }, kStart);
     for (int request = 0; request < 4; ++request)
     {
@@ -255,7 +256,7 @@
     EXPECT_EQ (choose (queryOf (kShortPrompt)), "i-1");
 }
 
-TEST_F (SharedLoadsTest, RunnersThatCannotServeCostAChoiceNothing)
+TEST_F (SharedLoadsTest, ChoiceExaminesOnlyRunnersThatCanServe)
 {
     cell::InstanceUpdate update;
     update.term = 1;
@@ -268,12 +269,12 @@
         update.upserts.push_back (row);
     }
     ASSERT_TRUE (m_directory.apply (update, kStart));
-    int asked = 0;
+    int queried = 0;
     InstanceQuery query = queryOf (kShortPrompt);
-    query.hasConnection = [&] (const base::SocketAddress&) { return ++asked > 0; };
+    query.hasConnection = [&] (const base::SocketAddress&) { return ++queried > 0; };
     m_directory.applyLoads ({ true, {} }, kStart);
     EXPECT_EQ (choose (query), "i-1");
-    EXPECT_EQ (asked, 3);
+    EXPECT_EQ (queried, 3);
     update.fromVersion = 2;
     update.toVersion = 3;
     update.upserts = { rowOf ("o-1") };
@@ -284,62 +285,64 @@
 
 // ---------------------------------------------------------------------------------------------
 
-/** Load of the play: 80 routers before 12 runners of one model, of which 4 work at half the speed
-    of the others; a third short chats, the rest long prompts with a part that others share.
+/** Load of the simulation: 80 routers and 12 runners of one model, of which 4 work at half the
+    speed of the others. A third of the requests are short chats, the rest long prompts with a
+    shared prefix.
 */
-struct Play
+struct Scenario
 {
-    bool sharesLoads = true;  ///< Else each router knows its own requests only.
-    bool spreads = true;      ///< Else each takes the best that it sees.
+    bool sharesLoads = true;  ///< Otherwise each router knows only its own requests.
+    bool spreads = true;      ///< Otherwise each router takes the best runner in its view.
     double perSecond = 75;
-    std::size_t cutOffRouters = 0;  ///< Neither report nor hear anything.
+    std::size_t cutOffRouters = 0;  ///< Routers that neither send nor receive reports.
 };
 
 struct Outcome
 {
     double lateShort = 0;  ///< Share of chats whose answer begins after 500 ms.
-    double lateLong = 0;   ///< Of long prompts, after 800 ms.
-    double busiest = 0;    ///< Requests at the busiest runner against the mean, by speed.
+    double lateLong = 0;   ///< Share of long prompts whose answer begins after 800 ms.
+    double busiest = 0;    ///< Requests at the busiest runner relative to the mean, weighted by
+                           ///< speed.
     double newConnections = 0;
 };
 
-/** Reads prompts one after the other and keeps what requests share. */
-class PlayedRunner
+/** Processes prompts one after the other and caches shared prefixes. */
+class SimulatedRunner
 {
 public:
-    PlayedRunner (std::string id, double speed) : m_id (std::move (id)), m_speed (speed) {}
+    SimulatedRunner (std::string id, double speed) : m_id (std::move (id)), m_speed (speed) {}
 
     struct Request
     {
         std::size_t router = 0;
         bool isLong = false;
-        std::uint64_t countedTokens = 0;  ///< As its router told.
+        std::uint64_t countedTokens = 0;  ///< Prefill tokens counted by its router.
         base::TimePoint firstEvent{};
         base::TimePoint end{};
-        bool isRead = false;
+        bool isPrefillDone = false;
     };
 
     Request& take (Request request, const std::string& shared, base::TimePoint now)
     {
-        const auto kept = std::ranges::find (m_kept, shared);
-        const bool isKept = ! shared.empty() && kept != m_kept.end();
-        if (isKept)
-            m_kept.erase (kept);
+        const auto cached = std::ranges::find (m_cachedPrefixes, shared);
+        const bool isCached = ! shared.empty() && cached != m_cachedPrefixes.end();
+        if (isCached)
+            m_cachedPrefixes.erase (cached);
         if (! shared.empty())
-            m_kept.push_back (shared);
+            m_cachedPrefixes.push_back (shared);
         constexpr std::size_t kMostKept = 10;
-        if (m_kept.size() > kMostKept)
-            m_kept.pop_front();
+        if (m_cachedPrefixes.size() > kMostKept)
+            m_cachedPrefixes.pop_front();
         const double tokens = static_cast<double> (request.isLong ? kLongPrompt : kShortPrompt)
-                              - (isKept ? static_cast<double> (kLongShared) : 0);
+                              - (isCached ? static_cast<double> (kLongShared) : 0);
         constexpr double kTokensEachMicrosecond = 0.038;
-        const auto reading = base::microseconds (
+        const auto prefill = base::microseconds (
             static_cast<std::int64_t> (tokens / kTokensEachMicrosecond / m_speed));
-        m_readUntil = std::max (m_readUntil, now) + reading;
-        request.firstEvent = m_readUntil;
+        m_prefillUntil = std::max (m_prefillUntil, now) + prefill;
+        request.firstEvent = m_prefillUntil;
         const double events = request.isLong ? 9 : 49;
         constexpr double kEventMicroseconds = 30'000;
-        request.end = m_readUntil
+        request.end = m_prefillUntil
                       + base::microseconds (
                           static_cast<std::int64_t> (events * kEventMicroseconds / m_speed));
         ++m_taken;
@@ -349,13 +352,13 @@
 
     std::string m_id;
     double m_speed;
-    std::deque<std::string> m_kept;  ///< The one used last at the end.
-    base::TimePoint m_readUntil{};
+    std::deque<std::string> m_cachedPrefixes;  ///< Ordered by last use, the latest at the end.
+    base::TimePoint m_prefillUntil{};
     std::deque<Request> m_requests;
     std::uint32_t m_taken = 0;
 };
 
-Outcome play (const Play& kind, std::uint64_t seed)
+Outcome simulate (const Scenario& kind, std::uint64_t seed)
 {
     constexpr std::size_t kRouters = 80;
     constexpr int kRunners = 12;
@@ -368,7 +371,7 @@
     constexpr base::Duration kWarm = base::seconds (3);
 
     base::Random random (seed);
-    std::vector<PlayedRunner> runners;
+    std::vector<SimulatedRunner> runners;
     std::vector<std::string> ids;
     for (int runner = 0; runner < kRunners; ++runner)
     {
@@ -380,7 +383,7 @@
     for (InstanceDirectory& router : routers)
         router.apply (tableOf (ids), kStart);
 
-    std::deque<std::vector<cell::InstanceLoad>> onTheWay;
+    std::deque<std::vector<cell::InstanceLoad>> inTransit;
     double arrivals = 0;
     int all[2] = {};
     int late[2] = {};
@@ -388,18 +391,18 @@
     int choices = 0;
     for (base::TimePoint now = kStart; now < kStart + kLength; now += kStep)
     {
-        for (PlayedRunner& runner : runners)
+        for (SimulatedRunner& runner : runners)
         {
-            for (PlayedRunner::Request& request : runner.m_requests)
+            for (SimulatedRunner::Request& request : runner.m_requests)
             {
-                if (request.isRead || request.firstEvent > now)
+                if (request.isPrefillDone || request.firstEvent > now)
                     continue;
-                request.isRead = true;
+                request.isPrefillDone = true;
                 routers[request.router].onBytes (runner.m_id, now);
                 routers[request.router].onAnswerBegun (runner.m_id, request.countedTokens);
             }
             std::erase_if (runner.m_requests,
-                           [&] (const PlayedRunner::Request& request)
+                           [&] (const SimulatedRunner::Request& request)
                            {
                                if (request.end > now)
                                    return false;
@@ -408,42 +411,43 @@
                                return true;
                            });
         }
-        const bool isTold =
+        const bool isReportDue =
             kind.sharesLoads && (now - kStart) % kInterval == base::Duration::zero();
-        if (isTold)
+        if (isReportDue)
         {
             std::vector<cell::InstanceLoad> sum;
-            std::vector<cell::InstanceLoadReport> told (kRouters);
-            for (const PlayedRunner& runner : runners)
+            std::vector<cell::InstanceLoadReport> reports (kRouters);
+            for (const SimulatedRunner& runner : runners)
             {
                 std::map<std::size_t, cell::InstanceUse> uses;
                 cell::InstanceLoad load = loadOf (runner.m_id, 0, 0);
                 load.speedPercent = static_cast<std::uint32_t> (runner.m_speed * 100);
-                for (const PlayedRunner::Request& request : runner.m_requests)
+                for (const SimulatedRunner::Request& request : runner.m_requests)
                 {
                     if (request.router < kind.cutOffRouters)
                         continue;
                     cell::InstanceUse& use = uses[request.router];
-                    const std::uint64_t unread = request.isRead ? 0 : request.countedTokens;
+                    const std::uint64_t prefillTokensLeft =
+                        request.isPrefillDone ? 0 : request.countedTokens;
                     ++use.inFlight;
                     ++load.inFlight;
-                    use.unreadTokens += unread;
-                    load.unreadTokens += unread;
+                    use.unreadTokens += prefillTokensLeft;
+                    load.unreadTokens += prefillTokensLeft;
                 }
                 for (std::size_t router = 0; router < kRouters; ++router)
                 {
                     uses[router].instance = runner.m_id;
-                    told[router].uses.push_back (uses[router]);
+                    reports[router].uses.push_back (uses[router]);
                 }
                 sum.push_back (load);
             }
-            onTheWay.push_back (std::move (sum));
-            if (onTheWay.size() > 2)
-                onTheWay.pop_front();
+            inTransit.push_back (std::move (sum));
+            if (inTransit.size() > 2)
+                inTransit.pop_front();
             for (std::size_t router = kind.cutOffRouters; router < kRouters; ++router)
             {
-                routers[router].applyLoads ({ false, onTheWay.front() }, now);
-                routers[router].onReported (told[router], now);
+                routers[router].applyLoads ({ false, inTransit.front() }, now);
+                routers[router].onLoadsReported (reports[router], now);
             }
         }
         for (arrivals += kind.perSecond / 1000; random.chance (arrivals); arrivals -= 1)
@@ -460,12 +464,12 @@
             query.hasConnection = [&] (const base::SocketAddress& address)
             { return open.contains ("i-" + std::to_string (address.port)); };
             const InstanceChoice choice = routers[router].choose (query, now);
-            const auto chosen = std::ranges::find (runners, choice.id, &PlayedRunner::m_id);
-            PlayedRunner::Request request;
+            const auto chosen = std::ranges::find (runners, choice.id, &SimulatedRunner::m_id);
+            SimulatedRunner::Request request;
             request.router = router;
             request.isLong = isLong;
-            request.countedTokens = choice.tokensToRead;
-            routers[router].onAttemptBegin (choice.id, choice.tokensToRead, now);
+            request.countedTokens = choice.prefillTokens;
+            routers[router].onAttemptBegin (choice.id, choice.prefillTokens, now);
             const auto& taken = chosen->take (request, isLong ? shared : std::string(), now);
             opened += open.insert (choice.id).second ? 1 : 0;
             ++choices;
@@ -480,7 +484,7 @@
     outcome.lateShort = static_cast<double> (late[0]) / all[0];
     outcome.lateLong = static_cast<double> (late[1]) / all[1];
     double sum = 0;
-    for (const PlayedRunner& runner : runners)
+    for (const SimulatedRunner& runner : runners)
     {
         sum += runner.m_taken / runner.m_speed;
         outcome.busiest = std::max (outcome.busiest, runner.m_taken / runner.m_speed);
@@ -494,14 +498,15 @@
 {
 };
 
-TEST_P (SharedLoadsPlay, RoutersThatChooseAtOnceDoNotMeetAtOneRunner)
+TEST_P (SharedLoadsPlay, SimultaneousChoicesSpreadOverRunners)
 {
-    const Outcome own = play ({ .sharesLoads = false, .spreads = false }, GetParam());
-    const Outcome best = play ({ .spreads = false }, GetParam());
-    const Outcome spread = play ({}, GetParam());
-    // Measured with these seeds: late 0.16 to 0.17 of the short and 0.07 to 0.19 of the long
-    // requests by own knowledge, 0.36 to 0.45 and 0.30 to 0.34 with the best taken, 0.002 at most
-    // spread; busiest runner 2.65 to 2.78, 1.08 to 1.13 and 1.49 to 1.60 times the mean.
+    const Outcome own = simulate ({ .sharesLoads = false, .spreads = false }, GetParam());
+    const Outcome best = simulate ({ .spreads = false }, GetParam());
+    const Outcome spread = simulate ({}, GetParam());
+    // With these seeds the late shares of short and long requests are 0.16 to 0.17 and 0.07 to 0.19
+    // with own loads only, 0.36 to 0.45 and 0.30 to 0.34 with the best runner always taken, and at
+    // most 0.002 when spread. The busiest runner has 2.65 to 2.78, 1.08 to 1.13 and 1.49 to 1.60
+    // times the mean load.
     EXPECT_GT (own.lateShort, 0.1);
     EXPECT_GT (best.lateShort, 0.1);
     EXPECT_LT (spread.lateShort, 0.02);
@@ -509,11 +514,12 @@
     EXPECT_LT (spread.busiest, 1.8);
 }
 
-TEST_P (SharedLoadsPlay, RoutersThatAreCutOffDoNotSpoilTheChoiceOfTheOthers)
+TEST_P (SharedLoadsPlay, CutOffRoutersDoNotDegradeChoiceOfOthers)
 {
-    const Outcome own = play ({ .sharesLoads = false, .spreads = false }, GetParam());
-    const Outcome cut = play ({ .cutOffRouters = 20 }, GetParam());
-    // Measured: late 0.009 at most of the short and 0.025 of the long, busiest 1.70.
+    const Outcome own = simulate ({ .sharesLoads = false, .spreads = false }, GetParam());
+    const Outcome cut = simulate ({ .cutOffRouters = 20 }, GetParam());
+    // With these seeds at most 0.009 of the short and 0.025 of the long requests are late, and the
+    // busiest runner has 1.70 times the mean load.
     EXPECT_LT (cut.lateShort, own.lateShort / 4);
     EXPECT_LT (cut.lateLong, own.lateLong / 2);
     EXPECT_LT (cut.busiest, 1.8);
--- a/src/proxy/StatedLoad.cpp
+++ b/src/proxy/StatedLoad.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-constexpr std::size_t kFigures = 4;
-constexpr std::size_t kNeededFigures = 2;
+constexpr std::size_t kMaxNumbers = 4;
+constexpr std::size_t kRequiredNumbers = 2;
 
 std::string_view trimmed (std::string_view text)
 {
@@ -19,41 +19,41 @@
     return text.substr (begin, text.find_last_not_of (' ') - begin + 1);
 }
 
-std::optional<std::uint32_t> parseFigure (std::string_view text)
+std::optional<std::uint32_t> parseNumber (std::string_view text)
 {
     const std::string_view digits = trimmed (text);
-    std::uint32_t figure = 0;
+    std::uint32_t number = 0;
     const char* const end = digits.data() + digits.size();
-    const auto [last, error] = std::from_chars (digits.data(), end, figure);
+    const auto [last, error] = std::from_chars (digits.data(), end, number);
     if (error != std::errc() || last != end)
         return std::nullopt;
-    return figure;
+    return number;
 }
 
 }  // namespace
 
 std::optional<StatedLoad> parseStatedLoad (std::string_view text)
 {
-    std::vector<std::uint32_t> figures;
-    while (figures.size() < kFigures)
+    std::vector<std::uint32_t> numbers;
+    while (numbers.size() < kMaxNumbers)
     {
         const std::size_t comma = text.find (',');
-        const auto figure = parseFigure (text.substr (0, comma));
-        if (! figure)
+        const auto number = parseNumber (text.substr (0, comma));
+        if (! number)
             break;
-        figures.push_back (*figure);
+        numbers.push_back (*number);
         if (comma == std::string_view::npos)
             break;
         text.remove_prefix (comma + 1);
     }
-    if (figures.size() < kNeededFigures)
+    if (numbers.size() < kRequiredNumbers)
         return std::nullopt;
-    StatedLoad load{ figures[0], figures[1] };
-    if (figures.size() > 2)
-        load.slots = figures[2];
-    // A machine is never without speed: 0 is no figure.
-    if (figures.size() == kFigures && figures[3] > 0)
-        load.slowdownPercent = figures[3];
+    StatedLoad load{ numbers[0], numbers[1] };
+    if (numbers.size() > 2)
+        load.slots = numbers[2];
+    // A slowdown of 0 is impossible and counts as not stated.
+    if (numbers.size() == kMaxNumbers && numbers[3] > 0)
+        load.slowdownPercent = numbers[3];
     return load;
 }
 
--- a/src/proxy/StatedLoad.h
+++ b/src/proxy/StatedLoad.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * The load that a runner states in its answers. Pure; the directory and the reports to the cell
- * make use of it.
+ * Load that a runner states in its answers. Pure. Used by the instance directory and by the load
+ * reports to the cell.
  */
 
 #include <cstdint>
@@ -17,17 +17,17 @@
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
     std::uint32_t slots = 0;  ///< 0: not stated.
-    /** How long work takes on its machine for the moment: 100 as usual, 250 two and a half times as
-        long. Not all runners tell it.
+    /** Current duration of work on the machine in percent: 100 is nominal, 250 two and a half times
+        as long. Not all runners state it.
     */
     std::optional<std::uint32_t> slowdownPercent{};
 
     bool operator== (const StatedLoad&) const = default;
 };
 
-/** Reads "RUNNING,WAITING,SLOTS,SLOWDOWN"; the last two may be missing, and further ones are left
-    out. Nothing when one that must be there is not a whole number, for it may be the text of
-    something else.
+/** Parses "RUNNING,WAITING,SLOTS,SLOWDOWN". The last two numbers are optional, and further ones are
+    ignored. Returns nothing when a required number is invalid, since the field may then have
+    another meaning.
 */
 [[nodiscard]] std::optional<StatedLoad> parseStatedLoad (std::string_view text);
 
--- a/src/proxy/StatedLoadTest.cpp
+++ b/src/proxy/StatedLoadTest.cpp
@@ -23,7 +23,7 @@
     EXPECT_EQ (parseStatedLoad ("1, 2 ,6 , 100, 7"), (StatedLoad{ 1, 2, 6, 100 }));
 }
 
-TEST (StatedLoad, WhatIsNoNumberStatesNothing)
+TEST (StatedLoad, InvalidNumberStatesNothing)
 {
     EXPECT_FALSE (parseStatedLoad (""));
     EXPECT_FALSE (parseStatedLoad ("12"));
--- a/src/proxy/StatedRate.cpp
+++ b/src/proxy/StatedRate.cpp
@@ -48,7 +48,7 @@
         else
             unreadable = header.value.substr (0, kLoggedBytes);
     }
-    if (lowest && *lowest < kUnlimitedFrom)
+    if (lowest && *lowest < kUnlimitedThreshold)
         return LimitedRate{ *lowest };
     if (! lowest && unreadable)
         return UnreadableRate{ std::move (*unreadable) };
--- a/src/proxy/StatedRate.h
+++ b/src/proxy/StatedRate.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * The rate that a runner states in its answers: the requests a second that it takes from all
- * routers together, for as long as it says so. Pure.
+ * Request rate that a runner states in its answers: the requests per second that it accepts from
+ * all routers together, for as long as its answers state it. Pure.
  */
 
 #include <string>
@@ -14,13 +14,13 @@
 namespace fernlift::proxy
 {
 
-/** The answer states no rate, or one so high that no runner's traffic comes near. */
+/** The answer states no rate, or one beyond any possible traffic of a runner. */
 struct UnlimitedRate
 {
     bool operator== (const UnlimitedRate&) const = default;
 };
 
-/** Requests a second, 0 or more. */
+/** Requests per second, 0 or more. */
 struct LimitedRate
 {
     double perSecond = 0;
@@ -28,23 +28,24 @@
     bool operator== (const LimitedRate&) const = default;
 };
 
-/** A field is there and is no rate: it changes nothing of what was known. */
+/** The field is present but invalid, which does not change the known rate. */
 struct UnreadableRate
 {
-    std::string text;  ///< The beginning of the field, for logs.
+    std::string text;  ///< Beginning of the field, for logs.
 
     bool operator== (const UnreadableRate&) const = default;
 };
 
 using StatedRate = std::variant<UnlimitedRate, LimitedRate, UnreadableRate>;
 
-/** From here on a rate limits nothing: a runner of 64 slots whose requests take 60 ms ends as many.
- */
-constexpr double kUnlimitedFrom = 1000;
+/** A rate from this value on is no limit: a runner with 64 slots and requests of 60 ms completes
+    about as many.
+*/
+constexpr double kUnlimitedThreshold = 1000;
 
-/** Reads the fields of that name; an empty name stands for a platform that has none. A rate is a
-    decimal number without a sign, blanks around it aside. Of several fields the lowest rate that
-    can be read counts: the runner asks for no more than that.
+/** Parses the fields named `field`; an empty name means that the platform has no such field. A rate
+    is a decimal number without a sign, optionally surrounded by blanks. With several fields the
+    lowest valid rate applies, because the runner accepts no more than that.
 */
 [[nodiscard]] StatedRate readStatedRate (const http::Headers& headers, std::string_view field);
 
--- a/src/proxy/StatedRateTest.cpp
+++ b/src/proxy/StatedRateTest.cpp
@@ -34,7 +34,7 @@
     EXPECT_EQ (rateOf ("999.5"), StatedRate (LimitedRate{ 999.5 }));
 }
 
-TEST (StatedRateTest, WhatIsNoRateIsToldApartFromNone)
+TEST (StatedRateTest, DistinguishesInvalidRateFromMissingOne)
 {
     for (const std::string text :
          { "", " ", "-1", "-0", "nan", "inf", "1e999", "one", "1 2", "1,2", "0x1p3", "1s" })
@@ -45,7 +45,7 @@
     EXPECT_EQ (rateOf (longText), StatedRate (UnreadableRate{ longText.substr (0, 32) }));
 }
 
-TEST (StatedRateTest, OfSeveralFieldsTheLowestCounts)
+TEST (StatedRateTest, LowestOfSeveralFieldsApplies)
 {
     EXPECT_EQ (readStatedRate ({ { "Rate", "3" }, { "Rate", "2" }, { "Rate", "nan" } }, "Rate"),
                StatedRate (LimitedRate{ 2 }));
--- a/src/proxy/TenantQuotas.cpp
+++ b/src/proxy/TenantQuotas.cpp
@@ -9,12 +9,13 @@
 namespace
 {
 
-/// A grant takes some 5 ms by way of two controllers. After this the leader is taken for gone.
+/// A grant takes some 5 ms through two controllers. After this time the leader counts as
+/// unavailable.
 constexpr base::Duration kGrantTimeout = base::milliseconds (60);
-/// A refused caller comes back no sooner: about the time in which a leader is elected.
+/// Shortest Retry-After time of a refused caller, about the duration of an election.
 constexpr base::Duration kShortestRetry = base::milliseconds (300);
 
-/// Sum of the whole numbers of a list such as "1460,80"; none when it is not such a list.
+/// Sum of the whole numbers in a list such as "1460,80"; none when the list is invalid.
 std::optional<std::uint64_t> sumOf (std::string_view list)
 {
     std::uint64_t sum = 0;
@@ -44,8 +45,11 @@
     return sumOf (stated).value_or (quota.plainTokens);
 }
 
-TenantQuotas::TenantQuotas (const quota::QuotaTolerance& tolerance, std::function<void()> onNeed)
-    : m_pool (base::Duration::zero()), m_ownShare (tolerance), m_onNeed (std::move (onNeed))
+TenantQuotas::TenantQuotas (const quota::QuotaTolerance& tolerance,
+                            std::function<void()> onSendNeeded)
+    : m_pool (base::Duration::zero()),
+      m_fallbackShare (tolerance),
+      m_onSendNeeded (std::move (onSendNeeded))
 {
 }
 
@@ -64,10 +68,10 @@
             break;
     }
     if (isNew)
-        m_onNeed();
+        m_onSendNeeded();
     const bool isLate = now - ticket.claim.askedAt >= kGrantTimeout;
-    const bool mayDraw = isLate && ! std::exchange (ticket.hasDrawnOwnShare, isLate);
-    if (mayDraw && m_ownShare.admits (tenant, ticket.claim.units, now, random))
+    const bool mayTryFallback = isLate && ! std::exchange (ticket.hasTriedFallbackShare, isLate);
+    if (mayTryFallback && m_fallbackShare.admits (tenant, ticket.claim.units, now, random))
     {
         giveUp (ticket);
         return Admission::kAdmitted;
@@ -81,7 +85,7 @@
 void TenantQuotas::onGrant (const cell::QuotaGrant& grant, base::TimePoint now)
 {
     m_pool.onGrant (grant);
-    m_ownShare.onAssisted (now);
+    m_fallbackShare.onAssisted (now);
 }
 
 base::Duration TenantQuotas::retryAfter (const config::Tenant& tenant) const
--- a/src/proxy/TenantQuotas.h
+++ b/src/proxy/TenantQuotas.h
@@ -2,7 +2,7 @@
 
 /**
  * Admits requests of tenants within their quotas: from units that the cell's leader granted, or
- * from the router's own part of the limit while no grant comes.
+ * from the router's fallback share of the limit while no grant arrives.
  */
 
 #include <cstdint>
@@ -23,46 +23,46 @@
 enum class Admission : std::uint8_t
 {
     kAdmitted,
-    kWaiting,  ///< A grant is asked for: ask again when one has come, and now and then.
+    kWaiting,  ///< A grant was requested: call again when one arrives, and periodically.
     kRefused,
 };
 
-/** One request that is to be admitted. */
+/** Request to be admitted. */
 struct QuotaTicket
 {
     quota::QuotaClaim claim;
-    base::TimePoint waitsUntil{};   ///< Refused when no grant has come by then.
-    bool hasDrawnOwnShare = false;  ///< Once for each request.
-    base::Duration waited{};        ///< For a grant, so far.
+    base::TimePoint waitsUntil{};        ///< The request is refused without a grant by then.
+    bool hasTriedFallbackShare = false;  ///< The fallback share is tried once per request.
+    base::Duration waited{};             ///< Time spent waiting for a grant so far.
 };
 
-/** Units that a request counts. */
+/** Quota units that a request consumes. */
 [[nodiscard]] std::uint64_t unitsOf (const ParsedRequest& request, const ProtocolNames& names,
                                      const config::TenantQuota& quota);
 
-/** Pure but for the callback. Threading: none; owned by one ProxyProcess. */
+/** Pure except for the callback. Threading: none; owned by one ProxyProcess. */
 class TenantQuotas
 {
 public:
-    /** `onNeed`: a request for units should be sent soon. */
-    TenantQuotas (const quota::QuotaTolerance& tolerance, std::function<void()> onNeed);
+    /** `onSendNeeded` is called when a request for units should be sent soon. */
+    TenantQuotas (const quota::QuotaTolerance& tolerance, std::function<void()> onSendNeeded);
 
     [[nodiscard]] Admission admit (QuotaTicket& ticket, const config::Tenant& tenant,
                                    base::TimePoint now, base::Random& random);
-    /** Ends a ticket that waits; does nothing to another. */
+    /** Ends a waiting ticket; has no effect on other tickets. */
     void giveUp (QuotaTicket& ticket) { m_pool.giveUp (ticket.claim); }
-    /** When a refused caller finds units again, as far as known. */
+    /** Estimated time until a refused caller finds units again. */
     [[nodiscard]] base::Duration retryAfter (const config::Tenant& tenant) const;
 
     void onGrant (const cell::QuotaGrant& grant, base::TimePoint now);
 
     quota::QuotaPool& pool() { return m_pool; }
-    void setRouters (std::uint32_t routers) { m_ownShare.setRouters (routers); }
+    void setRouters (std::uint32_t routers) { m_fallbackShare.setRouters (routers); }
 
 private:
     quota::QuotaPool m_pool;
-    quota::UnassistedShare m_ownShare;
-    std::function<void()> m_onNeed;
+    quota::UnassistedShare m_fallbackShare;
+    std::function<void()> m_onSendNeeded;
 };
 
 }  // namespace fernlift::proxy
--- a/src/proxy/WaitLimit.h
+++ b/src/proxy/WaitLimit.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * How long a request may wait at a router for a runner that can take it, and when its caller is
- * told to come back. Pure.
+ * Limits how long a request may wait at a router for a runner, and computes the Retry-After time of
+ * its caller. Pure.
  */
 
 #include "base/Time.h"
@@ -11,14 +11,15 @@
 namespace fernlift::proxy
 {
 
-/** Longest wait of a request whose caller waits `stated` for the answer. A runner that comes later
-    would answer too late, or to a caller that has left: it had better be told to ask again.
+/** Longest wait of a request whose caller waits `callerTimeout` for the answer. A runner found
+    later would answer too late, or to a caller that has disconnected, so an early refusal serves
+    the caller better.
 */
-[[nodiscard]] base::Duration longestWaitForRunner (const config::Route& route,
-                                                   base::Duration stated);
+[[nodiscard]] base::Duration maxWaitForRunner (const config::Route& route,
+                                               base::Duration callerTimeout);
 
-/** What the caller of a request that waited in vain is told: after this time a model that was asked
-    for may have been loaded.
+/** Retry-After time of a request that waited without success. For a model it is about the time
+    after which the model may be loaded.
 */
 [[nodiscard]] base::Duration retryAfterWait (bool isForModel);
 
--- a/src/proxy/WaitLimitTest.cpp
+++ b/src/proxy/WaitLimitTest.cpp
@@ -22,30 +22,30 @@
 TEST (WaitLimit, leavesTimeForTheAnswer)
 {
     const auto route = routeOf (config::RouteKind::kAtMostOnce, milliseconds (100), {});
-    EXPECT_EQ (longestWaitForRunner (route, milliseconds (600)), milliseconds (270));
+    EXPECT_EQ (maxWaitForRunner (route, milliseconds (600)), milliseconds (270));
 }
 
 TEST (WaitLimit, isNoLongerThanALoadTakes)
 {
     const auto route = routeOf (config::RouteKind::kAtMostOnce, milliseconds (500), {});
-    EXPECT_EQ (longestWaitForRunner (route, seconds (60)), milliseconds (3500));
+    EXPECT_EQ (maxWaitForRunner (route, seconds (60)), milliseconds (3500));
 }
 
 TEST (WaitLimit, endsBeforeTheCallerGivesUpAStreamThatHasNotBegun)
 {
     const auto route = routeOf (config::RouteKind::kStream, milliseconds (400), milliseconds (300));
     ASSERT_EQ (route.patience(), milliseconds (2400));
-    EXPECT_EQ (longestWaitForRunner (route, seconds (15)), milliseconds (1440));
+    EXPECT_EQ (maxWaitForRunner (route, seconds (15)), milliseconds (1440));
 }
 
-TEST (WaitLimit, aPatientCallerOfAStreamIsKeptAsLongAsOthers)
+TEST (WaitLimit, longStreamTimeoutDoesNotExtendWait)
 {
     const auto route = routeOf (config::RouteKind::kStream, seconds (4), milliseconds (400));
     ASSERT_EQ (route.patience(), seconds (16));
-    EXPECT_EQ (longestWaitForRunner (route, seconds (10)), milliseconds (4500));
+    EXPECT_EQ (maxWaitForRunner (route, seconds (10)), milliseconds (4500));
 }
 
-TEST (WaitLimit, aCallerThatWaitedForAModelComesBackWhenItMayBeLoaded)
+TEST (WaitLimit, retryAfterIsLongerForModels)
 {
     EXPECT_GT (retryAfterWait (true), retryAfterWait (false));
 }
