--- a/src/proxy/ConfigurationFreshness.cpp
+++ b/src/proxy/ConfigurationFreshness.cpp
@@ -9,7 +9,7 @@
 
 /// Time for which requests are held after the grace period. An available leader is found within a
 /// second (see docs/incidents/issue-18-config.md); a longer wait would only delay refusals.
-constexpr base::Duration kHold = base::seconds (1);
+constexpr base::Duration kHoldTime = base::seconds (1);
 
 /// Consecutive failed connections after which the router counts as isolated from all controllers.
 /// In an ordinary failover one controller may be down and another one unreachable. A process that
@@ -54,7 +54,7 @@
     const base::Duration unconfirmed = unconfirmedFor (now);
     if (unconfirmed < grace)
         return Freshness::kConfirmed;
-    return unconfirmed < grace + kHold ? Freshness::kUnconfirmed : Freshness::kExpired;
+    return unconfirmed < grace + kHoldTime ? Freshness::kUnconfirmed : Freshness::kExpired;
 }
 
 base::Duration ConfigurationFreshness::unconfirmedFor (base::TimePoint now) const
--- a/src/proxy/EventSplitterTest.cpp
+++ b/src/proxy/EventSplitterTest.cpp
@@ -26,7 +26,7 @@
     EXPECT_FALSE (splitter.lastId());
 }
 
-RC_GTEST_PROP (EventSplitterTest, AnyCutsGiveTheSameBytesAndTheSameId,
+RC_GTEST_PROP (EventSplitterTest, AnyChunkingGivesSameBytesAndSameId,
                (const std::vector<std::uint8_t>& cuts))
 {
     std::string stream;
--- a/src/proxy/ExchangeRateTest.cpp
+++ b/src/proxy/ExchangeRateTest.cpp
@@ -37,15 +37,15 @@
             return 0;
         cell::InstancePermitGrant grant;
         grant.grant.sequence = request->claims.sequence;
-        std::size_t asked = 0;
+        std::size_t requested = 0;
         for (const cell::QuotaNeed& need : request->claims.needs)
         {
-            asked += need.claims.size();
+            requested += need.claims.size();
             grant.grant.allowances.push_back ({ need.account, units, 200, waitMilliseconds });
         }
         proxy.rates.onGrant (grant, proxy.clock.now());
         proxy.server.onDirectoryChanged();
-        return asked;
+        return requested;
     }
 
     ProxyFixture proxy;
--- a/src/proxy/ForwardedMessageTest.cpp
+++ b/src/proxy/ForwardedMessageTest.cpp
@@ -50,7 +50,7 @@
     return name;
 }
 
-RC_GTEST_PROP (ForwardedMessageTest, NoReservedFieldOfACallerReachesARunner, ())
+RC_GTEST_PROP (ForwardedMessageTest, ReservedFieldsOfCallersAreNotForwarded, ())
 {
     const ProtocolNames protocol = names();
     std::vector<std::string> candidates = protocol.reserved;
--- a/src/proxy/InstanceLoadReporterTest.cpp
+++ b/src/proxy/InstanceLoadReporterTest.cpp
@@ -136,7 +136,7 @@
 
 /// After any sequence of events, including changes of the controller, the absolute reports give the
 /// controller the same loads as the router has.
-RC_GTEST_PROP (InstanceLoadReports, WhatWasToldIsTheTruthOnceAllIsTold,
+RC_GTEST_PROP (InstanceLoadReports, ReportedLoadsMatchActualLoads,
                (const std::vector<std::uint8_t>& events))
 {
     InstanceLoadReporter reporter;
--- a/src/proxy/KeyTableTest.cpp
+++ b/src/proxy/KeyTableTest.cpp
@@ -47,7 +47,7 @@
                "");
 }
 
-RC_GTEST_PROP (KeyTableTest, OnlyAKnownKeyHasAHolder, (const std::string& credentials))
+RC_GTEST_PROP (KeyTableTest, OnlyKnownKeyHasTenant, (const std::string& credentials))
 {
     const std::string_view token = bearerToken (credentials);
     const bool isKnown = token == "k1" || token == "k2" || token == "k3";
--- a/src/proxy/ProxyProcessTest.cpp
+++ b/src/proxy/ProxyProcessTest.cpp
@@ -90,7 +90,7 @@
     };
     ASSERT_TRUE (test::waitUntil ([&] { return states (2); }));
     EXPECT_FALSE (m_leader.leaseRequests.back().needsWholeConfiguration);
-    m_leader.sendChangeThatDoesNotFit (4);
+    m_leader.sendMismatchedChange (4);
     ASSERT_TRUE (
         test::waitUntil ([this] { return m_leader.leaseRequests.back().needsWholeConfiguration; }));
     EXPECT_TRUE (states (2));
@@ -107,7 +107,7 @@
 // in which it searched for the leader.
 TEST_F (ProxyProcessTest, RedirectResetsFeaturesOfPreviousController)
 {
-    m_leader.knowsRates = true;
+    m_leader.supportsRates = true;
     m_leader.redirect();
     ASSERT_TRUE (m_process.waitUntilReady());
     m_leader.redirect();
@@ -118,7 +118,7 @@
     m_runner.connections[0]->write (
         "HTTP/1.1 200 OK\r\nTest-Id: r1\r\nTest-Rate: 5\r\nContent-Length: 0\r\n\r\n");
     ASSERT_TRUE (test::waitUntil ([this] { return m_leader.rateMessages > 0; }));
-    m_leader.knowsRates = false;
+    m_leader.supportsRates = false;
     const std::size_t earlier = m_leader.connections;
     m_leader.redirect();
     ASSERT_TRUE (test::waitUntil ([&] { return m_leader.connections > earlier; }));
--- a/src/proxy/ProxyProcessTestSupport.h
+++ b/src/proxy/ProxyProcessTestSupport.h
@@ -65,7 +65,7 @@
     }
 
     /// Sends a change based on a configuration that the router does not hold.
-    void sendChangeThatDoesNotFit (std::uint64_t version)
+    void sendMismatchedChange (std::uint64_t version)
     {
         cell::ConfigurationUpdate update{ version, "digest", "" };
         update.baseVersion = version - 1;
@@ -78,8 +78,8 @@
     void redirect() { send (cell::NotLeaderReply{ address().toString() }); }
 
     bool grantsLeases = true;
-    bool knowsRates = false;  ///< Whether messages about rates of runners are understood, which
-                              ///< earlier versions do not support.
+    bool supportsRates = false;  ///< Whether messages about rates of runners are understood, which
+                                 ///< earlier versions do not support.
     std::vector<cell::LeaseRequest> leaseRequests;
     std::size_t connections = 0;   ///< Connections on which a router sent its hello.
     std::size_t rateMessages = 0;  ///< Messages about rates on the current connection.
@@ -92,7 +92,7 @@
         {
             auto message = wire::decodeMessage<cell::RouterToController> (frame.payload);
             if (std::holds_alternative<cell::RouterHello> (message.value()))
-                welcome();
+                sendInitialState();
             const bool isOfRates =
                 std::holds_alternative<cell::InstanceRateReport> (message.value())
                 || std::holds_alternative<cell::InstancePermitRequest> (message.value());
@@ -110,11 +110,11 @@
         send (cell::ConfigurationUpdate{ m_version, "digest-" + std::to_string (m_version),
                                          std::to_string (m_version) });
     }
-    void welcome()
+    void sendInitialState()
     {
         ++connections;
         rateMessages = 0;
-        if (knowsRates)
+        if (supportsRates)
             send (cell::InstanceRateUpdate{});
         sendConfiguration();
         cell::InstanceUpdate update;
