--- a/src/controller/AdminAnswers.cpp
+++ b/src/controller/AdminAnswers.cpp
@@ -346,7 +346,7 @@
 
 AdminAnswer notLeaderAnswer (const consensus::RaftStatus& status)
 {
-    const base::Error error{ base::ErrorKind::kNotLeader, "this controller does not lead" };
+    const base::Error error{ base::ErrorKind::kNotLeader, "this controller is not the leader" };
     QJsonObject object = errorObject (error);
     object[u"leader"_s] = QString();
     for (const consensus::Member& member : status.members.members)
@@ -470,7 +470,7 @@
     if (kind == "configuration")
         return explainConfiguration (view);
     return errorAnswer (
-        { base::ErrorKind::kNotFound, "explain knows model, runner and configuration" });
+        { base::ErrorKind::kNotFound, "explain accepts only model, runner and configuration" });
 }
 
 }  // namespace fernlift::controller
--- a/src/controller/AdminAnswers.h
+++ b/src/controller/AdminAnswers.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// JSON bodies of the answers to operators.
+/// JSON bodies of the answers to operators' requests.
 
 #include <optional>
 #include <string>
@@ -22,7 +22,7 @@
 namespace fernlift::controller
 {
 
-/// HTTP status and body.
+/// HTTP status and JSON body of an answer.
 struct AdminAnswer
 {
     int httpStatus = 200;
@@ -35,13 +35,13 @@
 [[nodiscard]] AdminAnswer notLeaderAnswer (const consensus::RaftStatus& status);
 /// kConfigurationInvalid with "problems": [{"line","key","message"}].
 [[nodiscard]] AdminAnswer problemsAnswer (const std::vector<config::CatalogueProblem>& problems);
-/// Outcome of an apply. `inForceEverywhere` is set when the operator asked to wait for it.
+/// Outcome of an apply. `inForceEverywhere` is set when the request waited for it.
 [[nodiscard]] AdminAnswer configurationAnswer (const cell::ConfigurationResult& result,
                                                std::optional<bool> inForceEverywhere);
 /// {"result":"ok"}
 [[nodiscard]] AdminAnswer doneAnswer();
 
-/// What a leader (or follower, without the volatile parts) can show.
+/// State that answers are made from. At a follower the volatile parts are missing.
 struct AdminView
 {
     const cell::CellState& state;
@@ -49,15 +49,15 @@
     const RunnerWatch* watch = nullptr;        ///< Leader only.
     const RouterSessions* sessions = nullptr;  ///< Leader only.
     const DemandTable* demands = nullptr;      ///< Leader only.
-    const InstanceLoadTable* loads = nullptr;  ///< Of registered runners.
+    const InstanceLoadTable* loads = nullptr;  ///< Loads of registered runners.
     base::TimePoint now{};
     const InstanceRateLedger* rates = nullptr;                    ///< Leader only.
     const InstanceTable* instances = nullptr;                     ///< Leader only.
     std::optional<placement::EnginePlacementStatus> placement{};  ///< Leader only.
 };
 
-/// {"suspects": [{"request","ends","quarantined","runners","last_end_ms"}]}, those in quarantine
-/// first.
+/// {"suspects": [{"request","ends","quarantined","runners","last_end_ms"}]}, with the requests in
+/// quarantine first.
 [[nodiscard]] AdminAnswer quarantineAnswer (const cell::QuarantineTable& table);
 [[nodiscard]] AdminAnswer membersAnswer (const consensus::RaftStatus& status);
 [[nodiscard]] AdminAnswer statusAnswer (const AdminView& view);
--- a/src/controller/AdminHttp.h
+++ b/src/controller/AdminHttp.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// HTTP interface of a controller: operators' requests, health checks and metrics.
+/// HTTP interface of a controller for operators' requests, health checks and metrics.
 
 #include <functional>
 #include <map>
@@ -13,7 +13,7 @@
 namespace fernlift::controller
 {
 
-/// Turns HTTP requests into requests of operators and answers them when the core has decided.
+/// Parses HTTP requests into operator requests, passes them on and sends the answers of the core.
 class AdminHttp
 {
 public:
@@ -26,12 +26,12 @@
     /// `metrics` must outlive the object.
     AdminHttp (Handlers handlers, http::Metrics& metrics);
 
-    /// Listens; returns the real address or fails with kConnectionFailed.
+    /// Starts to listen; returns the address with the real port or fails with kConnectionFailed.
     base::Result<base::SocketAddress> listen (const base::SocketAddress& address);
     void answer (const AnswerAdmin& answer);
-    /// Takes no new connections.
+    /// Accepts no new connections from now on.
     void stopListening();
-    /// Requests whose answer is not sent yet.
+    /// Number of requests whose answer has not been sent yet.
     [[nodiscard]] std::size_t openRequests() const;
 
 private:
--- a/src/controller/AdminRequests.cpp
+++ b/src/controller/AdminRequests.cpp
@@ -34,7 +34,7 @@
     if (! value.isString() || value.toString().isEmpty())
     {
         return base::fail (ErrorKind::kInvalidRequest,
-                           std::string ("'") + name + "' must be a text that is not empty");
+                           std::string ("'") + name + "' must be a non-empty string");
     }
     return value.toString().toStdString();
 }
@@ -86,7 +86,7 @@
     if (object.size() != 1)
     {
         return base::fail (ErrorKind::kInvalidRequest,
-                           "exactly one of 'add', 'promote' and 'remove' is allowed");
+                           "exactly one of 'add', 'promote' and 'remove' is expected");
     }
     if (object.contains (QLatin1String ("remove")))
     {
@@ -155,7 +155,7 @@
         return parseExplain (resource.substr (kExplainPrefix.size()));
     }
     if (resource == "drain")
-        return base::fail (ErrorKind::kMethodNotAllowed, "drain takes POST");
+        return base::fail (ErrorKind::kMethodNotAllowed, "drain accepts only POST");
     return base::fail (ErrorKind::kNotFound, "no such resource");
 }
 
@@ -171,7 +171,7 @@
         return parseRelease (request);
     if (resource == "status" || resource.starts_with (kExplainPrefix))
     {
-        return base::fail (ErrorKind::kMethodNotAllowed, "this resource takes GET");
+        return base::fail (ErrorKind::kMethodNotAllowed, "this resource accepts only GET");
     }
     return base::fail (ErrorKind::kNotFound, "no such resource");
 }
@@ -190,7 +190,7 @@
         return parseGet (resource);
     if (request.method == "POST")
         return parsePost (resource, request);
-    return base::fail (ErrorKind::kMethodNotAllowed, "only GET and POST are taken");
+    return base::fail (ErrorKind::kMethodNotAllowed, "only GET and POST are accepted");
 }
 
 }  // namespace fernlift::controller
--- a/src/controller/AdminRequests.h
+++ b/src/controller/AdminRequests.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Typed form of operators' HTTP requests.
+/// Parser of operators' HTTP requests.
 
 #include <string_view>
 
--- a/src/controller/CellFormation.cpp
+++ b/src/controller/CellFormation.cpp
@@ -9,7 +9,7 @@
 {
 
 constexpr std::uint64_t kPortBits = 16;
-/// Drawn identities lie above all that follow from an address, and within the range of settings.
+/// Drawn identities are above all that follow from an address and within the range of the setting.
 constexpr std::uint64_t kDrawnIdBase = 1ULL << 49U;
 constexpr std::uint64_t kDrawnIdRange = 1ULL << 49U;
 
--- a/src/controller/CellFormation.h
+++ b/src/controller/CellFormation.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// How a cell forms itself: which controllers found it, under which identity a controller starts,
-/// and how it asks to become a voter.
+/// Formation of a cell from seeds: which controllers found it, and with which identity and members
+/// a controller starts.
 
 #include <cstdint>
 #include <string>
@@ -15,8 +15,8 @@
 namespace fernlift::controller
 {
 
-/// Identity under which a seed founds the cell. It follows from the address, so that all seeds name
-/// the same first members without having met.
+/// Identity of a seed that founds the cell. It is derived from the address, so that all seeds agree
+/// on the first members without communication.
 [[nodiscard]] base::MemberId foundingId (const base::SocketAddress& seed);
 
 /// This controller as a member of the cell.
@@ -25,15 +25,15 @@
 /// Peer addresses of the seeds.
 [[nodiscard]] std::vector<base::SocketAddress> seedPeers (const ControllerSettings& settings);
 
-/// Fills in id, members and kind of start of a controller of a cell that forms itself. A folder
-/// with an identity keeps it. On an empty folder, a seed at the first start of the cell founds it;
-/// every other controller draws a new identity with `randomId` and joins, also at an address that
-/// had a member before: its votes are forgotten with its disk.
+/// Fills in id, members and kind of start of a controller whose cell forms itself from seeds. A
+/// folder with an identity keeps it. With an empty folder, a seed at the first start of the cell
+/// founds it; every other controller draws a new identity with `randomId` and joins. This holds
+/// also at the address of an earlier member, since the record of its votes was lost with its disk.
 [[nodiscard]] ControllerSettings withIdentity (const ControllerSettings& settings,
                                                const storage::Recovered& recovered,
                                                std::uint64_t randomId);
 
-/// The seeds as contacts to answer until the member set is known.
+/// The other seeds, as contacts to answer until the member set is known.
 [[nodiscard]] std::vector<consensus::Member> seedContacts (const ControllerSettings& settings);
 
 }  // namespace fernlift::controller
--- a/src/controller/CellJoiner.cpp
+++ b/src/controller/CellJoiner.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr base::milliseconds kAskInterval (250);
+constexpr base::milliseconds kRequestInterval (250);
 
 std::optional<cell::ControllerToRouter> decode (const wire::Frame& frame)
 {
@@ -35,15 +35,15 @@
 CellJoiner::CellJoiner (cell::MemberJoinRequest request, Handlers handlers)
     : m_request (std::move (request)), m_handlers (std::move (handlers))
 {
-    QObject::connect (&m_timer, &QTimer::timeout, &m_context, [this] { askIfDue(); });
+    QObject::connect (&m_timer, &QTimer::timeout, &m_context, [this] { requestIfDue(); });
 }
 
-void CellJoiner::start() { m_timer.start (kAskInterval); }
+void CellJoiner::start() { m_timer.start (kRequestInterval); }
 
-void CellJoiner::askIfDue()
+void CellJoiner::requestIfDue()
 {
     m_connection.reset();
-    if (! m_handlers.mustAsk())
+    if (! m_handlers.mustRequest())
     {
         m_leader = {};
         return;
--- a/src/controller/CellJoiner.h
+++ b/src/controller/CellJoiner.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Asks the leader of the cell to take this controller in, while it is not a voter that follows
-/// one.
+/// Requests to join the cell: sent to its leader while this controller is not a voter that follows
+/// a leader.
 
 #include <QObject>
 #include <QTimer>
@@ -18,18 +18,18 @@
 namespace fernlift::controller
 {
 
-/// Thin adapter: one connection at a time, to each known controller in turn or to the leader that
-/// one of them names.
+/// Opens one connection at a time, to each known controller in turn or to the leader that one of
+/// them names, and sends the join request on it. Runs on the thread of the Qt event loop.
 class CellJoiner
 {
 public:
     struct Handlers
     {
-        /// Whether this controller has to ask now.
-        std::function<bool()> mustAsk;
-        /// Controllers to ask, by peer address.
+        /// Whether this controller has to request to join now.
+        std::function<bool()> mustRequest;
+        /// Peer addresses of the controllers to send the request to.
         std::function<std::vector<base::SocketAddress>()> controllers;
-        /// The leader answered from this peer address.
+        /// Called when the leader answered at this peer address.
         std::function<void (const std::string& leaderAddress)> onLeaderFound;
     };
 
@@ -37,7 +37,7 @@
     void start();
 
 private:
-    void askIfDue();
+    void requestIfDue();
     void connectTo (const base::SocketAddress& address);
     void onFrame (const wire::Frame& frame);
     [[nodiscard]] base::SocketAddress nextAddress();
@@ -45,8 +45,8 @@
     cell::MemberJoinRequest m_request;
     Handlers m_handlers;
     std::size_t m_nextIndex = 0;
-    base::SocketAddress m_leader;   ///< As last named; without host: unknown.
-    base::SocketAddress m_current;  ///< At the other end of the connection.
+    base::SocketAddress m_leader;   ///< Leader as last named; no host: unknown.
+    base::SocketAddress m_current;  ///< Remote address of the connection.
     std::unique_ptr<wire::FrameConnection> m_connection;
     QObject m_context;
     QTimer m_timer;
--- a/src/controller/ConfigurationChange.cpp
+++ b/src/controller/ConfigurationChange.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Configurations kept, the one in force included: a router is seldom further behind.
+/// Number of configurations kept, including the one in force: routers are seldom further behind.
 constexpr std::size_t kKeptConfigurations = 6;
 
 cell::ConfigurationUpdate wholeUpdate (const cell::HeldConfiguration& present)
@@ -34,11 +34,12 @@
 
 }  // namespace
 
-void ConfigurationChange::note (const cell::ConfigurationIdentity& inForce, std::string_view text)
+void ConfigurationChange::setInForce (const cell::ConfigurationIdentity& inForce,
+                                      std::string_view text)
 {
-    const bool isTold = ! m_recent.empty() && m_recent.back().version == inForce.version
-                        && m_recent.back().digest == inForce.digest;
-    if (isTold)
+    const bool isKnown = ! m_recent.empty() && m_recent.back().version == inForce.version
+                         && m_recent.back().digest == inForce.digest;
+    if (isKnown)
         return;
     m_updates.clear();
     m_recent.push_back ({ inForce.version, inForce.digest, std::string (text) });
--- a/src/controller/ConfigurationChange.h
+++ b/src/controller/ConfigurationChange.h
@@ -1,12 +1,12 @@
 #pragma once
 
 /**
- * The configuration in force as it goes to routers: as a change to those that hold one of the last
- * few, whole to all others.
+ * Messages that bring routers to the configuration in force: a difference for routers that hold one
+ * of the last few configurations, the whole text for all others.
  *
- * Every member keeps the last few, whether it leads or not: all routers come to a new leader at the
- * same moment, and a whole configuration for each of them would take it longer than a change of the
- * configuration may take.
+ * Every member keeps the last few configurations, whether it leads or not. All routers connect to a
+ * new leader at the same time, and sending the whole text to each of them would take longer than a
+ * change of the configuration may take.
  */
 
 #include <cstdint>
@@ -26,21 +26,21 @@
 class ConfigurationChange
 {
 public:
-    /** Tells which configuration is in force. Does nothing when it is the one told last. */
-    void note (const cell::ConfigurationIdentity& inForce, std::string_view text);
+    /** Sets the configuration in force. Does nothing when it is in force already. */
+    void setInForce (const cell::ConfigurationIdentity& inForce, std::string_view text);
 
-    /** Whether a router that holds this configuration can be told a change of it. */
+    /** Whether a router that holds this configuration can be sent a difference to it. */
     [[nodiscard]] bool isKept (std::uint64_t version, std::string_view digest) const;
 
-    /** The update for routers that hold this version, one of those that are kept; 0 or any other:
-       whole. Worked out once for each version.
+    /** Update for routers that hold `version`: a difference when that version is kept, else (and
+       for 0) the whole text. Computed once for each version.
     */
     [[nodiscard]] const cell::ConfigurationUpdate& updateFrom (std::uint64_t version);
 
 private:
     std::deque<cell::HeldConfiguration> m_recent;  ///< Oldest first; the last one is in force.
     std::map<std::uint64_t, cell::ConfigurationUpdate>
-        m_updates;  ///< To the one in force, by base.
+        m_updates;  ///< Updates to the configuration in force, by base version.
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/ConfigurationLog.cpp
+++ b/src/controller/ConfigurationLog.cpp
@@ -6,7 +6,7 @@
 namespace fernlift::controller
 {
 
-void logNews (const ConfigurationNews& news)
+void logConfigurationEvent (const ConfigurationNews& news)
 {
     std::visit (
         base::Overloaded{
--- a/src/controller/ConfigurationLog.h
+++ b/src/controller/ConfigurationLog.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/** Log lines on the way of a configuration; see ConfigurationRollout. */
+/** Log lines about the rollout of a configuration; see ConfigurationRollout. */
 
 #include "controller/ConfigurationRollout.h"
 
@@ -8,6 +8,6 @@
 {
 
 /** Writes one line (events 3013 to 3016). */
-void logNews (const ConfigurationNews& news);
+void logConfigurationEvent (const ConfigurationNews& news);
 
 }  // namespace fernlift::controller
--- a/src/controller/ConfigurationRollout.cpp
+++ b/src/controller/ConfigurationRollout.cpp
@@ -5,9 +5,10 @@
 namespace
 {
 
-/// A healthy router confirms within tens of milliseconds; half of the shortest time in which the
-/// platforms known want a change in force (2 s) leaves an operator time to look.
-constexpr base::Duration kLateAfter = base::seconds (1);
+/// Time after which an open version is late. A healthy router confirms within tens of milliseconds;
+/// half of the shortest time that the known platforms allow for a change (2 s) leaves an operator
+/// time to react.
+constexpr base::Duration kLateThreshold = base::seconds (1);
 
 }  // namespace
 
@@ -36,14 +37,14 @@
     for (const Open& open : m_open)
     {
         const base::Duration age = now - open.committedAt;
-        if (age < kLateAfter || open.version <= m_toldLate)
+        if (age < kLateThreshold || open.version <= m_lastLate)
             continue;
         late.emplace();
         late->version = open.version;
         late->sinceCommit = age;
     }
     if (late)
-        m_toldLate = late->version;
+        m_lastLate = late->version;
     return late;
 }
 
--- a/src/controller/ConfigurationRollout.h
+++ b/src/controller/ConfigurationRollout.h
@@ -1,12 +1,12 @@
 #pragma once
 
 /**
- * The way of configurations from the commit to the routers, as one leader sees it.
+ * Rollout of configurations from the commit to the routers, as one leader sees it.
  *
  * A configuration is committed, sent to every router, and confirmed once no router may serve under
- * an earlier one. This class keeps the time of each step, so that logs and metrics can tell where a
- * change was held up. It leaves sending to ControllerRouters.cpp and who holds what to
- * RouterSessions.
+ * an earlier one. This class records the time of each step, so that logs and metrics show where a
+ * change was delayed. Sending is done in ControllerConfiguration.cpp; RouterSessions keeps the
+ * version that each router holds.
  */
 
 #include <cstdint>
@@ -22,7 +22,7 @@
 namespace fernlift::controller
 {
 
-/** A configuration was committed and goes to the routers that are connected. */
+/** A configuration was committed and is sent to the connected routers. */
 struct ConfigurationCommitted
 {
     std::uint64_t version = 0;
@@ -38,22 +38,22 @@
     base::Duration sinceCommit{};
 };
 
-/** A configuration is not confirmed although it should be by now. */
+/** A configuration was not confirmed in the expected time. */
 struct ConfigurationLate
 {
     std::uint64_t version = 0;
     std::size_t routers = 0;
-    std::size_t behind = 0;     ///< Of the connected routers.
-    std::string router;         ///< One of these; empty when only routers that left are waited for.
-    std::uint64_t holds = 0;    ///< What that router has in force.
-    std::uint64_t wasSent = 0;  ///< What it was sent last.
+    std::size_t behind = 0;     ///< Connected routers that have not confirmed it.
+    std::string router;         ///< One of these; empty when only disconnected routers are missing.
+    std::uint64_t holds = 0;    ///< Version that this router has in force.
+    std::uint64_t wasSent = 0;  ///< Version that it was last sent.
     base::Duration sinceCommit{};
 };
 
-/** The operator was answered. */
+/** The operator got an answer. */
 struct ConfigurationAnswered
 {
-    std::uint64_t version = 0;  ///< Of the file sent; 0 when it cannot be read.
+    std::uint64_t version = 0;  ///< Version in the operator's file; 0 when it cannot be parsed.
     std::string outcome;
     base::Duration sinceArrival{};
 };
@@ -61,19 +61,20 @@
 using ConfigurationNews = std::variant<ConfigurationCommitted, ConfigurationConfirmed,
                                        ConfigurationLate, ConfigurationAnswered>;
 
-/** Pure: time is passed in. Threading: none; owned by the Leadership of one ControllerCore. */
+/** Has no clock: time is passed in. Threading: none; owned by the Leadership of one ControllerCore.
+ */
 class ConfigurationRollout
 {
 public:
-    /** Notes a commit; lower versions than the last one are passed over. */
+    /** Records a commit; versions not above the last one are ignored. */
     void onCommitted (std::uint64_t version, base::TimePoint now);
 
-    /** Takes all versions up to `version` as confirmed. Returns the newest of them with the time
+    /** Marks all versions up to `version` as confirmed. Returns the newest of them with the time
        since its commit; nothing when none was open.
     */
     std::optional<ConfigurationConfirmed> onConfirmed (std::uint64_t version, base::TimePoint now);
 
-    /** The newest version that is open for long and was not told as late yet; each is told once. */
+    /** Returns the newest version that is late; nothing when it was returned before. */
     [[nodiscard]] std::optional<ConfigurationLate> takeLate (base::TimePoint now);
 
     [[nodiscard]] bool isOpen() const { return ! m_open.empty(); }
@@ -89,8 +90,8 @@
         base::TimePoint committedAt{};
     };
 
-    std::deque<Open> m_open;       ///< Rising versions, rising times.
-    std::uint64_t m_toldLate = 0;  ///< Version last told as late.
+    std::deque<Open> m_open;       ///< In ascending order of versions and times.
+    std::uint64_t m_lastLate = 0;  ///< Version last returned as late.
     base::Duration m_lastDuration{};
 };
 
--- a/src/controller/ControlCodec.h
+++ b/src/controller/ControlCodec.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Translation between the bytes of a control interface and its typed requests.
+/// Translation between the HTTP messages of a control interface and its typed requests.
 
 #include <memory>
 
@@ -12,7 +12,7 @@
 namespace fernlift::controller
 {
 
-/// One protocol of runners and operators. Stateless.
+/// A protocol of runners and operators. Stateless.
 class ControlCodec
 {
 public:
@@ -24,7 +24,7 @@
     /// Fails with kNotFound, kMethodNotAllowed or kInvalidRequest.
     [[nodiscard]] virtual base::Result<ControlRequest> parse (
         const http::Request& request) const = 0;
-    /// The answer to `request`, which parse() has taken.
+    /// The HTTP response to `request`, which parse() has accepted.
     [[nodiscard]] virtual http::Response format (const http::Request& request,
                                                  const ControlAnswer& answer) const = 0;
 };
--- a/src/controller/ControlHttp.h
+++ b/src/controller/ControlHttp.h
@@ -17,24 +17,24 @@
 public:
     using Handler = std::function<void (ControlTicket ticket, const ControlRequest& request)>;
 
-    /// Told of a call that could not be read: its path and why.
+    /// Called for a request that could not be parsed, with its path and the reason.
     using Unreadable = std::function<void (std::string_view path, std::string_view reason)>;
 
     ControlHttp (std::shared_ptr<const ControlCodec> codec, Handler handler,
                  Unreadable onUnreadable);
 
-    /// Listens; returns the real address or fails with kConnectionFailed.
+    /// Starts to listen; returns the address with the real port or fails with kConnectionFailed.
     base::Result<base::SocketAddress> listen (const base::SocketAddress& address);
     void answer (ControlTicket ticket, const ControlAnswer& answer);
-    /// Takes no new connections.
+    /// Accepts no new connections from now on.
     void stopListening();
-    /// Requests whose answer is not sent yet.
+    /// Number of requests whose answer has not been sent yet.
     [[nodiscard]] std::size_t openRequests() const;
 
 private:
     struct Pending
     {
-        http::Request request;  ///< Without its body.
+        http::Request request;  ///< The request without its body.
         std::shared_ptr<http::Responder> responder;
     };
 
--- a/src/controller/ControlRequests.h
+++ b/src/controller/ControlRequests.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Requests of registered runners and of the operator of services, and their answers. How they look
-/// on the wire is the business of a ControlCodec.
+/// Requests of registered runners and of the operator of services, and their answers. A
+/// ControlCodec defines their form on the wire.
 
 #include <cstdint>
 #include <string>
@@ -18,21 +18,22 @@
 /// Identifies one pending request of the control interface; the adapter numbers them.
 using ControlTicket = std::uint64_t;
 
-/// A runner tells that it lives. `instance.isDraining`: it will leave and wants no new requests.
+/// Periodic message of a live runner. When `instance.isDraining` is set, the runner will leave and
+/// is to be sent no new requests.
 struct InstanceHeartbeat
 {
     cell::ServiceInstance instance;
-    std::uint64_t sequence = 0;  ///< Rises with each heartbeat of one incarnation of the instance.
+    std::uint64_t sequence = 0;  ///< Increases with each heartbeat of an incarnation.
     std::vector<cell::HeldModel> models;
-    std::vector<std::string> inMemory;  ///< Models it can load from its host memory.
-    std::vector<std::string> onDisk;    ///< Models it can load from its own disk.
+    std::vector<std::string> inMemory;  ///< Models that it can load from its host memory.
+    std::vector<std::string> onDisk;    ///< Models that it can load from its own disk.
 };
 
-/// A runner tells that it ends.
+/// Message of a runner that ends.
 struct InstanceDeregistration
 {
     std::string instance;
-    base::UnixMilliseconds startedAt = 0;  ///< Of the incarnation; 0: it does not tell.
+    base::UnixMilliseconds startedAt = 0;  ///< Start time of the incarnation; 0: unknown.
 };
 
 /// The operator replaces the configuration as a whole.
@@ -52,9 +53,9 @@
 enum class ControlVerdict : std::uint8_t
 {
     kDone,
-    kInvalid,      ///< The request cannot be carried out as it stands.
-    kNotLeader,    ///< Another controller decides; its address may be known.
-    kUnavailable,  ///< Nobody can decide now; send again.
+    kInvalid,      ///< The content of the request is invalid.
+    kNotLeader,    ///< Another controller leads; its address may be known.
+    kUnavailable,  ///< No controller can decide now; the request is to be repeated.
 };
 
 /// For logs, for example "not_leader".
@@ -79,7 +80,7 @@
     ControlVerdict verdict = ControlVerdict::kDone;
     std::string
         leaderAddress;  ///< "ip:port" of the leader's control interface; empty when unknown.
-    std::string text;   ///< The configuration read, or what is invalid.
+    std::string text;   ///< The configuration that was read, or the problems of an invalid one.
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/ControlRequestsTest.cpp
+++ b/src/controller/ControlRequestsTest.cpp
@@ -321,9 +321,9 @@
     m_cell.run (base::seconds (3));
     InstanceHeartbeat draining = heartbeatOf ("i-1", 2);
     draining.instance.isDraining = true;
-    const base::TimePoint askedAt = m_cell.now();
+    const base::TimePoint requestedAt = m_cell.now();
     EXPECT_EQ (ask (draining), ControlVerdict::kDone);
-    EXPECT_LT (m_cell.now() - askedAt, base::milliseconds (100));
+    EXPECT_LT (m_cell.now() - requestedAt, base::milliseconds (100));
 }
 
 TEST_F (ControlRequestsTest, AnInstanceTakesThePlaceOfTheOneThatWasAtItsAddress)
@@ -416,13 +416,13 @@
     m_cell.engineReports["i-1"].models = { { "m1", 1, {} } };
     ask (heartbeatOf ("i-1", 2));
     std::uint64_t sequence = 3;
-    base::TimePoint askedAt = m_cell.now();
+    base::TimePoint requestedAt = m_cell.now();
     ASSERT_TRUE (m_cell.runUntil (
         [&]
         {
-            if (m_cell.now() - askedAt >= base::milliseconds (500))
+            if (m_cell.now() - requestedAt >= base::milliseconds (500))
             {
-                askedAt = m_cell.now();
+                requestedAt = m_cell.now();
                 const base::MemberId leader = m_cell.leader();
                 m_cell.core (leader).onControl (0, heartbeatOf ("i-1", sequence++));
                 demand ("m3");
--- a/src/controller/ControllerAdmin.cpp
+++ b/src/controller/ControllerAdmin.cpp
@@ -1,4 +1,4 @@
-// Requests of operators.
+// Requests of operators on the administration interface.
 
 #include <algorithm>
 #include <utility>
@@ -78,7 +78,7 @@
     if (isKnown)
     {
         answer (ticket, errorAnswer ({ base::ErrorKind::kMembershipChangeRefused,
-                                       "a member with this id is present already" }));
+                                       "a member with this id exists already" }));
         return;
     }
     members.members.push_back (request.member);
@@ -122,11 +122,11 @@
         {
             if (members == m_raft.members())
             {
-                // An equal change may not be committed yet: an answer now could be untrue later.
+                // The same change may not be committed yet, so an answer now could prove wrong.
                 if (! holdsLease() || isMembersChangePending())
                 {
                     return base::fail (base::ErrorKind::kMembershipChangeRefused,
-                                       "this change is in progress; send again");
+                                       "this change is in progress; repeat the request");
                 }
                 answer (ticket, doneAnswer());
                 return {};
@@ -167,18 +167,18 @@
     m_effects.emplace_back (AnswerAdmin{ ticket, answer.httpStatus, std::move (answer.json) });
 }
 
-void ControllerCore::Implementation::answerInForceWaits()
+void ControllerCore::Implementation::answerPendingApplies()
 {
-    if (m_leader->inForceWaits.empty())
+    if (m_leader->pendingApplies.empty())
         return;
     const cell::ConfigurationIdentity& inForce = m_state.configuration().identity();
     const bool isEverywhere =
         holdsLease() && m_leader->sessions.isInForceEverywhere (inForce, m_leader->since, m_now);
-    std::erase_if (m_leader->inForceWaits,
-                   [&] (const InForceWait& wait)
+    std::erase_if (m_leader->pendingApplies,
+                   [&] (const PendingApply& wait)
                    {
-                       // A later configuration that is in force everywhere has replaced this one
-                       // everywhere too.
+                       // When a later configuration is in force everywhere, this one has been
+                       // replaced everywhere too.
                        if (! isEverywhere && m_now < wait.deadline)
                            return false;
                        answer (wait.ticket, configurationAnswer (wait.result, isEverywhere));
--- a/src/controller/ControllerConfiguration.cpp
+++ b/src/controller/ControllerConfiguration.cpp
@@ -1,6 +1,6 @@
 /**
- * The way of an operator's configuration at the leader: from the call over the commit and the
- * routers to the answer. A change is answered once no router serves under an earlier one; see
+ * Configuration changes of an operator at the leader: validation, proposal, rollout to the routers
+ * and the answer. A change is answered once no router serves under an earlier configuration; see
  * docs/design/configuration.md.
  */
 
@@ -14,7 +14,8 @@
 namespace
 {
 
-/// Routers that need a configuration at nearly the same time get one message, encoded once.
+/// Interval of configuration messages: routers that need a configuration within it get one message,
+/// which is encoded once.
 constexpr base::Duration kConfigurationInterval = base::milliseconds (10);
 
 }  // namespace
@@ -26,7 +27,7 @@
     std::string digest = base::sha256Hex (request.text);
     if (digest == inForce.digest)
     {
-        // Sent again: it is committed, and may not be in force everywhere yet.
+        // The change was sent again: it is committed, but may not be in force everywhere yet.
         awaitRollout ({ ticket, inForce.version, m_now });
         return;
     }
@@ -66,9 +67,10 @@
     }
 }
 
-void ControllerCore::Implementation::noteConfiguration (const cell::ConfigurationResult& result)
+void ControllerCore::Implementation::onConfigurationApplied (
+    const cell::ConfigurationResult& result)
 {
-    keepConfiguration();
+    cacheConfiguration();
     if (! m_leader || result.outcome != cell::ConfigurationOutcome::kAccepted)
         return;
     m_leader->rollout.onCommitted (result.inForce.version, m_now);
@@ -76,11 +78,11 @@
                                                     m_leader->sessions.sessions().size() });
 }
 
-void ControllerCore::Implementation::keepConfiguration()
+void ControllerCore::Implementation::cacheConfiguration()
 {
     const cell::ConfigurationState& configuration = m_state.configuration();
     if (configuration.identity().version != 0)
-        m_configurationChange.note (configuration.identity(), configuration.text());
+        m_configurationChange.setInForce (configuration.identity(), configuration.text());
 }
 
 void ControllerCore::Implementation::finish (const ForConfiguration& purpose,
@@ -91,20 +93,21 @@
     if (outcome.outcome == cell::ConfigurationOutcome::kInvalid)
     {
         answerConfiguration (
-            purpose, { ControlVerdict::kInvalid, "", "the version or the text does not hold" });
+            purpose, { ControlVerdict::kInvalid, "", "the version or the text is invalid" });
         return;
     }
-    // The highest version prevails: a lower or equal one is acknowledged and changes nothing.
-    // Either way the answer says that nothing earlier than what is in force now is served from any
-    // more.
+    // The highest version prevails: a lower or equal one is acknowledged without effect. In both
+    // cases the answer means that no router serves under a configuration earlier than the one in
+    // force now.
     awaitRollout (purpose);
 }
 
 void ControllerCore::Implementation::awaitRollout (const ForConfiguration& purpose)
 {
-    m_leader->configurationWaits.push_back ({ purpose,
-                                              m_state.configuration().identity().version,
-                                              { ControlVerdict::kDone, ownAdminAddress(), "" } });
+    m_leader->pendingConfigurations.push_back (
+        { purpose,
+          m_state.configuration().identity().version,
+          { ControlVerdict::kDone, ownAdminAddress(), "" } });
 }
 
 void ControllerCore::Implementation::answerConfiguration (const ForConfiguration& purpose,
@@ -129,7 +132,7 @@
     const cell::ConfigurationIdentity& inForce = m_state.configuration().identity();
     if (inForce.version == 0)
         return;
-    // It may have come into force by an entry of an earlier leader.
+    // The configuration may have come into force by an entry of an earlier leader.
     if (std::exchange (announcedVersion, inForce.version) != inForce.version)
         pacing.request();
     if (! pacing.takeDue (m_now, kConfigurationInterval))
@@ -139,10 +142,10 @@
     {
         if (! sessions.needsConfiguration (session, inForce, m_now))
             continue;
-        const bool isChange = ! std::exchange (session.needsWholeConfiguration, false)
-                              && m_configurationChange.isKept (session.configurationVersion,
-                                                               session.configurationDigest);
-        behind[isChange ? session.configurationVersion : 0].push_back (connection);
+        const bool isDelta = ! std::exchange (session.needsWholeConfiguration, false)
+                             && m_configurationChange.isKept (session.configurationVersion,
+                                                              session.configurationDigest);
+        behind[isDelta ? session.configurationVersion : 0].push_back (connection);
         session.sentVersion = inForce.version;
         session.configurationSentAt = m_now;
     }
@@ -153,20 +156,20 @@
     }
 }
 
-void ControllerCore::Implementation::followRollout()
+void ControllerCore::Implementation::trackRollout()
 {
     ConfigurationRollout& rollout = m_leader->rollout;
-    if (! rollout.isOpen() && m_leader->configurationWaits.empty())
+    if (! rollout.isOpen() && m_leader->pendingConfigurations.empty())
         return;
     const RouterSessions& sessions = m_leader->sessions;
     const std::uint64_t confirmed = sessions.confirmedVersion (
         m_state.configuration().identity().version, m_leader->since, m_now);
-    if (auto news = rollout.onConfirmed (confirmed, m_now))
+    if (auto confirmation = rollout.onConfirmed (confirmed, m_now))
     {
-        news->routers = sessions.sessions().size();
-        m_effects.emplace_back (*news);
+        confirmation->routers = sessions.sessions().size();
+        m_effects.emplace_back (*confirmation);
     }
-    answerConfigurationWaits (confirmed);
+    answerPendingConfigurations (confirmed);
     if (auto late = rollout.takeLate (m_now))
     {
         sessions.describeBehind (*late);
@@ -174,10 +177,10 @@
     }
 }
 
-void ControllerCore::Implementation::answerConfigurationWaits (std::uint64_t confirmedVersion)
+void ControllerCore::Implementation::answerPendingConfigurations (std::uint64_t confirmedVersion)
 {
-    std::erase_if (m_leader->configurationWaits,
-                   [&] (ConfigurationWait& wait)
+    std::erase_if (m_leader->pendingConfigurations,
+                   [&] (PendingConfiguration& wait)
                    {
                        if (wait.version > confirmedVersion)
                            return false;
--- a/src/controller/ControllerCore.cpp
+++ b/src/controller/ControllerCore.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-/// A planned stop waits at most this long for another member to take over.
+/// Longest time that a planned stop waits for another member to take over the leadership.
 constexpr base::Duration kStopTimeout = base::seconds (3);
-/// A new leader moves the cell's time forward by at most this, in milliseconds.
+/// A new leader moves the cell's time forward by at most this many milliseconds.
 constexpr base::UnixMilliseconds kLargestTimeJump = 10'000;
 
 std::optional<cell::Command> decodeCommand (const std::string& bytes)
@@ -28,8 +28,8 @@
         [] (const base::Error&) { return std::optional<cell::Command>(); });
 }
 
-/// What a restarted member reads to apply the entry again: entries with an operator's file are kept
-/// compressed, but it is the whole file that takes time to read.
+/// Bytes that a restarted member processes to apply the entry again. Entries with an operator's
+/// file are stored compressed, but the time to parse them depends on the uncompressed size.
 std::size_t replayBytes (const consensus::Entry& entry, const cell::Command& command)
 {
     const auto* apply = std::get_if<cell::ApplyConfiguration> (&command);
@@ -65,7 +65,7 @@
 {
     m_raft.tick (m_now);
     drain();
-    takeTenants();
+    applyTenants();
     runRelay();
     if (! m_leader)
         return;
@@ -109,11 +109,11 @@
         sendConfigurationIfDue();
         if (holdsLease())
             sendSuspectsTo (m_leader->sessions);
-        followRollout();
+        trackRollout();
         placeOnEngines();
         sendInstancesIfDue();
-        answerLeavingWaits();
-        answerInForceWaits();
+        answerPendingLeaves();
+        answerPendingApplies();
     } while (takeRaftOutput());
     updateLeadership();
     compactIfDue();
@@ -138,7 +138,7 @@
             [&]() -> base::Result<bool>
             {
                 BOOST_LEAF_CHECK (m_state.restore (output.installedSnapshot->data));
-                keepConfiguration();
+                cacheConfiguration();
                 return true;
             },
             [] (const base::Error&) { return false; });
@@ -166,9 +166,9 @@
     sendToUnknownMember (message);
 }
 
-/// A member that missed a change of the members does not know a leader that came with it, and must
-/// answer it to catch up. The leader may be at the address of the member it replaced; all others
-/// drop what is not for them.
+/// A member that missed a membership change may not know the leader that the change added, and must
+/// answer it to catch up. The leader may use the address of the member that it replaced, so the
+/// message goes to all known addresses; the other members drop what is not addressed to them.
 void ControllerCore::Implementation::sendToUnknownMember (const consensus::Message& message)
 {
     std::set<std::string> addresses;
@@ -201,20 +201,20 @@
     m_snapshots.onEntry (command ? replayBytes (entry, *command) : entry.data.size());
     if (! command)
     {
-        // A synced and agreed entry that this program cannot read: go no further.
+        // A committed entry that this program cannot decode: stop rather than skip it.
         m_raft.onStorageFailed();
         return;
     }
     const cell::ApplyResult result = m_state.apply (entry.index, *command);
     if (const auto* outcome = std::get_if<cell::ConfigurationResult> (&result))
-        noteConfiguration (*outcome);
+        onConfigurationApplied (*outcome);
     if (const auto* note = std::get_if<cell::NoteOrders> (&*command))
         m_orderNotes.onNote (*note, m_now);
     if (! m_leader)
         return;
-    noteAgreedInstances (*command);
+    recordAppliedInstances (*command);
     if (const auto* note = std::get_if<cell::NoteSuspects> (&*command))
-        noteSuspects (*note);
+        onSuspectsApplied (*note);
     const bool isAboutClaims = std::holds_alternative<cell::ClaimKeys> (*command)
                                || std::holds_alternative<cell::RecordOutcomes> (*command);
     if (! isAboutClaims)
@@ -225,19 +225,19 @@
 void ControllerCore::Implementation::updateLeadership()
 {
     m_status = m_raft.summary();
-    const bool isLeaderNews = m_status.leader != m_toldLeader;
+    const bool isLeaderChanged = m_status.leader != m_announcedLeader;
     const bool isLeader = m_status.role == consensus::Role::kLeader;
     if (m_leader && (! isLeader || m_leader->term != m_status.term))
         endLeadership();
     if (! m_leader && isLeader && holdsLease())
         beginLeadership();
-    // A leader is worth calling once it may answer.
-    const bool mayBeCalled = ! isLeader || m_leader.has_value();
-    if (! isLeaderNews || ! mayBeCalled)
+    // The address of a new leader is announced only once the leader may answer.
+    const bool mayBeAnnounced = ! isLeader || m_leader.has_value();
+    if (! isLeaderChanged || ! mayBeAnnounced)
         return;
-    m_toldLeader = m_status.leader;
-    if (m_toldLeader != 0)
-        tellWatchers();
+    m_announcedLeader = m_status.leader;
+    if (m_announcedLeader != 0)
+        notifyWatchers();
 }
 
 void ControllerCore::Implementation::beginLeadership()
@@ -253,10 +253,10 @@
     m_leader->instances.refresh (m_state.instances(), m_now);
     m_leader->requiredInstanceVersion = m_leader->instances.version();
     m_leader->placedInstances = m_leader->instances.version();
-    keepEarlierSpeeds (earlierLoads);
+    restoreSpeeds (earlierLoads);
     m_leader->rates.begin (earlierRates.limited, m_now);
     m_leader->unixSince = std::max (m_unixNow, m_state.time());
-    // Claims expire by the cell's time: a wall clock that stepped must not let them go early.
+    // Claims expire by the cell's time: a step of the wall clock must not expire them early.
     if (m_state.time() != 0)
     {
         m_leader->unixSince = std::min (m_leader->unixSince, m_state.time() + kLargestTimeJump);
@@ -290,19 +290,20 @@
         if (ticket == 0)
             continue;
         answer (ticket,
-                errorAnswer ({ base::ErrorKind::kNoQuorum,
-                               "leadership was lost before the outcome was known; send again" }));
+                errorAnswer (
+                    { base::ErrorKind::kNoQuorum,
+                      "leadership was lost before the outcome was known; repeat the request" }));
     }
-    for (const InForceWait& wait : m_leader->inForceWaits)
+    for (const PendingApply& wait : m_leader->pendingApplies)
     {
         answer (wait.ticket, configurationAnswer (wait.result, false));
     }
-    for (const auto& [leaving, wait] : m_leader->leavingWaits)
+    for (const auto& [leaving, wait] : m_leader->pendingLeaves)
     {
         for (const ControlTicket ticket : wait.tickets)
             answerControl (ticket, { ControlVerdict::kUnavailable, "", "" });
     }
-    for (const ConfigurationWait& wait : m_leader->configurationWaits)
+    for (const PendingConfiguration& wait : m_leader->pendingConfigurations)
         answerConfiguration (wait.purpose, { ControlVerdict::kUnavailable, "", "" });
     for (const auto& [connection, session] : m_leader->sessions.sessions())
     {
@@ -368,7 +369,7 @@
     return effects;
 }
 
-// The public face.
+// Public interface: forwards to the implementation.
 
 ControllerCore::ControllerCore (base::MemberId self, ControllerOptions options,
                                 consensus::RecoveredState recovered, std::uint64_t randomSeed,
--- a/src/controller/ControllerCore.h
+++ b/src/controller/ControllerCore.h
@@ -1,7 +1,9 @@
 #pragma once
 
-/// One controller as a pure state machine: consensus, the cell's state machine, placement and the
-/// watch over runners and routers. The Qt adapter and the simulator run the same code.
+/// One controller as a pure state machine: consensus, the replicated state of the cell, placement
+/// and the supervision of runners and routers. Input arrives by function calls, output leaves as
+/// effects; sockets, disk and clocks belong to the caller. ControllerProcess and the simulator run
+/// this code.
 
 #include <cstdint>
 #include <memory>
@@ -35,37 +37,38 @@
     base::CellId cell;
     consensus::RaftOptions raft;
     base::Duration routerLease = base::milliseconds (2000);
-    quota::QuotaTolerance quotaTolerance;  ///< Of the limits of tenants.
+    quota::QuotaTolerance quotaTolerance;  ///< Tolerance of the limits of tenants.
     base::Duration reportInterval = base::milliseconds (250);
     base::Duration machineListInterval = base::milliseconds (1000);
     base::Duration orderTimeout = base::milliseconds (2000);
-    /// Longest idle time before a replica is dropped; the operator's prices may make it shorter.
+    /// Longest idle time before a replica is unloaded; the operator's prices may shorten it.
     base::Duration keepAlive = base::seconds (3600);
     std::size_t entriesBetweenSnapshots = 4096;
     base::Duration claimWindow = base::seconds (600);
-    /// Above this many routers times rows, all routers get one replica table with shares in powers
-    /// of two; below, each gets its exact share of the slots.
+    /// Limit on the number of routers times table rows. Above it, all routers get the same replica
+    /// table with shares in powers of two; below it, each router gets its exact share of the slots.
     std::size_t exactShareLimit = 4096;
-    /// Addresses of members that are answered while the member set does not name them: a member
-    /// that joins learns the set only from the leader that it must answer.
+    /// Members that are answered although the member set does not contain them: a member that joins
+    /// receives the set only from the leader that it must answer.
     std::vector<consensus::Member> contacts;
-    /// Reads the operator's file.
+    /// Parses the operator's configuration file.
     cell::CatalogueParser catalogueParser = &config::parseCatalogue;
-    /// Whether the platform has a machine list to ask.
+    /// Whether the platform offers a machine list.
     bool hasMachineList = true;
-    /// Whether members that ask to join are taken in, and lost ones are replaced, without an
-    /// operator.
+    /// Whether controllers that request to join become members, and lost members are replaced,
+    /// without an operator.
     bool managesMembers = false;
-    /// Time between the orders of two leaders to registered engines.
+    /// Minimum time between the orders of two successive leaders to registered engines.
     base::Duration orderPause = base::milliseconds (3000);
-    /// Silence after which a registered runner is told as silent to routers.
-    /// Models of which no registered engine has a copy are loaded before anybody asks for them.
+    /// Whether models of which no registered engine has a copy are loaded before they are
+    /// requested.
     bool fetchesAhead = true;
+    /// Time without heartbeats after which routers are sent a registered runner as silent.
     base::Duration instanceSilence = base::milliseconds (3500);
-    /// Clock by which work is measured that may take no more than a share of the time; without one
-    /// it is paced as if it took none.
+    /// Clock that measures work limited to a share of the processor time. Without one, the work is
+    /// paced as if it took no time.
     std::function<base::TimePoint()> workClock{};
-    cell::PlantedFault plantedFault = cell::PlantedFault::kNone;  ///< For tests only.
+    cell::PlantedFault plantedFault = cell::PlantedFault::kNone;  ///< Fault injected by tests.
 };
 
 // Requests of operators.
@@ -73,7 +76,7 @@
 struct AdminApply
 {
     std::string text;
-    bool waitInForce = false;  ///< Answer only once every live router has it in force.
+    bool waitInForce = false;  ///< Answer only once it is in force at every live router.
     base::Duration timeout{};
 };
 struct AdminStatus
@@ -91,7 +94,7 @@
 {
     consensus::Member member;
 };
-/// Makes a learner that has caught up a voter. The core may also do so by itself.
+/// Makes a learner that has caught up a voter. The core may also do so without a request.
 struct AdminPromoteMember
 {
     base::MemberId id = 0;
@@ -105,19 +108,19 @@
     base::RunnerId runner;
     bool isDraining = true;
 };
-/// Reads which requests are suspects or in quarantine.
+/// Lists the requests that are suspects or in quarantine.
 struct AdminQuarantine
 {
 };
 struct AdminRelease
 {
-    std::string digest;  ///< Empty: all.
+    std::string digest;  ///< Fingerprint of the request; empty: all.
 };
 using AdminRequest =
     std::variant<AdminApply, AdminStatus, AdminExplain, AdminMembers, AdminAddMember,
                  AdminPromoteMember, AdminRemoveMember, AdminDrain, AdminQuarantine, AdminRelease>;
 
-// Effects the adapter carries out.
+// Effects that the adapter carries out.
 
 /// Write to storage; then call onPersisted(sequence).
 struct PersistEffect
@@ -129,13 +132,13 @@
     consensus::Message message;
     std::string address;  ///< "ip:port" of the receiver.
 };
-/// Open a connection to the leader, in place of any earlier one, on which this member acts for its
-/// routers; then call onLeaderConnected(), and onLeaderLost() when it closes.
+/// Open a connection to the leader, in place of any earlier one, on which this member acts on
+/// behalf of its routers; then call onLeaderConnected(), and onLeaderLost() when it closes.
 struct ConnectToLeader
 {
-    std::string address;  ///< "ip:port" for members.
+    std::string address;  ///< "ip:port" of the leader's peer port.
 };
-/// Send to the leader on that connection.
+/// Send to the leader on the connection that ConnectToLeader opened.
 struct SendToLeader
 {
     cell::RouterToController message;
@@ -182,13 +185,13 @@
     ControlAnswer answer;
 };
 
-/// A runner ended under a request that is passed on to no other from now on.
+/// A request at which runners crashed was put into quarantine: it is sent to no other runner.
 struct RequestQuarantined
 {
     cell::Suspect suspect;
 };
 
-/// A message in a runner's name that no proper runner of this cell can have sent. It was dropped.
+/// A message in a runner's name that no valid runner of this cell can have sent. It was dropped.
 struct RunnerMessageUnusable
 {
     std::string instance;
@@ -201,15 +204,15 @@
                             placement::PollEngine, placement::EngineOrderDone, ConfigurationNews,
                             RequestQuarantined, RunnerMessageUnusable>;
 
-/// A member that does not lead, as it serves routers on behalf of the leader.
+/// Status of a member that does not lead and serves routers on behalf of the leader.
 struct RelayStatus
 {
     bool mayServe =
-        false;  ///< It has a lease of the leader to pass on. Always false at the leader.
+        false;  ///< It holds a lease of the leader that it may pass on. Always false at the leader.
     std::uint32_t routers = 0;
-    std::uint64_t configuration = 0;    ///< Applied here.
-    std::uint64_t instanceVersion = 0;  ///< Table of instances held.
-    base::Term term = 0;                ///< Of the leader that granted the last lease.
+    std::uint64_t configuration = 0;    ///< Version of the configuration applied here.
+    std::uint64_t instanceVersion = 0;  ///< Version of the instance table held.
+    base::Term term = 0;                ///< Term of the leader that granted the last lease.
 };
 
 /// The state machine. Single-threaded; every call may produce effects, taken by takeEffects().
@@ -223,7 +226,7 @@
     ControllerCore (ControllerCore&&) noexcept;
     ControllerCore& operator= (ControllerCore&&) noexcept;
 
-    /// Time for this and the following calls. Call before every other input.
+    /// Sets the time for the calls that follow. Call before every other input.
     void setTime (base::TimePoint now, base::UnixMilliseconds unixNow);
 
     /// Advances timers; call at least every 10 ms.
@@ -235,7 +238,7 @@
     void onRouterMessage (RouterConnection connection, const cell::RouterToController& message);
     void onRouterGone (RouterConnection connection);
 
-    /// The connection that ConnectToLeader asked for stands, is gone, or brought a message.
+    /// The connection that ConnectToLeader requested was opened, was closed, or received a message.
     void onLeaderConnected();
     void onLeaderLost();
     void onLeaderMessage (const cell::ControllerToRouter& message);
@@ -252,25 +255,25 @@
     void onAdmin (AdminTicket ticket, const AdminRequest& request);
     void onControl (ControlTicket ticket, const ControlRequest& request);
 
-    /// Answers of registered engines. `report` is null when there is none.
+    /// Answers of registered engines. `report` is null when the poll failed.
     void onEngineOrderAnswer (const engine::ServiceOrder& order, engine::OrderOutcome outcome);
     void onEngineReport (const std::string& instance, const engine::ServiceReport* report);
 
-    /// An address at which members are answered that the member set does not name.
+    /// Adds an address at which members are answered although the member set does not contain them.
     void addContact (const std::string& peerAddress);
 
-    /// Begins a planned stop: hands leadership over. Done when isStopped().
+    /// Begins a planned stop: transfers leadership. The stop is complete when isStopped().
     void beginStop();
     [[nodiscard]] bool isStopped() const;
 
     [[nodiscard]] std::vector<Effect> takeEffects();
     [[nodiscard]] consensus::RaftStatus raftStatus() const;
     [[nodiscard]] consensus::RaftSummary raftSummary() const;
-    /// Whether this controller leads and holds the leader's lease at the time set last.
+    /// Whether this controller leads and holds the leader's lease at the time last set.
     [[nodiscard]] bool holdsLease() const;
     /// The replicated state as applied so far.
     [[nodiscard]] const cell::CellState& state() const;
-    /// Text of /metrics that only the core knows.
+    /// Metrics of the core, as text of /metrics.
     [[nodiscard]] std::string metricsText() const;
 
 private:
--- a/src/controller/ControllerCoreTest.cpp
+++ b/src/controller/ControllerCoreTest.cpp
@@ -115,12 +115,12 @@
     TestCell cell (options);
     ASSERT_TRUE (cell.awaitLeader());
     ASSERT_EQ (cell.apply (testCatalogue (1), true), kOk);
-    const base::TimePoint askedAt = cell.now();
+    const base::TimePoint requestedAt = cell.now();
     for (std::size_t router = 0; router < options.routers; ++router)
         cell.setDemand (router, "b", 3);
     ASSERT_TRUE (cell.runUntil ([&] { return cell.held ("b") == 1; }, base::seconds (5)));
     // Simulated time: a few network and disk delays of 1 ms, in steps of 5 ms.
-    EXPECT_LE (base::toMilliseconds (cell.now() - askedAt), 15);
+    EXPECT_LE (base::toMilliseconds (cell.now() - requestedAt), 15);
     EXPECT_EQ (cell.ordersDelivered, 1U);
     std::size_t knowing = 0;
     ASSERT_TRUE (cell.runUntil (
--- a/src/controller/ControllerEngines.cpp
+++ b/src/controller/ControllerEngines.cpp
@@ -10,24 +10,24 @@
 namespace
 {
 
-/// An order leaves within this time after it was decided, or not at all; a new leader adds it to
-/// the pause.
+/// Time after its decision within which an order is sent, or else dropped. A new leader adds it to
+/// the time it waits before it sends orders.
 constexpr base::Duration kLongestOrderDelay = base::milliseconds (400);
 
 constexpr std::size_t kUnknownStoreLoads = 8;
 
-/// A round of placement goes over the models in use and their holders. In a small cell it runs no
-/// more often than this for each engine.
+/// Minimum interval between placement rounds for each engine, in small cells. A round covers the
+/// models in use and their holders.
 constexpr base::Duration kPlacementIntervalForEngine = std::chrono::microseconds (400);
-/// In a large cell rounds begin this long after each other, or later where they would take more
-/// than one in so many parts of the leader's time.
-constexpr base::Duration kUsualPlacementInterval = base::milliseconds (100);
+/// Minimum interval between placement rounds in large cells. It is longer where rounds would
+/// otherwise take more than one part in kPartsOfTimeForPlacement of the leader's time.
+constexpr base::Duration kNominalPlacementInterval = base::milliseconds (100);
 constexpr int kPartsOfTimeForPlacement = 10;
-/// Instances that placement takes over at a time, when many have changed or it has to take all: the
-/// leader's event loop is free in between.
+/// Instances passed to placement in one portion, when many have changed or all are passed: the
+/// leader's event loop runs in between.
 constexpr std::size_t kMostInstancesAtOnce = 1000;
 constexpr base::Duration kMissingInstancesInterval = base::milliseconds (20);
-/// What waits is looked at this often at most, in cells of any size.
+/// Minimum interval between placements of models that requests wait for, in cells of any size.
 constexpr base::Duration kUrgentPlacementInterval = base::milliseconds (10);
 
 }  // namespace
@@ -37,9 +37,9 @@
     const config::Catalogue* catalogue = m_state.configuration().catalogue();
     if (catalogue == nullptr)
         return;
-    const bool isNews =
+    const bool isChanged =
         std::exchange (m_leader->placedConfiguration, catalogue->version) != catalogue->version;
-    if (isNews)
+    if (isChanged)
     {
         m_leader->engines.setServices (catalogue->version, catalogue->services.services);
         m_leader->firstUnplaced = "";
@@ -83,7 +83,7 @@
         m_leader->firstUnplaced = row->first;
 }
 
-void ControllerCore::Implementation::publishHoldings (bool isSweep)
+void ControllerCore::Implementation::publishHeldModels (bool isSweep)
 {
     bool isChanged = false;
     const auto& rows = m_leader->instances.rows();
@@ -91,25 +91,25 @@
     {
         const auto row = rows.find (id);
         if (row != rows.end())
-            isChanged = publishHoldings (id, row->second) || isChanged;
+            isChanged = publishHeldModels (id, row->second) || isChanged;
     }
     if (isSweep)
     {
         for (const auto& [id, row] : rows)
-            isChanged = publishHoldings (id, row) || isChanged;
+            isChanged = publishHeldModels (id, row) || isChanged;
     }
     if (isChanged)
         m_leader->instances.refreshChanged (m_state.instances(), m_now);
 }
 
-bool ControllerCore::Implementation::publishHoldings (const std::string& instance,
-                                                      const cell::RoutableInstance& row)
+bool ControllerCore::Implementation::publishHeldModels (const std::string& instance,
+                                                        const cell::RoutableInstance& row)
 {
-    const std::vector<cell::HeldModel>& shown = row.instance.models;
-    if (row.instance.isReported && m_leader->engines.isPlainlyShown (instance, shown))
+    const std::vector<cell::HeldModel>& published = row.instance.models;
+    if (row.instance.isReported && m_leader->engines.isPlainlyShown (instance, published))
         return false;
     auto models = m_leader->engines.routableModels (instance, m_now);
-    if (! models || (row.instance.isReported && *models == shown))
+    if (! models || (row.instance.isReported && *models == published))
         return false;
     m_leader->instances.setModels (instance, std::move (*models));
     return true;
@@ -124,7 +124,7 @@
     options.ordersFrom = [this] (const std::string& instance)
     { return m_orderNotes.orderedAt (instance) + m_options.orderPause + kLongestOrderDelay; };
     options.earlierStoreLoads = m_orderNotes.storeLoads();
-    // What was loaded just before anything was noted is not known.
+    // Loads from before the first recorded order are unknown.
     options.earlierStoreLoads.insert (options.earlierStoreLoads.begin(), kUnknownStoreLoads,
                                       m_orderNotes.knownFrom());
     return options;
@@ -140,7 +140,7 @@
 {
     const auto engines = static_cast<std::int64_t> (m_leader->instances.rows().size());
     const base::Duration inLargeCell = std::max<base::Duration> (
-        kUsualPlacementInterval, kPartsOfTimeForPlacement * m_leader->placementTime);
+        kNominalPlacementInterval, kPartsOfTimeForPlacement * m_leader->placementTime);
     return std::min<base::Duration> (engines * kPlacementIntervalForEngine, inLargeCell);
 }
 
@@ -157,11 +157,11 @@
     const bool isUrgentDue = m_leader->urgentPlacement.takeDue (m_now, kUrgentPlacementInterval);
     if (! isRoundDue && ! isUrgentDue)
         return;
-    const base::TimePoint begunAt = workTime();
+    const base::TimePoint startedAt = workTime();
     std::vector<placement::EngineCommand> commands =
         isRoundDue ? m_leader->engines.decide (m_now) : m_leader->engines.decideUrgent (m_now);
     if (isRoundDue)
-        m_leader->placementTime = workTime() - begunAt;
+        m_leader->placementTime = workTime() - startedAt;
     std::vector<placement::SendEngineOrder> orders;
     for (placement::EngineCommand& command : commands)
     {
@@ -177,11 +177,11 @@
     for (placement::EngineOrderDone& done : m_leader->engines.takeDone())
         m_effects.emplace_back (std::move (done));
     if (! orders.empty())
-        noteAndSend (std::move (orders));
+        recordAndSend (std::move (orders));
     m_leader->instanceTable.request();
 }
 
-void ControllerCore::Implementation::noteAndSend (std::vector<placement::SendEngineOrder> orders)
+void ControllerCore::Implementation::recordAndSend (std::vector<placement::SendEngineOrder> orders)
 {
     cell::NoteOrders note;
     note.proposedAt = cellTime();
@@ -202,16 +202,16 @@
                                              base::LogIndex /*index*/,
                                              const cell::ApplyResult& /*result*/)
 {
-    const bool mayLeave = holdsLease() && m_now - purpose.notedAt < kLongestOrderDelay;
+    const bool maySend = holdsLease() && m_now - purpose.recordedAt < kLongestOrderDelay;
     for (const placement::SendEngineOrder& order : purpose.orders)
     {
-        if (mayLeave)
+        if (maySend)
         {
             m_effects.emplace_back (order);
         }
         else
         {
-            // It never left; a report tells the sequence before the next one.
+            // The order was not sent; a report will state the sequence before the next one.
             m_leader->engines.onOrderAnswer (order.order, engine::OrderOutcome::kBusy, m_now);
         }
     }
--- a/src/controller/ControllerImplementation.h
+++ b/src/controller/ControllerImplementation.h
@@ -1,6 +1,8 @@
 #pragma once
 
-/// State of ControllerCore and its duties, split by the part of the cell they deal with.
+/// Implementation of ControllerCore: the state of one controller and its duties. The member
+/// functions are defined in the Controller*.cpp files, one for each duty. Single-threaded, like
+/// ControllerCore.
 
 #include <deque>
 #include <functional>
@@ -45,9 +47,9 @@
 namespace fernlift::controller
 {
 
-// What a proposal is for: decides what happens once it is committed.
+// Purposes of proposals: each decides what happens once the proposal is committed.
 
-/// A decision of placement; the next round waits for it.
+/// A placement decision; the next placement round waits until it is committed.
 struct ForPlacement
 {
 };
@@ -69,114 +71,117 @@
 {
     std::uint64_t batch = 0;
 };
-/// A fact about a replica (ready, failed, released).
+/// A change of a replica: ready, failed or released.
 struct ForReplica
 {
     base::ReplicaId replica = 0;
 };
-/// A fact about a runner (seen, gone).
+/// A change of a runner: observed or removed.
 struct ForRunner
 {
     base::RunnerId runner;
 };
-/// Requests that an operator lets out of quarantine.
+/// Requests that an operator releases from quarantine.
 struct ForRelease
 {
     AdminTicket ticket = 0;
 };
-/// The index becomes the fence of an unload of a replica that the state does not know.
-struct ForStray
+/// Unload of a replica that the replicated state does not contain; the log index of the proposal
+/// becomes the fence of the unload order.
+struct ForOrphan
 {
-    StrayReplica stray;
+    OrphanedReplica stray;
 };
 struct ForNothing
 {
 };
-/// A request of the control interface, answered once it is committed.
+/// A request of the control interface that is answered once it is committed.
 struct ForControl
 {
     ControlTicket ticket = 0;
 };
-/// What is to be acknowledged about an instance that leaves.
-struct Leaving
+/// The state of a leaving instance that is to be acknowledged.
+struct LeavingInstance
 {
     std::string instance;
-    bool isRemoval = false;                ///< It is gone; else it drains.
-    base::UnixMilliseconds startedAt = 0;  ///< Of the incarnation; 0: it does not tell.
+    bool isRemoval = false;                ///< True: it was removed; false: it drains.
+    base::UnixMilliseconds startedAt = 0;  ///< Start time of the incarnation; 0: unknown.
 
-    auto operator<=> (const Leaving&) const = default;  // NOLINT(modernize-use-nullptr)
+    auto operator<=> (const LeavingInstance&) const = default;  // NOLINT(modernize-use-nullptr)
 };
-/// An instance that drains or is gone.
+/// An instance that drains or was removed.
 struct ForLeavingInstance
 {
     ControlTicket ticket = 0;
-    Leaving leaving;
+    LeavingInstance leaving;
 };
-/// A change of the configuration by an operator of services.
+/// A change of the configuration by the operator of services.
 struct ForConfiguration
 {
     ControlTicket ticket = 0;
     std::uint64_t version = 0;
     base::TimePoint arrivedAt{};
 };
-/// A change of the members that no operator asked for.
+/// A membership change that the leader makes without a request of an operator.
 struct ForOwnMembers
 {
 };
-/// Orders to registered engines that leave once their note is committed.
+/// Orders to registered engines that are sent once the record of them is committed.
 struct ForEngineOrders
 {
     std::vector<placement::SendEngineOrder> orders;
-    base::TimePoint notedAt{};
+    base::TimePoint recordedAt{};
 };
 using Purpose = std::variant<ForPlacement, ForApply, ForDrain, ForMembers, ForClaims, ForReplica,
-                             ForRunner, ForStray, ForNothing, ForControl, ForLeavingInstance,
+                             ForRunner, ForOrphan, ForNothing, ForControl, ForLeavingInstance,
                              ForConfiguration, ForOwnMembers, ForEngineOrders, ForRelease>;
 
-/// An apply that is committed and whose operator waits until it is in force everywhere.
-struct InForceWait
+/// A committed apply whose operator waits until it is in force at every router.
+struct PendingApply
 {
     AdminTicket ticket = 0;
     cell::ConfigurationResult result;
     base::TimePoint deadline{};
 };
 
-/// A change of the configuration that is committed and whose operator waits until no router serves
-/// under an earlier one.
-struct ConfigurationWait
+/// A committed change of the configuration whose operator waits until no router serves under an
+/// earlier one.
+struct PendingConfiguration
 {
     ForConfiguration purpose;
-    std::uint64_t version = 0;  ///< In force since the commit, or a later one.
+    std::uint64_t version = 0;  ///< The version to wait for: in force since the commit.
     ControlAnswer answer;
 };
 
-/// An instance that drains or is gone, as is committed; it is told once no router may send there.
-/// Runners ask again after a second: the wait goes on from where it began, however often.
-struct LeavingWait
+/// A committed drain or removal of an instance. It is acknowledged once no router may send requests
+/// there any more. Runners repeat the request after a second; a repeated request joins the wait
+/// that is already under way.
+struct PendingLeave
 {
     std::vector<ControlTicket> tickets;
-    std::uint64_t tableVersion = 0;  ///< Of instances, the first that says so; 0: not sent yet.
-    /// Routers that have not heard of it by then have no lease any more.
+    std::uint64_t tableVersion = 0;  ///< First instance table that contains the change; 0: none
+                                     ///< yet.
+    /// Time at which the lease of every router that has not confirmed the table has expired.
     base::TimePoint leasesEndAt{};
-    bool isConfirmed = false;  ///< For good, as long as this member leads.
+    bool isConfirmed = false;  ///< Stays set as long as this member leads.
 };
 
-/// A load that failed on a runner lately.
+/// Recent failures to load one target on one runner.
 struct LoadFailure
 {
     std::uint32_t count = 0;
     base::TimePoint avoidedUntil{};
 };
 
-/// An end that was reported and is not applied yet.
-struct UnsettledEnd
+/// A runner crash that a router reported and the replicated state does not contain yet.
+struct UnappliedCrash
 {
     cell::RunnerEndReport report;
     base::TimePoint receivedAt{};
-    bool isHinted = false;  ///< Routers were told of it.
+    bool isAnnounced = false;  ///< Routers were notified ahead of the commit.
 };
 
-/// Everything that lasts only as long as one term of leadership.
+/// State of the leader. It is created anew for each term in which this member leads.
 struct Leadership
 {
     Leadership (const ControllerOptions& options, base::Term leadTerm, base::TimePoint now,
@@ -198,79 +203,87 @@
     RunnerWatch watch;
     OrderQueue orders;
     RouterSessions sessions;
-    bool isTableShared = false;               ///< One table for all routers; see RoutableTable.
-    RoutableTable table;                      ///< While shared.
-    std::vector<cell::RoutableReplica> rows;  ///< While not shared.
-    std::optional<CreditShare> exactShare;    ///< While not shared.
-    std::map<std::string, std::uint32_t> sharers;  ///< Routers told to share a target's replicas.
-    std::uint32_t enteringSharers = 0;             ///< The same for routers without stated demand.
+    bool isTableShared = false;                    ///< All routers get the same replica table.
+    RoutableTable table;                           ///< Used while the table is shared.
+    std::vector<cell::RoutableReplica> rows;       ///< Used while the table is not shared.
+    std::optional<CreditShare> exactShare;         ///< Used while the table is not shared.
+    std::map<std::string, std::uint32_t> sharers;  ///< Number of routers that share a target's
+                                                   ///< replicas, as last sent.
+    std::uint32_t newRouterSharers = 0;  ///< The same number for routers that report no demand.
     DemandTable demands;
     ClaimBatcher claims;
     std::map<base::LogIndex, Purpose> proposals;
-    std::set<base::ReplicaId> busyReplicas;  ///< With a proposal about them under way.
+    std::set<base::ReplicaId> busyReplicas;  ///< Replicas with a proposal in flight.
     std::set<base::RunnerId> busyRunners;
-    std::set<std::pair<base::RunnerId, base::ReplicaId>> busyStrays;
-    /// Replicas whose unload was decided without their being known; until then reports may lag.
-    std::map<std::pair<base::RunnerId, base::ReplicaId>, base::TimePoint> strayPauses;
-    std::set<base::RunnerId> ordersDue;  ///< Runners to which a new order may go.
-    std::size_t placementProposals = 0;  ///< Under way.
+    std::set<std::pair<base::RunnerId, base::ReplicaId>> busyOrphans;
+    /// Orphaned replicas whose unload was proposed: no second unload is proposed before this time,
+    /// since reports lag.
+    std::map<std::pair<base::RunnerId, base::ReplicaId>, base::TimePoint> orphanUnloadDelays;
+    std::set<base::RunnerId> ordersDue;  ///< Runners that may be sent a new order.
+    std::size_t placementProposals = 0;  ///< Placement proposals in flight.
     bool isPlacementDue = true;
     base::TimePoint nextPlacementAt{};
-    bool isTableDue = true;  ///< Routers should hear of a change at the next tick.
+    bool isTableDue = true;  ///< A change is to be sent to routers at the next tick.
     base::TimePoint nextTableAt{};
     base::TimePoint nextWholeTableAt{};
     base::TimePoint nextRoutineAt{};
     base::TimePoint nextMachineListAt{};
     bool isMachineListPolled = false;
-    std::vector<InForceWait> inForceWaits;
+    std::vector<PendingApply> pendingApplies;
     std::map<std::pair<std::string, base::RunnerId>, LoadFailure> failures;
-    /// When each replica was last in use or asked for.
+    /// Time at which each replica was last in use or in demand.
     std::map<base::ReplicaId, base::TimePoint> lastUse;
     placement::StorePace storePace;
-    /// Replicas that load from the weight store, not from their runner's memory or disk.
+    /// Whether each replica loads from the weight store rather than from its runner's memory or
+    /// disk.
     std::map<base::ReplicaId, bool> usesStore;
-    ReadyEstimates estimates;  ///< As last stated to routers.
+    ReadyEstimates estimates;  ///< Estimates as last sent to routers.
     InstanceTable instances;
-    InstanceLoadSum loadSum;  ///< Of its own routers and of the other controllers.
-    InstanceLoadTable loads;  ///< The same with what was learned, for routers.
+    InstanceLoadSum loadSum;  ///< Sum of the loads that this member's routers and the other
+                              ///< controllers report.
+    InstanceLoadTable loads;  ///< The same loads together with speeds, as sent to routers.
     RunnerSpeeds speeds;
-    /// Of the incarnations that `loads` and `speeds` are of.
+    /// Start times of the incarnations to which `loads` and `speeds` apply, by instance.
     std::map<std::string, base::UnixMilliseconds> loadStarts;
-    base::TimePoint nextLoadsAt{};  ///< Routers hear of loads no earlier.
-    InstanceRateLedger rates;       ///< Of runners that state one.
-    std::uint64_t placedRates = 0;  ///< Version of `rates` that placement has.
+    base::TimePoint nextLoadsAt{};  ///< Earliest time of the next load update to routers.
+    InstanceRateLedger rates;       ///< Rates of the runners that state one.
+    std::uint64_t placedRates = 0;  ///< Version of `rates` last passed to placement.
     RateNews rateNews;
-    base::DecayingRate heartbeats;  ///< That this member took itself while it leads.
+    base::DecayingRate
+        heartbeats;  ///< Heartbeats that arrived at this member itself while it leads.
     quota::QuotaLedger quotas;
-    QuotaBasis quotaBasis;        ///< Of what `quotas` counts.
-    cell::NoteSuspects suspects;  ///< Reported and not proposed yet.
-    std::vector<UnsettledEnd> unsettledEnds;
+    QuotaBasis quotaBasis;        ///< Configuration and member count that `quotas` is set up for.
+    cell::NoteSuspects suspects;  ///< Runner crashes reported and not proposed yet.
+    std::vector<UnappliedCrash> unappliedCrashes;
     base::TimePoint nextSuspectExpiryAt{};
     base::TimePoint nextHoldingsAt{};
-    // Versions that placement has:
+    // Versions last passed to placement.
     std::uint64_t placedConfiguration = 0;
     std::uint64_t placedInstances = 0;
-    /// While placement takes over all instances: the first that it lacks, by id.
+    /// While all instances are passed to placement in portions: the first id not passed yet.
     std::optional<std::string> firstUnplaced;
-    PacedWork missingInstances;      ///< Some of these are to be taken over.
-    std::uint64_t notedVersion = 0;  ///< Of `instances`, of which the log has the holdings.
+    PacedWork missingInstances;  ///< The next portion of these instances is due.
+    std::uint64_t recordedHoldingsVersion =
+        0;  ///< Version of `instances` whose held models are in the log.
     base::TimePoint nextRemovalAt{};
-    std::uint64_t announcedVersion = 0;  ///< Configuration that routers were to be sent last.
-    PacedWork configurationSend;         ///< Routers may have to be sent the configuration.
+    std::uint64_t announcedVersion =
+        0;                        ///< Version of the configuration last scheduled for routers.
+    PacedWork configurationSend;  ///< Some routers may need the configuration.
     ConfigurationRollout rollout;
-    std::vector<ConfigurationWait> configurationWaits;
-    std::map<Leaving, LeavingWait> leavingWaits;
-    /// Table of instances without those whose leaving is or will be acknowledged; a version of this
-    /// leader, so that what an earlier one sent does not do.
+    std::vector<PendingConfiguration> pendingConfigurations;
+    std::map<LeavingInstance, PendingLeave> pendingLeaves;
+    /// First version of the instance table without the instances whose leaving is or will be
+    /// acknowledged. It is a version of this leader, so that a table of an earlier leader does not
+    /// satisfy it.
     std::uint64_t requiredInstanceVersion = 0;
-    PacedWork instanceTable;  ///< Routers may have to hear of a change of the instances.
-    PacedWork wholeTable;     ///< Some have to be sent all of them.
-    PacedWork instanceSweep;  ///< All are to be looked at.
+    PacedWork instanceTable;  ///< Changes of the instances may have to be sent to routers.
+    PacedWork wholeTable;     ///< Some routers need the whole instance table.
+    PacedWork instanceSweep;  ///< All instances are to be examined.
     MemberAdmission admission;
     placement::EnginePlacement engines;
     PacedWork enginePlacement;
-    base::Duration placementTime{};  ///< That the last run of it took.
-    PacedWork urgentPlacement;       ///< Of what waits only.
+    base::Duration placementTime{};  ///< Duration of the last full placement round.
+    PacedWork urgentPlacement;       ///< Placement only of the models that requests wait for.
 };
 
 /// Counters for /metrics.
@@ -289,7 +302,7 @@
     std::uint64_t claims = 0;
     std::uint64_t replicaUpdates = 0;
     std::uint64_t placementRounds = 0;
-    std::uint64_t strayReplicas = 0;
+    std::uint64_t orphanedReplicas = 0;
     std::uint64_t leaderships = 0;
 };
 
@@ -338,8 +351,8 @@
     [[nodiscard]] std::string metricsText() const;
 
 private:
-    // ControllerCore.cpp: consensus and leadership. ControllerProposals.cpp: proposals and their
-    // ends.
+    // ControllerCore.cpp: consensus and leadership. ControllerProposals.cpp: proposals and what
+    // follows their commit.
     void drain();
     bool takeRaftOutput();
     void sendToMember (consensus::Message message);
@@ -354,7 +367,7 @@
     void finish (const ForClaims& purpose, base::LogIndex index, const cell::ApplyResult& result);
     void finish (const ForReplica& purpose, base::LogIndex index, const cell::ApplyResult& result);
     void finish (const ForRunner& purpose, base::LogIndex index, const cell::ApplyResult& result);
-    void finish (const ForStray& purpose, base::LogIndex index, const cell::ApplyResult& result);
+    void finish (const ForOrphan& purpose, base::LogIndex index, const cell::ApplyResult& result);
     void finish (const ForNothing& purpose, base::LogIndex index, const cell::ApplyResult& result);
     void finish (const ForControl& purpose, base::LogIndex index, const cell::ApplyResult& result);
     void finish (const ForLeavingInstance& purpose, base::LogIndex index,
@@ -371,8 +384,8 @@
     void endLeadership();
     void compactIfDue();
     bool propose (const cell::Command& command, Purpose purpose);
-    /// Time of the cell: wall-clock time at the begin of leadership plus monotonic time since, so
-    /// that a step of the wall clock changes nothing.
+    /// Time of the cell: the wall-clock time at the start of leadership plus the monotonic time
+    /// since, so that a step of the wall clock has no effect.
     [[nodiscard]] base::UnixMilliseconds cellTime() const;
 
     // ControllerRunners.cpp
@@ -382,10 +395,10 @@
     void reconcile (const base::RunnerId& runner);
     void observe (const base::RunnerId& runner);
     void removeRunner (const base::RunnerId& runner);
-    void noteUse (const engine::Report& report);
+    void recordUse (const engine::Report& report);
     void failReplica (base::ReplicaId replica, const std::string& reason);
     void proposeForReplica (base::ReplicaId replica, const cell::Command& command);
-    void proposeStray (const StrayReplica& stray);
+    void proposeOrphanUnload (const OrphanedReplica& stray);
     void sendOrders();
     void sendOrders (const base::RunnerId& runner);
     void onOrderRefused (const base::RunnerId& runner, const engine::Order& order,
@@ -396,7 +409,7 @@
     [[nodiscard]] placement::Snapshot placementSnapshot();
     void addRunnerViews (placement::Snapshot& snapshot) const;
     void addReplicaViews (placement::Snapshot& snapshot);
-    void forgetGoneReplicas();
+    void removeStaleReplicaRecords();
     [[nodiscard]] bool loadsFromStore (const cell::Replica& replica) const;
     void proposeDecision (const placement::Decision& decision);
 
@@ -405,23 +418,24 @@
     void onLeaseRequest (RouterConnection connection, const cell::LeaseRequest& request);
     void grantLease (RouterConnection connection, RouterSession& session,
                      const cell::LeaseRequest& request);
-    /// The table of instances that a router must have stated before it gets a lease.
+    /// Lowest version of the instance table that a router must hold to be granted a lease.
     [[nodiscard]] std::uint64_t requiredInstanceVersion() const;
-    /// What the parts of tenants' quotas are divided by now.
+    /// Configuration version and number of members that the shares of tenants' quotas depend on.
     [[nodiscard]] QuotaBasis quotaBasis() const;
-    /// Counts the quotas of the tenants in force from now on. Before they are asked for, or they
-    /// would begin with little when traffic does.
-    void takeTenants();
+    /// Sets up the quotas of the tenants in the configuration in force. Runs ahead of the first
+    /// quota request, since the buckets would otherwise be nearly empty when traffic starts.
+    void applyTenants();
     /// Grants units of tenants' quotas to a router or a relay.
     void grantQuota (RouterConnection connection, const cell::QuotaRequest& request);
     void onLeavingSeen (const cell::RunnerLeavingSeen& seen);
-    /// Keeps a router that came while another member leads, or none, to tell it of the leader.
+    /// Registers a router that connected while this member does not lead. It is notified when a
+    /// leader is known.
     void admitWatcher (RouterConnection connection, const cell::RouterHello& hello);
-    /// Sends what this member has applied: a router that serves without a lease and has just
-    /// started may work with it until it has found the leader.
+    /// Sends the configuration and instances that this member has applied. A router that just
+    /// started and serves without a lease uses them until it finds the leader.
     void sendLastKnownState (RouterConnection connection);
-    /// Tells all watchers who leads.
-    void tellWatchers();
+    /// Sends the address of the leader to all watchers.
+    void notifyWatchers();
     void onDemand (RouterConnection connection, const cell::DemandReport& report);
     void sendTablesIfDue();
     void refreshTable();
@@ -449,43 +463,45 @@
     [[nodiscard]] bool isMembersChangePending() const;
     void changeMembers (AdminTicket ticket, consensus::MemberSet members);
     void answer (AdminTicket ticket, AdminAnswer answer);
-    void answerInForceWaits();
+    void answerPendingApplies();
     [[nodiscard]] AdminView adminView (const consensus::RaftStatus& status) const;
 
     // ControllerConfiguration.cpp
     void control (ControlTicket ticket, const ReplaceConfiguration& request);
     void control (ControlTicket ticket, const ReadConfiguration& request);
-    /// A proposed configuration was applied.
-    void noteConfiguration (const cell::ConfigurationResult& result);
-    /// Keeps the configuration in force for those that hold an earlier one.
-    void keepConfiguration();
+    /// Called when a proposed configuration was applied.
+    void onConfigurationApplied (const cell::ConfigurationResult& result);
+    /// Adds the configuration in force to the recent ones, from which changes are computed for
+    /// routers that hold an earlier one.
+    void cacheConfiguration();
     /// Answers once no router serves under an earlier configuration than the one in force now.
     void awaitRollout (const ForConfiguration& purpose);
     void answerConfiguration (const ForConfiguration& purpose, ControlAnswer answer);
-    /// Sends the configuration to those that need it, when it came into force or one of them asked.
+    /// Sends the configuration to the routers that need it, when it came into force or when a
+    /// router requested it.
     void sendConfigurationIfDue();
     void sendConfigurationTo (RouterSessions& sessions, PacedWork& pacing,
                               std::uint64_t& announcedVersion);
-    /// Answers and tells which configurations have reached all routers, and which are late.
-    void followRollout();
-    void answerConfigurationWaits (std::uint64_t confirmedVersion);
+    /// Answers operators and logs which configurations have reached all routers and which are late.
+    void trackRollout();
+    void answerPendingConfigurations (std::uint64_t confirmedVersion);
 
     // ControllerQuarantine.cpp
-    /// The router waits to be shown what it reported.
-    void noteReporter (RouterSession& session, const cell::SuspectReport& report);
+    /// Records that the router waits for the suspect status of the requests it reported.
+    void recordReporter (RouterSession& session, const cell::SuspectReport& report);
     void onSuspectReport (const cell::SuspectReport& report);
-    /// Whether the instance has said that it leaves or has left.
+    /// Whether the instance drains or was deregistered.
     [[nodiscard]] bool isLeaving (const std::string& instance) const;
-    /// Puts into the log what was reported since the last time.
+    /// Proposes the crashes and clearances reported since the last proposal.
     void proposeSuspectsIfDue();
-    /// Shows a router what became of ends that it reported.
-    void answerReporter (RouterConnection connection, RouterSession& session);
+    /// Sends a router the suspect status of the requests whose crashes it reported.
+    void sendReportedSuspects (RouterConnection connection, RouterSession& session);
     void sendToAllOf (const RouterSessions& sessions, cell::ControllerToRouter message);
-    /// Tells routers of ends that the log takes long to agree on.
-    void hintAtSuspects();
-    /// Ends that routers reported were applied.
-    void noteSuspects (const cell::NoteSuspects& command);
-    /// Sends to routers what they lack of the table of suspects as it is applied here.
+    /// Notifies routers of repeated runner crashes whose commit is late.
+    void announceLateCrashes();
+    /// Called when runner crashes that routers reported were applied.
+    void onSuspectsApplied (const cell::NoteSuspects& command);
+    /// Sends routers the rows of the applied table of suspects that they lack.
     void sendSuspectsTo (RouterSessions& sessions);
 
     // ControllerInstances.cpp
@@ -493,133 +509,143 @@
     void control (ControlTicket ticket, const InstanceDeregistration& request);
     void proposeFor (ControlTicket ticket, const cell::Command& command, Purpose purpose);
     void sendInstancesIfDue();
-    /// Answers once no router may send by a table in which the instance still takes requests.
-    void awaitLeaving (ControlTicket ticket, const Leaving& leaving);
-    void answerLeavingWaits();
-    /// Brings all routers up to date; false when some need the whole table and it may not go out.
+    /// Answers once no router may still use an instance table in which the instance takes requests.
+    void awaitLeaveConfirmation (ControlTicket ticket, const LeavingInstance& leaving);
+    void answerPendingLeaves();
+    /// Sends instance changes to all routers that are behind. Returns false when some need the
+    /// whole table and it may not be sent now.
     bool sendInstancesToAll (bool mayBeWhole);
     struct TableState
     {
         std::uint64_t version = 0;
-        TableVersions known;  ///< Of these versions the changes are known.
+        TableVersions known;  ///< Versions since which the changes are known.
         std::size_t rows = 0;
     };
-    /// Sends what changed to those behind; those that hold the same version get the same message.
-    /// False when some were left out, since they need the whole table and it may not go out.
+    /// Sends the changes to the routers that are behind; routers that hold the same version get the
+    /// same message. Returns false when some were skipped because they need the whole table and it
+    /// may not be sent now.
     bool sendInstancesTo (RouterSessions& sessions, const TableState& table, bool mayBeWhole,
                           const std::function<cell::InstanceUpdate (std::uint64_t)>& updateSince);
-    /// No more often than this do changes of the table go out.
+    /// Minimum interval between messages with changes of the instance table.
     [[nodiscard]] static base::Duration tableInterval (std::size_t routers);
-    /// The same for all that costs time for each row of the table.
+    /// Minimum interval between operations whose cost grows with the rows of the table.
     [[nodiscard]] static base::Duration wholeTableInterval (std::size_t routers, std::size_t rows);
-    /// Notes which instances a command that was applied concerns.
-    void noteAgreedInstances (const cell::Command& command);
-    /// Takes over what was told of instances; of all of them, or of those that changed.
+    /// Marks the instances that an applied command concerns as changed.
+    void recordAppliedInstances (const cell::Command& command);
+    /// Updates placement and held models from the instance table: for all instances in a sweep,
+    /// else for those that changed.
     void refreshInstances (bool isSweep);
     void onSightings (const cell::InstanceSightings& sightings);
-    void takeHeartbeat (const InstanceHeartbeat& heartbeat);
-    /// Drops a heartbeat that no runner of the services in force can have sent, and says so.
+    void applyHeartbeat (const InstanceHeartbeat& heartbeat);
+    /// Returns false, and reports it, for a heartbeat that no runner of the services in force can
+    /// have sent.
     bool isUsable (const InstanceHeartbeat& heartbeat);
-    /// Whether the configuration in force may have the service that the instance states.
+    /// Whether the configuration in force has the service of the instance; true also before any
+    /// configuration with services.
     [[nodiscard]] bool hasService (const cell::ServiceInstance& instance) const;
-    /// A later incarnation of the instance is known.
+    /// Whether a later incarnation of the instance is known.
     [[nodiscard]] bool isOfEarlierIncarnation (const cell::ServiceInstance& instance) const;
-    /// Removes those that had the address of an instance that registers.
+    /// Removes the instances that had the address of an instance that registers.
     void removePredecessors (const cell::ServiceInstance& instance);
     [[nodiscard]] cell::AddInstance additionOf (const InstanceHeartbeat& heartbeat) const;
     [[nodiscard]] cell::InstanceUpdate instanceUpdateSince (std::uint64_t version) const;
     void runInstanceRoutine();
-    /// Where an instance is to send its next heartbeats.
+    /// Address of the controller to which an instance is to send its next heartbeats.
     [[nodiscard]] std::string heartbeatAddressFor (const std::string& instance);
-    /// Proposes what changed of runners' holdings, so that the next leader knows it.
-    void noteHoldingsIfDue();
+    /// Proposes changes of the models that runners hold, so that the next leader has them.
+    void proposeHoldingsIfDue();
     void removeSilent();
     [[nodiscard]] std::string ownAdminAddress() const;
     void answerNotLeader (ControlTicket ticket);
     void answerControl (ControlTicket ticket, ControlAnswer answer);
 
     // ControllerLoads.cpp
-    /// At the leader: takes over what was reported and tells it on.
+    /// At the leader: adds up the reported loads and sends the changes to routers.
     void shareLoads();
-    /// The same at a controller that does not lead.
+    /// At a controller that does not lead: forwards reported loads to the leader and the leader's
+    /// loads to routers.
     void relayLoads();
     void sendLoadsTo (RouterSessions& sessions, const InstanceLoadTable& loads,
                       base::TimePoint& nextAt);
-    void forgetLoadsOfGone();
-    /// Takes from a report what it tells of speeds; its slowdowns are against the usual afterwards.
-    void learnSpeeds (cell::InstanceLoadReport& report);
-    /// What this member was told of speeds before it led.
-    void keepEarlierSpeeds (const InstanceLoadTable& loads);
-    void leaveOutSilent (InstanceLoadSum& sum, const RouterSessions& sessions) const;
+    void removeLoadsOfGoneInstances();
+    /// Updates the speeds of runners from a report, and converts its slowdowns so that they are
+    /// relative to the nominal speed.
+    void updateSpeeds (cell::InstanceLoadReport& report);
+    /// Restores the speeds that this member received as a relay before it led.
+    void restoreSpeeds (const InstanceLoadTable& loads);
+    void excludeSilent (InstanceLoadSum& sum, const RouterSessions& sessions) const;
 
     // ControllerRates.cpp
-    /// What routers are told of limited runners, by the leader or by a relay.
+    /// Table of rate-limited runners, as the leader or a relay sends it to routers.
     [[nodiscard]] cell::InstanceRateUpdate rateTable() const;
     [[nodiscard]] std::uint64_t rateTableVersion() const;
-    /// Sends the table before anything else, so that a router never sends by a table of runners
-    /// without knowing which are limited.
-    void greetWithRates (RouterConnection connection, RouterSession& session,
-                         const cell::RouterHello& hello);
+    /// Sends the rate table ahead of all else, so that a router never uses an instance table
+    /// without the rate limits of the runners in it.
+    void sendInitialRates (RouterConnection connection, RouterSession& session,
+                           const cell::RouterHello& hello);
     void sendRatesTo (const RouterSessions& sessions, RateNews& news);
     void onRateReport (const cell::InstanceRateReport& report);
     void grantPermits (RouterConnection connection, const cell::InstancePermitRequest& request);
-    void forgetRatesOfGone();
-    /// At the leader: how many of the routers keep to its permits.
+    void removeRatesOfGoneInstances();
+    /// At the leader: updates the share of the routers that use its permits.
     void shareRates();
-    void tellPlacementOfRates();
-    /// False when the message is about something else.
+    void updatePlacementRates();
+    /// Returns false when the message is not about rates.
     bool relayRateMessage (RouterConnection connection, const cell::RouterToController& message);
-    void takeLeaderRates (const cell::ControllerToRouter& message);
-    void passPermitsOn (const cell::InstancePermitGrant& grant);
+    void applyLeaderRates (const cell::ControllerToRouter& message);
+    void forwardPermits (const cell::InstancePermitGrant& grant);
 
     // ControllerEngines.cpp
     [[nodiscard]] placement::EnginePlacementOptions engineOptions() const;
     void placeOnEngines();
-    /// Orders leave once every later leader will know of them.
-    void noteAndSend (std::vector<placement::SendEngineOrder> orders);
-    /// Tells placement of instances; of all of them, or of those that changed.
+    /// Records orders in the log; they are sent once that is committed, so that every later leader
+    /// has them.
+    void recordAndSend (std::vector<placement::SendEngineOrder> orders);
+    /// Passes instances to placement: all of them in a sweep, else those that changed.
     void refreshEngines (bool isSweep);
-    /// Tells it of some of those that changed; false when there are more.
+    /// Passes a portion of the changed instances to placement; returns false when more remain.
     bool placeChangedInstances();
-    /// Tells it of some of those that it lacks.
+    /// Passes a portion of the instances that placement lacks.
     void placeMissingInstances();
-    /// Shows routers what engines hold; all engines, or those that changed.
-    void publishHoldings (bool isSweep);
-    /// False when it is shown already.
-    bool publishHoldings (const std::string& instance, const cell::RoutableInstance& row);
+    /// Updates the models that engines hold in the instance table: of all engines in a sweep, else
+    /// of those that changed.
+    void publishHeldModels (bool isSweep);
+    /// Returns false when the table already has them.
+    bool publishHeldModels (const std::string& instance, const cell::RoutableInstance& row);
     void requestPlacement();
     [[nodiscard]] base::Duration placementInterval() const;
-    /// Time as the work itself spends it; stands still where nothing measures it.
+    /// Clock for the cost of placement; constant when the options have no work clock.
     [[nodiscard]] base::TimePoint workTime() const;
 
-    // ControllerRelay.cpp: while this member does not lead.
-    /// False when the message is not that of a router which it serves.
+    // ControllerRelay.cpp: duties while this member does not lead.
+    /// Returns false when the message is not from a router that this member serves.
     bool relayRouterMessage (RouterConnection connection, const cell::RouterToController& message);
     bool relayHello (RouterConnection connection, const cell::RouterHello& hello);
     void relayLeaseRequest (RouterConnection connection, RouterSession& session,
                             const cell::LeaseRequest& request);
-    void passLeaseOn (RouterConnection connection, RouterSession& session,
-                      const cell::LeaseRequest& request);
+    void forwardLease (RouterConnection connection, RouterSession& session,
+                       const cell::LeaseRequest& request);
     void relayRouterGone (RouterConnection connection);
-    /// False when the heartbeat is for the leader itself.
+    /// Returns false when only the leader may take the heartbeat.
     bool relayHeartbeat (const InstanceHeartbeat& heartbeat);
-    /// End of the lease that covers the configuration applied here; the begin of time without one.
+    /// End of the leader's lease for the configuration applied here; a default time point without
+    /// one.
     [[nodiscard]] base::TimePoint relayedLeaseEnd() const;
     void runRelay();
-    /// Keeps the session with whoever leads.
+    /// Keeps up the session with the current leader.
     void followLeader();
-    void stateToLeader (cell::LeaseRequest request);
-    void stateIfNews();
-    void takeRelayedInstances (const cell::InstanceUpdate& update);
+    void sendStateToLeader (cell::LeaseRequest request);
+    void requestLeaseIfConfirmed();
+    void applyRelayedInstances (const cell::InstanceUpdate& update);
     void sendRelayedInstances();
     void beginRelay();
     void endRelay();
     [[nodiscard]] std::string peerAddressOf (base::MemberId id) const;
-    /// Takes over which table of instances a router holds when it comes.
-    static void takeInstanceVersion (RouterSession& session, const cell::RouterHello& hello,
-                                     base::Term term);
-    /// The same at the leader.
-    void takeInstanceVersion (RouterSession& session, const cell::RouterHello& hello);
+    /// Sets the version of the instance table that a router holds, from its hello.
+    static void applyInstanceVersion (RouterSession& session, const cell::RouterHello& hello,
+                                      base::Term term);
+    /// Sets the version at the leader, which first checks whether it continues that table.
+    void applyInstanceVersion (RouterSession& session, const cell::RouterHello& hello);
 
     // ControllerMembers.cpp
     void onJoinRequest (RouterConnection connection, const cell::MemberJoinRequest& request);
@@ -631,17 +657,19 @@
     base::UnixMilliseconds m_unixNow;
     cell::CellState m_state;
     consensus::RaftNode m_raft;
-    consensus::RaftSummary m_status;            ///< As of the last drain.
-    ConfigurationChange m_configurationChange;  ///< Kept by every member; see there.
+    consensus::RaftSummary m_status;  ///< Raft status at the last drain.
+    ConfigurationChange
+        m_configurationChange;  ///< Recent configurations; kept also without leading.
     std::optional<Leadership> m_leader;
-    /// Connections of routers that this member does not lead; they are told when a leader is known.
+    /// Connections of routers that this member does not serve; they are notified when a leader is
+    /// known.
     std::set<RouterConnection> m_watchers;
-    base::MemberId m_toldLeader = 0;  ///< That watchers were told of last; 0: none.
+    base::MemberId m_announcedLeader = 0;  ///< Leader last announced to watchers; 0: none.
     OrderNotes m_orderNotes;
-    base::LogIndex m_suspectsVersion = 0;  ///< That routers were to be sent last.
-    PacedWork m_suspectsSend;              ///< Routers may have to hear of suspects.
+    base::LogIndex m_suspectsVersion = 0;  ///< Version of the suspects last scheduled for routers.
+    PacedWork m_suspectsSend;              ///< Some routers may need changes of the suspects.
     base::Random m_relaySeeds;
-    std::optional<RouterRelay> m_relay;  ///< While this member does not lead.
+    std::optional<RouterRelay> m_relay;  ///< Set while this member does not lead.
     std::vector<Effect> m_effects;
     SnapshotSchedule m_snapshots{ m_options.entriesBetweenSnapshots };
     bool m_isStopping = false;
--- a/src/controller/ControllerInstances.cpp
+++ b/src/controller/ControllerInstances.cpp
@@ -12,18 +12,19 @@
 {
 
 constexpr base::Duration kHoldingsInterval = base::milliseconds (300);
-/// Silence after which an instance is removed; it registers again when it is heard.
+/// Time without heartbeats after which an instance is removed; its next heartbeat registers it
+/// again.
 constexpr base::Duration kRemovalSilence = base::seconds (30);
-/// How often those are looked for: often enough for so long a time.
+/// Interval of the search for instances to remove; short compared with kRemovalSilence.
 constexpr base::Duration kRemovalInterval = base::seconds (1);
-/// Heartbeats that the leader takes itself; the runners of all others are sent to controllers that
-/// have time. One takes some 0.1 ms of processor time, and runners whose controller had no leader
-/// for a while come to the leader: a third of 3,000 did.
+/// Rate of heartbeats up to which the leader keeps the runners that send to it; above it, runners
+/// are sent to other controllers. A heartbeat takes about 0.1 ms of processor time, and runners
+/// whose controller had no leader for a while all turn to the leader: a third of 3,000 did.
 constexpr double kMostHeartbeatsPerSecond = 40;
-constexpr base::Duration kHeartbeatMemory = base::seconds (2);
-/// Changes of the table go out together, no more often than this for each router that gets them.
+constexpr base::Duration kHeartbeatRateWindow = base::seconds (2);
+/// Minimum interval between changes of the table, for each router that receives them.
 constexpr base::Duration kTableIntervalForRouter = std::chrono::microseconds (1000);
-/// Whole tables go out, and all rows are looked at, no more often than this for each row, too.
+/// Additional interval, for each row, between whole tables and between sweeps over all rows.
 constexpr base::Duration kTableIntervalForRow = std::chrono::microseconds (100);
 
 }  // namespace
@@ -33,7 +34,8 @@
     const auto* heartbeat = std::get_if<InstanceHeartbeat> (&request);
     if (heartbeat != nullptr && ! isUsable (*heartbeat))
     {
-        // Refused, it would go to one controller after the other.
+        // A refused runner would try one controller after the other, so the heartbeat is
+        // acknowledged.
         answerControl (ticket, { ControlVerdict::kDone, "", "" });
         return;
     }
@@ -45,7 +47,7 @@
             answerNotLeader (ticket);
         return;
     }
-    // What changes the log is drained at once, all else by the next tick.
+    // Requests that change the log are drained at once, all others by the next tick.
     std::visit ([&] (const auto& value) { control (ticket, value); }, request);
 }
 
@@ -60,19 +62,19 @@
     const cell::ServiceInstance* known = m_state.instances().find (heartbeat.instance.id);
     if (known != nullptr && isOfEarlierIncarnation (heartbeat.instance))
     {
-        // It is gone, and what is known of the later one stands.
+        // The sender has ended; the state of the later incarnation stands.
         answerControl (ticket, { ControlVerdict::kDone, ownAdminAddress(), "" });
         return;
     }
-    takeHeartbeat (heartbeat);
+    applyHeartbeat (heartbeat);
     m_leader->instanceTable.request();
-    const Leaving leaving{ heartbeat.instance.id, false, heartbeat.instance.startedAt };
+    const LeavingInstance leaving{ heartbeat.instance.id, false, heartbeat.instance.startedAt };
     if (m_state.instances().isNews (heartbeat.instance) || known == nullptr)
     {
         removePredecessors (heartbeat.instance);
         if (heartbeat.instance.isDraining)
             proposeFor (ticket, additionOf (heartbeat), ForLeavingInstance{ ticket, leaving });
-        // Those of one tick go to the other members together.
+        // Additions of one tick are replicated to the other members together.
         else if (! propose (additionOf (heartbeat), ForControl{ ticket }))
             answerNotLeader (ticket);
     }
@@ -85,8 +87,9 @@
     }
     else if (heartbeat.instance.isDraining)
     {
-        // Known already, perhaps from an earlier leader; routers may not know it yet.
-        awaitLeaving (ticket, leaving);
+        // The drain is already known, perhaps from an earlier leader, but routers may not have it
+        // yet.
+        awaitLeaveConfirmation (ticket, leaving);
     }
     else
     {
@@ -96,10 +99,10 @@
 
 std::string ControllerCore::Implementation::heartbeatAddressFor (const std::string& instance)
 {
-    m_leader->heartbeats.add (1, kHeartbeatMemory, m_now);
-    if (m_leader->heartbeats.perSecond (kHeartbeatMemory, m_now) <= kMostHeartbeatsPerSecond)
+    m_leader->heartbeats.add (1, kHeartbeatRateWindow, m_now);
+    if (m_leader->heartbeats.perSecond (kHeartbeatRateWindow, m_now) <= kMostHeartbeatsPerSecond)
         return ownAdminAddress();
-    // Each instance goes to one of them by chance, but always to the same.
+    // Rendezvous hashing: spreads instances over the controllers, each always to the same one.
     std::string address = ownAdminAddress();
     std::size_t highest = 0;
     for (const auto& [connection, session] : m_leader->sessions.sessions())
@@ -115,8 +118,8 @@
     return address;
 }
 
-/// One of a service that does not exist would put itself in the place of the runner whose address
-/// it states.
+/// A runner that states a service that does not exist would replace the runner whose address it
+/// states.
 bool ControllerCore::Implementation::isUsable (const InstanceHeartbeat& heartbeat)
 {
     const cell::ServiceInstance& instance = heartbeat.instance;
@@ -129,7 +132,7 @@
         return true;
     m_effects.emplace_back (RunnerMessageUnusable{
         instance.id,
-        (isOfNoService ? "no such service: " : "the runner is one of another service: ")
+        (isOfNoService ? "no such service: " : "the runner belongs to another service: ")
             + instance.service });
     return false;
 }
@@ -137,9 +140,9 @@
 bool ControllerCore::Implementation::hasService (const cell::ServiceInstance& instance) const
 {
     const config::Catalogue* catalogue = m_state.configuration().catalogue();
-    // Before the first configuration with services any may come.
-    const bool isTold = catalogue != nullptr && ! catalogue->services.services.empty();
-    return ! isTold || catalogue->services.findService (instance.service) != nullptr;
+    // Before the first configuration with services, any service is accepted.
+    const bool hasServices = catalogue != nullptr && ! catalogue->services.services.empty();
+    return ! hasServices || catalogue->services.findService (instance.service) != nullptr;
 }
 
 bool ControllerCore::Implementation::isOfEarlierIncarnation (
@@ -149,7 +152,7 @@
     return known != nullptr && cell::isEarlierIncarnation (instance.startedAt, known->startedAt);
 }
 
-void ControllerCore::Implementation::takeHeartbeat (const InstanceHeartbeat& heartbeat)
+void ControllerCore::Implementation::applyHeartbeat (const InstanceHeartbeat& heartbeat)
 {
     if (! m_leader->instances.onHeartbeat (heartbeat, m_now))
         return;
@@ -161,9 +164,10 @@
     requestPlacement();
 }
 
-/// Routers went on to send to runners that had crashed and were back under another id, for as long
-/// as those were only silent: 75 requests a second were answered by the wrong instance after a
-/// crash of a quarter of 140 runners, and nobody loaded the models that only they had held.
+/// Without this removal, routers kept sending to crashed runners that had come back under another
+/// id for as long as the old ids were only silent: after a crash of a quarter of 140 runners the
+/// wrong instance answered 75 requests a second, and models that only the crashed runners had held
+/// were not loaded again.
 void ControllerCore::Implementation::removePredecessors (const cell::ServiceInstance& instance)
 {
     for (std::string& id : m_leader->instances.predecessorsOf (instance))
@@ -190,17 +194,17 @@
             continue;
         }
         const cell::ServiceInstance* known = m_state.instances().find (sighting.instance);
-        const cell::ServiceInstance* told =
+        const cell::ServiceInstance* reported =
             sighting.first.empty() ? known : &sighting.first.front();
-        if (told == nullptr)
+        if (reported == nullptr)
             continue;
-        InstanceHeartbeat heartbeat{ *told, sighting.sequence, sighting.models, sighting.inMemory,
-                                     sighting.onDisk };
+        InstanceHeartbeat heartbeat{ *reported, sighting.sequence, sighting.models,
+                                     sighting.inMemory, sighting.onDisk };
         heartbeat.instance.startedAt = sighting.startedAt;
         if (m_leader->instances.isOfPredecessor (heartbeat, m_now)
             || isOfEarlierIncarnation (heartbeat.instance))
             continue;
-        takeHeartbeat (heartbeat);
+        applyHeartbeat (heartbeat);
         if (known != nullptr && ! m_state.instances().isNews (heartbeat.instance))
             continue;
         removePredecessors (heartbeat.instance);
@@ -214,7 +218,7 @@
 void ControllerCore::Implementation::control (ControlTicket ticket,
                                               const InstanceDeregistration& request)
 {
-    // A late one of an earlier incarnation says nothing about the one that is known.
+    // A late deregistration of an earlier incarnation does not concern the present one.
     const base::UnixMilliseconds startedAt =
         request.startedAt != 0 ? request.startedAt
                                : m_state.instances().lastStartOf (request.instance);
@@ -243,25 +247,26 @@
                                              base::LogIndex /*index*/,
                                              const cell::ApplyResult& /*result*/)
 {
-    awaitLeaving (purpose.ticket, purpose.leaving);
+    awaitLeaveConfirmation (purpose.ticket, purpose.leaving);
 }
 
-void ControllerCore::Implementation::awaitLeaving (ControlTicket ticket, const Leaving& leaving)
+void ControllerCore::Implementation::awaitLeaveConfirmation (ControlTicket ticket,
+                                                             const LeavingInstance& leaving)
 {
-    LeavingWait& wait = m_leader->leavingWaits[leaving];
+    PendingLeave& wait = m_leader->pendingLeaves[leaving];
     wait.tickets.push_back (ticket);
     if (wait.tableVersion != 0)
     {
-        answerLeavingWaits();
+        answerPendingLeaves();
         return;
     }
     m_leader->instanceTable.request();
     sendInstancesIfDue();
 }
 
-void ControllerCore::Implementation::answerLeavingWaits()
+void ControllerCore::Implementation::answerPendingLeaves()
 {
-    for (auto& [leaving, wait] : m_leader->leavingWaits)
+    for (auto& [leaving, wait] : m_leader->pendingLeaves)
     {
         if (wait.tableVersion == 0 || wait.tickets.empty())
             continue;
@@ -301,7 +306,7 @@
     else
         m_leader->instances.refreshChanged (m_state.instances(), m_now);
     refreshEngines (isSweep);
-    publishHoldings (isSweep);
+    publishHeldModels (isSweep);
 }
 
 base::Duration ControllerCore::Implementation::tableInterval (std::size_t routers)
@@ -315,7 +320,7 @@
     return tableInterval (routers) + static_cast<std::int64_t> (rows) * kTableIntervalForRow;
 }
 
-void ControllerCore::Implementation::noteAgreedInstances (const cell::Command& command)
+void ControllerCore::Implementation::recordAppliedInstances (const cell::Command& command)
 {
     InstanceTable& instances = m_leader->instances;
     std::visit (
@@ -336,7 +341,7 @@
 bool ControllerCore::Implementation::sendInstancesToAll (bool mayBeWhole)
 {
     const std::uint64_t present = m_leader->instances.version();
-    for (auto& [leaving, wait] : m_leader->leavingWaits)
+    for (auto& [leaving, wait] : m_leader->pendingLeaves)
     {
         if (wait.tableVersion != 0)
             continue;
@@ -358,7 +363,7 @@
     std::map<std::uint64_t, std::vector<RouterConnection>> behind;
     for (auto& [connection, session] : sessions.sessions())
     {
-        // A router without a table does not wait for one without rows.
+        // A router that holds no table does not need one without rows.
         const bool needsNothing = session.instanceVersion == 0 && table.rows == 0;
         if (session.instanceVersion >= table.version || needsNothing)
             continue;
@@ -397,7 +402,7 @@
     m_leader->instanceSweep.request();
     requestPlacement();
     sendInstancesIfDue();
-    noteHoldingsIfDue();
+    proposeHoldingsIfDue();
     removeSilent();
 }
 
@@ -414,16 +419,16 @@
     }
 }
 
-void ControllerCore::Implementation::noteHoldingsIfDue()
+void ControllerCore::Implementation::proposeHoldingsIfDue()
 {
-    // What a row holds changes with its version only.
+    // The held models of a row change only together with the version of the table.
     const std::uint64_t version = m_leader->instances.version();
-    if (m_now < m_leader->nextHoldingsAt || version == m_leader->notedVersion)
+    if (m_now < m_leader->nextHoldingsAt || version == m_leader->recordedHoldingsVersion)
         return;
     m_leader->nextHoldingsAt = m_now + kHoldingsInterval;
     cell::NoteHoldings command;
     m_leader->instances.visitSince (
-        m_leader->notedVersion,
+        m_leader->recordedHoldingsVersion,
         [&] (const std::string& id, const cell::RoutableInstance* row)
         {
             const cell::ServiceInstance* agreed = m_state.instances().find (id);
@@ -435,7 +440,7 @@
         });
     command.proposedAt = cellTime();
     if (command.holdings.empty() || propose (command, ForNothing{}))
-        m_leader->notedVersion = version;
+        m_leader->recordedHoldingsVersion = version;
 }
 
 std::string ControllerCore::Implementation::ownAdminAddress() const
--- a/src/controller/ControllerLoads.cpp
+++ b/src/controller/ControllerLoads.cpp
@@ -1,6 +1,6 @@
 /**
- * How loads of registered runners go from routers to all routers: reports are added up on their way
- * to the leader, and rows that changed come back the same way. See docs/design/runner-loads.md.
+ * Distribution of the loads of registered runners to all routers: reports are added up on their way
+ * to the leader, and changed rows are sent back on the same way. See docs/design/runner-loads.md.
  */
 
 #include <algorithm>
@@ -13,33 +13,34 @@
 namespace
 {
 
-/// Changes go out together, no more often than this.
+/// Minimum interval between load updates.
 constexpr base::Duration kLoadInterval = base::milliseconds (50);
-/// The same for each row that goes to each receiver.
+/// Additional interval for each row that was sent to each receiver.
 constexpr base::Duration kLoadIntervalForRow = std::chrono::microseconds (1);
-/// The other controllers reach a new leader within this time, and tell it what routers have at
-/// runners. Without the pause routers would be told that most runners are idle.
-constexpr base::Duration kLoadsLearnedAfter = base::milliseconds (300);
-/// Of a lease, which is renewed every third of it: one that was lost on its way is no silence.
+/// Delay before a new leader sends loads. Within it the other controllers connect and report the
+/// requests that routers have at runners; without it most runners would be sent as idle.
+constexpr base::Duration kLoadCollectionDelay = base::milliseconds (300);
+/// Quarters of the lease after which a router counts as silent. Leases are renewed every third of
+/// their length, so that one lost renewal is tolerated.
 constexpr int kSilenceQuarters = 3;
 
 }  // namespace
 
 void ControllerCore::Implementation::shareLoads()
 {
-    leaveOutSilent (m_leader->loadSum, m_leader->sessions);
+    excludeSilent (m_leader->loadSum, m_leader->sessions);
     if (auto report = m_leader->loadSum.takeDue (m_now))
     {
-        learnSpeeds (*report);
+        updateSpeeds (*report);
         m_leader->loads.onReport (*report, m_now);
     }
     for (const RunnerSpeeds::Speed& speed : m_leader->speeds.takeChanged (m_now))
         m_leader->loads.setSpeed (speed.instance, speed.percent);
-    if (m_now - m_leader->since >= kLoadsLearnedAfter)
+    if (m_now - m_leader->since >= kLoadCollectionDelay)
         sendLoadsTo (m_leader->sessions, m_leader->loads, m_leader->nextLoadsAt);
 }
 
-void ControllerCore::Implementation::learnSpeeds (cell::InstanceLoadReport& report)
+void ControllerCore::Implementation::updateSpeeds (cell::InstanceLoadReport& report)
 {
     RunnerSpeeds& speeds = m_leader->speeds;
     for (cell::InstanceSlowdown& slowdown : report.slowdowns)
@@ -61,7 +62,7 @@
     }
 }
 
-void ControllerCore::Implementation::keepEarlierSpeeds (const InstanceLoadTable& loads)
+void ControllerCore::Implementation::restoreSpeeds (const InstanceLoadTable& loads)
 {
     const auto keep = [this] (const cell::InstanceLoad& load)
     {
@@ -74,7 +75,7 @@
 
 void ControllerCore::Implementation::relayLoads()
 {
-    leaveOutSilent (m_relay->loadSum, m_relay->sessions);
+    excludeSilent (m_relay->loadSum, m_relay->sessions);
     sendLoadsTo (m_relay->sessions, m_relay->loads, m_relay->nextLoadsAt);
     if (! m_relay->session.isConnected())
         return;
@@ -82,8 +83,8 @@
         m_effects.emplace_back (SendToLeader{ std::move (*report) });
 }
 
-void ControllerCore::Implementation::leaveOutSilent (InstanceLoadSum& sum,
-                                                     const RouterSessions& sessions) const
+void ControllerCore::Implementation::excludeSilent (InstanceLoadSum& sum,
+                                                    const RouterSessions& sessions) const
 {
     if (sum.reporters() == 0)
         return;
@@ -101,8 +102,8 @@
     std::map<std::uint64_t, std::vector<RouterConnection>> behind;
     for (auto& [connection, session] : sessions.sessions())
     {
-        // A router without loads does not wait for a table without rows. Another controller may
-        // still hold what an earlier leader told it.
+        // A router without loads does not need a table without rows. Another controller may still
+        // hold the loads of an earlier leader.
         const bool needsNothing =
             session.loadVersion == 0 && loads.size() == 0 && ! session.isRelay;
         if (session.loadVersion == loads.version() || needsNothing)
@@ -114,7 +115,7 @@
     for (auto& [version, connections] : behind)
     {
         cell::InstanceLoadUpdate update = loads.updateSince (version, m_now);
-        // All that changed may be gone.
+        // The changed rows may all have been removed.
         if (! update.isWhole && update.loads.empty())
             continue;
         rows += update.loads.size() * connections.size();
@@ -128,10 +129,10 @@
     }
 }
 
-void ControllerCore::Implementation::forgetLoadsOfGone()
+void ControllerCore::Implementation::removeLoadsOfGoneInstances()
 {
-    // A runner that starts again under its id may be another machine's: what the earlier
-    // incarnation had and how fast it was does not hold.
+    // A runner that restarts under its id may be another machine: loads and speed of the earlier
+    // incarnation do not apply to it.
     std::map<std::string, base::UnixMilliseconds>& starts = m_leader->loadStarts;
     const auto isKept = [&] (const std::string& instance)
     {
@@ -143,7 +144,7 @@
     };
     m_leader->loads.keepOnly (isKept);
     m_leader->speeds.keepOnly (isKept);
-    // Ten times a second for thousands of runners: the copy is made anew only when it differs.
+    // Runs ten times a second for thousands of runners: the copy is rebuilt only when it differs.
     const auto& instances = m_state.instances().all();
     const auto isSame = [] (const auto& start, const auto& item)
     { return start.first == item.first && start.second == item.second.startedAt; };
--- a/src/controller/ControllerMembers.cpp
+++ b/src/controller/ControllerMembers.cpp
@@ -1,4 +1,4 @@
-// Changes of the members that the leader makes by itself.
+// Membership changes that the leader makes without an operator.
 
 #include <algorithm>
 
@@ -48,7 +48,7 @@
             m_leader->proposals.emplace (index, ForOwnMembers{});
             return {};
         },
-        [] (const base::Error&) {});  // Not possible now; the next routine tries again.
+        [] (const base::Error&) {});  // The change is not possible now; the next routine retries.
 }
 
 void ControllerCore::Implementation::finish (const ForOwnMembers& /*purpose*/,
--- a/src/controller/ControllerMetrics.cpp
+++ b/src/controller/ControllerMetrics.cpp
@@ -1,4 +1,4 @@
-// Text of /metrics that only the core knows.
+// Metrics of the core, as text of /metrics.
 
 #include <algorithm>
 #include <string_view>
@@ -121,7 +121,7 @@
     addCounter (text, "replica_updates_total", "Replica tables sent to routers.", c.replicaUpdates);
     addCounter (text, "placement_rounds_total", "Runs of the placement policy.", c.placementRounds);
     addCounter (text, "stray_replicas_total", "Replicas that engines held without a decision.",
-                c.strayReplicas);
+                c.orphanedReplicas);
     addCounter (text, "leaderships_total", "Terms in which this controller led.", c.leaderships);
     addGauge (text, "leading", "1 while this controller leads.", m_leader ? 1 : 0);
     addGauge (text, "term", "Current term.", m_status.term);
--- a/src/controller/ControllerPlacement.cpp
+++ b/src/controller/ControllerPlacement.cpp
@@ -1,4 +1,4 @@
-// Runs placement on the leader's view and proposes its decisions.
+// Runs the placement policy on the leader's view of the cell and proposes its decisions.
 
 #include <algorithm>
 #include <utility>
@@ -10,7 +10,8 @@
 namespace
 {
 
-/// Demand of many routers that comes within this time is placed in one round.
+/// Minimum time between placement rounds, so that the demand of many routers that arrives within it
+/// is placed in one round.
 constexpr base::Duration kPlacementSpacing = base::milliseconds (20);
 
 }  // namespace
@@ -44,7 +45,7 @@
         if (m_now < failure.avoidedUntil)
             snapshot.avoided.insert (key);
     }
-    forgetGoneReplicas();
+    removeStaleReplicaRecords();
     addRunnerViews (snapshot);
     addReplicaViews (snapshot);
     if (snapshot.catalogue != nullptr)
@@ -114,7 +115,7 @@
     }
 }
 
-void ControllerCore::Implementation::forgetGoneReplicas()
+void ControllerCore::Implementation::removeStaleReplicaRecords()
 {
     const auto isGone = [&] (const auto& entry)
     { return m_state.replicas().findReplica (entry.first) == nullptr; };
@@ -125,7 +126,8 @@
 bool ControllerCore::Implementation::loadsFromStore (const cell::Replica& replica) const
 {
     const RunnerSight* sight = m_leader->watch.find (replica.runner);
-    // Of a load that began under an earlier leader only the worst can be assumed.
+    // A load that began under an earlier leader is assumed to use the store, which is the worst
+    // case.
     if (sight == nullptr || replica.decidedAt < m_leader->unixSince)
         return true;
     return sight->checkpoints.count (replica.target()) == 0;
--- a/src/controller/ControllerProcess.cpp
+++ b/src/controller/ControllerProcess.cpp
@@ -17,10 +17,10 @@
 {
 
 constexpr base::milliseconds kTickInterval (10);
-/// An event loop with hundreds of ready sockets comes to its timers late: then inputs tick too, so
-/// that heartbeats to the other members leave in time.
+/// Longest time between ticks. Timers fire late in an event loop with hundreds of ready sockets;
+/// after this time an input ticks too, so that heartbeats to the other members are sent in time.
 constexpr base::Duration kLongestTickPause = base::milliseconds (30);
-constexpr base::Duration kLeaderlessBeforeAsking = base::seconds (2);
+constexpr base::Duration kLeaderlessTimeBeforeJoinRequest = base::seconds (2);
 constexpr base::Duration kEngineCallTimeout = base::milliseconds (300);
 constexpr double kMicrosecondsInSecond = 1e6;
 
@@ -93,7 +93,7 @@
     if (! protocol.control || m_settings.controlAddress.host.empty())
         return;
     const auto onUnusable = [this] (std::string_view source, std::string_view reason)
-    { noteUnusable (source, reason); };
+    { recordUnusable (source, reason); };
     m_engines = std::make_unique<EngineClient> (protocol.engine, kEngineCallTimeout, onUnusable);
     m_control = std::make_unique<ControlHttp> (
         protocol.control,
@@ -119,8 +119,8 @@
                       {
                           if (! m_isFinished)
                               tick();
-                          noteLeadership();
-                          noteRelay();
+                          logLeadershipChange();
+                          logRelayChange();
                           checkStop();
                       });
     m_ticker.setTimerType (Qt::PreciseTimer);
@@ -145,7 +145,7 @@
     cell::MemberJoinRequest request{ base::CellId (m_settings.cell), selfMember (m_settings),
                                      m_settings.isFounding };
     CellJoiner::Handlers handlers;
-    handlers.mustAsk = [this] { return mustAskToJoin(); };
+    handlers.mustRequest = [this] { return mustRequestToJoin(); };
     handlers.controllers = [this] { return knownControllers(); };
     handlers.onLeaderFound = [this] (const std::string& address)
     { feed ([&] (ControllerCore& core) { core.addContact (address); }); };
@@ -153,14 +153,14 @@
     m_joiner->start();
 }
 
-bool ControllerProcess::mustAskToJoin() const
+bool ControllerProcess::mustRequestToJoin() const
 {
     const consensus::RaftStatus status = m_core->raftStatus();
     const auto self = static_cast<base::MemberId> (m_settings.id);
     if (! consensus::isVoter (status.members, self))
         return true;
-    // A voter that hears no leader for long may have been removed without having learnt it.
-    return status.leader == 0 && m_clock.now() - m_leaderSeenAt > kLeaderlessBeforeAsking;
+    // A voter without contact to a leader for long may have been removed without being notified.
+    return status.leader == 0 && m_clock.now() - m_leaderSeenAt > kLeaderlessTimeBeforeJoinRequest;
 }
 
 std::vector<base::SocketAddress> ControllerProcess::knownControllers() const
@@ -275,10 +275,10 @@
             [this] (const placement::SendEngineOrder& send) { sendEngineOrder (send); },
             [this] (const placement::PollEngine& poll) { pollEngine (poll); },
             [] (const placement::EngineOrderDone& done) { logDone (done); },
-            [] (const ConfigurationNews& news) { logNews (news); },
+            [] (const ConfigurationNews& news) { logConfigurationEvent (news); },
             [] (const RequestQuarantined& quarantined) { logQuarantine (quarantined.suspect); },
             [this] (const RunnerMessageUnusable& message)
-            { noteUnusable (message.instance, message.reason); },
+            { recordUnusable (message.instance, message.reason); },
         },
         effect);
 }
@@ -369,13 +369,13 @@
 
 void ControllerProcess::onMemberMessage (const consensus::Message& message)
 {
-    // An address may have belonged to another member before: its messages are not for this one.
+    // The address may have belonged to another member, whose messages are not for this one.
     if (message.to != static_cast<base::MemberId> (m_settings.id))
         return;
     feed ([&] (ControllerCore& core) { core.onMemberMessage (message); });
 }
 
-void ControllerProcess::noteUnusable (std::string_view source, std::string_view reason)
+void ControllerProcess::recordUnusable (std::string_view source, std::string_view reason)
 {
     m_unusableMessages.add();
     log::write (log::Event::kRunnerMessageUnusable, { { "source", source }, { "error", reason } });
@@ -389,7 +389,7 @@
     finish (base::traitsOf (error.kind).exitCode);
 }
 
-void ControllerProcess::noteLeadership()
+void ControllerProcess::logLeadershipChange()
 {
     const consensus::RaftSummary status = m_core->raftSummary();
     if (status.leader != 0)
@@ -411,7 +411,7 @@
     m_lastLeader = status.leader;
 }
 
-void ControllerProcess::noteRelay()
+void ControllerProcess::logRelayChange()
 {
     const RelayStatus status = m_core->relayStatus();
     if (status.mayServe == m_lastRelayServes)
--- a/src/controller/ControllerProcess.h
+++ b/src/controller/ControllerProcess.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// One controller as a process: carries out the effects of ControllerCore on sockets, disk and
-/// timers.
+/// Process of one controller: carries out the effects of ControllerCore on sockets, disk and
+/// timers, and feeds the results back into it.
 
 #include <QObject>
 #include <QTimer>
@@ -27,40 +27,40 @@
 namespace fernlift::controller
 {
 
-/// Lives on the thread of the Qt event loop; only StorageThread has a thread of its own.
+/// Runs on the thread of the Qt event loop; only StorageThread has a thread of its own.
 class ControllerProcess
 {
 public:
-    /// Protocols of registered services; null: there is no control interface.
+    /// Protocols of registered services; null pointers: there is no control interface.
     struct ServiceProtocol
     {
         std::shared_ptr<const ControlCodec> control;
         std::shared_ptr<const EngineCodec> engine;
     };
 
-    /// `onFinished` is called once with the exit code, when a planned stop is done or the disk
+    /// `onFinished` is called once, with the exit code, when a planned stop is complete or the disk
     /// failed.
     ControllerProcess (ControllerSettings settings, const ServiceProtocol& protocol,
                        std::function<void (int exitCode)> onFinished);
 
     /// Opens the data folder, recovers, then listens.
     base::Result<void> start();
-    /// Takes over what may change while the process runs: the seeds.
+    /// Applies the settings that may change while the process runs: the seeds.
     void reload (const ControllerSettings& changed) { m_settings.seeds = changed.seeds; }
-    /// Begins a planned stop: hands leadership over and answers what is open. A second call ends it
-    /// at once.
+    /// Begins a planned stop: transfers leadership and answers the pending requests. A second call
+    /// ends the process at once.
     void beginStop();
 
 private:
     void createCore (consensus::RecoveredState recovered);
     base::Result<void> listen();
     void startJoiner();
-    [[nodiscard]] bool mustAskToJoin() const;
+    [[nodiscard]] bool mustRequestToJoin() const;
     [[nodiscard]] std::vector<base::SocketAddress> knownControllers() const;
     void createMetrics();
     [[nodiscard]] std::string storageMetrics() const;
 
-    /// Gives one input to the core and carries out the effects.
+    /// Passes one input to the core and carries out the effects.
     void feed (const std::function<void (ControllerCore& core)>& input);
     void tick();
     void carryOutEffects();
@@ -74,12 +74,13 @@
     void sendEngineOrder (const placement::SendEngineOrder& effect);
     void pollEngine (const placement::PollEngine& effect);
     void onMemberMessage (const consensus::Message& message);
-    /// A message in a runner's name was dropped; `source`: who it claims to be, or which call.
-    void noteUnusable (std::string_view source, std::string_view reason);
+    /// Logs and counts a message in a runner's name that was dropped; `source` is the claimed
+    /// sender or the path of the call.
+    void recordUnusable (std::string_view source, std::string_view reason);
     void onStorageFailed (const base::Error& error);
     /// Logs when this member can no longer serve routers on behalf of the leader, or can again.
-    void noteRelay();
-    void noteLeadership();
+    void logRelayChange();
+    void logLeadershipChange();
     void checkStop();
     void finish (int exitCode);
 
@@ -91,11 +92,13 @@
     http::Counter& m_unusableMessages =
         m_metrics.counter ("fernlift_controller_runner_messages_unusable_total",
                            "Messages in runners' names that could not be used.");
-    std::unique_ptr<storage::Storage> m_openedStorage;  ///< Until the storage thread takes it.
+    std::unique_ptr<storage::Storage>
+        m_openedStorage;  ///< Set until the storage thread takes it over.
     std::optional<ControllerCore> m_core;
     PeerTransport m_transport;
     RunnerClient m_runners;
-    cell::ControllerLink m_leaderLink;  ///< On which this controller acts for its routers.
+    cell::ControllerLink
+        m_leaderLink;  ///< Connection on which this controller acts for its routers.
     PeerListener m_listener;
     AdminHttp m_admin;
     std::unique_ptr<ControlHttp> m_control;   ///< Null without a control interface.
@@ -103,7 +106,7 @@
     std::unique_ptr<CellJoiner> m_joiner;     ///< Null when an operator manages the members.
     base::TimePoint m_leaderSeenAt{};
     base::SuspensionWatch m_suspensions;
-    base::TimePoint m_tickedAt{};  ///< When the core was last told of the time alone.
+    base::TimePoint m_tickedAt{};  ///< Time of the last tick of the core.
     std::optional<base::TimePoint> m_stopDeadline;
     bool m_isFinished = false;
     consensus::Role m_lastRole = consensus::Role::kFollower;
@@ -111,7 +114,8 @@
     base::MemberId m_lastLeader = 0;
     QObject m_context;
     QTimer m_ticker;
-    std::unique_ptr<StorageThread> m_storage;  ///< Last member: its thread ends first.
+    std::unique_ptr<StorageThread>
+        m_storage;  ///< Last member: its thread ends before the others are destroyed.
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/ControllerProposals.cpp
+++ b/src/controller/ControllerProposals.cpp
@@ -1,6 +1,7 @@
 /**
- * Proposals of the leader: what is written down of each until it is committed, and what follows
- * then. Those about configurations, instances and members end in the files of these duties.
+ * Proposals of the leader: which purpose is recorded for each until it is committed, and what
+ * follows the commit. Commits about configurations, instances and members are handled in the files
+ * of these duties.
  */
 
 #include <utility>
@@ -54,7 +55,7 @@
     }
     else
     {
-        // The replica that was unloaded carries this index as its fence.
+        // The replica that is unloaded has this log index as its fence.
         for (const auto& [id, replica] : m_state.replicas().replicas())
         {
             if (replica.fence == index)
@@ -72,7 +73,7 @@
                             || outcome.outcome == cell::ConfigurationOutcome::kUnchanged;
     if (purpose.waitInForce && isAccepted)
     {
-        m_leader->inForceWaits.push_back ({ purpose.ticket, outcome, purpose.deadline });
+        m_leader->pendingApplies.push_back ({ purpose.ticket, outcome, purpose.deadline });
     }
     else
     {
@@ -133,13 +134,13 @@
     }
 }
 
-void ControllerCore::Implementation::finish (const ForStray& purpose, base::LogIndex index,
+void ControllerCore::Implementation::finish (const ForOrphan& purpose, base::LogIndex index,
                                              const cell::ApplyResult& /*result*/)
 {
-    const StrayReplica& stray = purpose.stray;
+    const OrphanedReplica& stray = purpose.stray;
     const std::pair key (stray.runner, stray.report.replica);
-    m_leader->busyStrays.erase (key);
-    m_leader->strayPauses[key] = m_now + m_options.orderTimeout;
+    m_leader->busyOrphans.erase (key);
+    m_leader->orphanUnloadDelays[key] = m_now + m_options.orderTimeout;
     engine::Order order;
     order.kind = stray.report.adapter.empty() ? engine::OrderKind::kUnloadModel
                                               : engine::OrderKind::kUnloadAdapter;
--- a/src/controller/ControllerQuarantine.cpp
+++ b/src/controller/ControllerQuarantine.cpp
@@ -1,7 +1,8 @@
 /**
- * Requests under which runners ended: the leader puts what routers report into the log, and every
- * member tells its routers what it has applied, so that an end is known at all routers within some
- * tens of milliseconds and outlives leaders. See docs/design/quarantine.md.
+ * Quarantine of requests at which runners crashed. The leader puts the crashes that routers report
+ * into the log, and every member sends its routers the suspects that it has applied, so that a
+ * crash is known at all routers within some tens of milliseconds and survives a change of the
+ * leader. See docs/design/quarantine.md.
  */
 
 #include <algorithm>
@@ -14,22 +15,23 @@
 namespace
 {
 
-/// Ends that come together, as those under all requests of a crashed runner do, go out together.
+/// Interval of suspect updates, so that crashes that arrive together, such as those for all
+/// requests of one runner, are sent together.
 constexpr base::Duration kSuspectInterval = base::milliseconds (10);
-/// A commit takes some 20 ms, but as long as the disks do when they are slow: beside a busy disk
-/// 0.85 s, in which two runners more ended. Routers hear of what takes longer than this before it
-/// is agreed on.
-constexpr base::Duration kHintAfter = base::milliseconds (30);
-/// An end that was not applied by then never will be: the router tells it again, if it has not
-/// given up.
-constexpr base::Duration kUnsettledLifetime = base::seconds (5);
-/// How often the leader looks for suspects whose lifetime, minutes, is over.
+/// Time after which routers are notified of a crash that is not committed yet. A commit takes about
+/// 20 ms, but as long as the disks when these are slow: 0.85 s beside a busy disk, in which two
+/// more runners crashed.
+constexpr base::Duration kAnnouncementDelay = base::milliseconds (30);
+/// A crash that was not applied within this time will not be applied: the router reports it again
+/// unless it has given up.
+constexpr base::Duration kUnappliedCrashLifetime = base::seconds (5);
+/// Interval of the search for expired suspects, whose lifetime is minutes.
 constexpr base::Duration kExpiryInterval = base::seconds (10);
 
 }  // namespace
 
-void ControllerCore::Implementation::noteReporter (RouterSession& session,
-                                                   const cell::SuspectReport& report)
+void ControllerCore::Implementation::recordReporter (RouterSession& session,
+                                                     const cell::SuspectReport& report)
 {
     for (const cell::RunnerEndReport& end : report.ends)
         session.reportedSuspects[end.request.digest] = m_now;
@@ -42,11 +44,11 @@
     for (const cell::RunnerEndReport& end : report.ends)
     {
         const cell::Suspect* known = table.find (end.request.digest);
-        const bool isNews = known == nullptr || ! known->contains (end.instance);
-        // One that was leaving ended by its plan.
-        if (! isNews || isLeaving (end.instance))
+        const bool isNew = known == nullptr || ! known->contains (end.instance);
+        // The end of a runner that was leaving is no crash.
+        if (! isNew || isLeaving (end.instance))
             continue;
-        m_leader->unsettledEnds.push_back ({ end, m_now, false });
+        m_leader->unappliedCrashes.push_back ({ end, m_now, false });
         const base::UnixMilliseconds now = cellTime();
         m_leader->suspects.ends.push_back ({ end.request, end.instance,
                                              now - end.sentAgoMilliseconds,
@@ -83,28 +85,29 @@
     propose (command, ForNothing{});
 }
 
-void ControllerCore::Implementation::hintAtSuspects()
+void ControllerCore::Implementation::announceLateCrashes()
 {
-    std::erase_if (m_leader->unsettledEnds, [this] (const UnsettledEnd& end)
-                   { return m_now - end.receivedAt >= kUnsettledLifetime; });
-    const bool isAnyLate =
-        std::ranges::any_of (m_leader->unsettledEnds, [this] (const UnsettledEnd& end)
-                             { return ! end.isHinted && m_now - end.receivedAt >= kHintAfter; });
+    std::erase_if (m_leader->unappliedCrashes, [this] (const UnappliedCrash& end)
+                   { return m_now - end.receivedAt >= kUnappliedCrashLifetime; });
+    const bool isAnyLate = std::ranges::any_of (
+        m_leader->unappliedCrashes, [this] (const UnappliedCrash& end)
+        { return ! end.isAnnounced && m_now - end.receivedAt >= kAnnouncementDelay; });
     if (! isAnyLate)
         return;
-    std::map<std::string, std::set<std::string>> instances;  // By digest.
-    for (const UnsettledEnd& end : m_leader->unsettledEnds)
+    std::map<std::string, std::set<std::string>>
+        instances;  // Crashed instances by fingerprint of the request.
+    for (const UnappliedCrash& end : m_leader->unappliedCrashes)
         instances[end.report.request.digest].insert (end.report.instance);
     cell::SuspectReport hint;
-    for (UnsettledEnd& end : m_leader->unsettledEnds)
+    for (UnappliedCrash& end : m_leader->unappliedCrashes)
     {
         const std::string& digest = end.report.request.digest;
         const bool isRepeated =
             instances[digest].size() > 1 || m_state.quarantine().find (digest) != nullptr;
         const base::Duration age = m_now - end.receivedAt;
-        if (end.isHinted || ! isRepeated)
+        if (end.isAnnounced || ! isRepeated)
             continue;
-        end.isHinted = true;
+        end.isAnnounced = true;
         cell::RunnerEndReport report = end.report;
         report.sentAgoMilliseconds += base::toMilliseconds (age);
         report.endedAgoMilliseconds += base::toMilliseconds (age);
@@ -123,10 +126,10 @@
     m_effects.emplace_back (BroadcastToRouters{ std::move (connections), std::move (message) });
 }
 
-void ControllerCore::Implementation::noteSuspects (const cell::NoteSuspects& command)
+void ControllerCore::Implementation::onSuspectsApplied (const cell::NoteSuspects& command)
 {
-    std::erase_if (m_leader->unsettledEnds,
-                   [&] (const UnsettledEnd& end)
+    std::erase_if (m_leader->unappliedCrashes,
+                   [&] (const UnappliedCrash& end)
                    {
                        const cell::Suspect* suspect =
                            m_state.quarantine().find (end.report.request.digest);
@@ -135,16 +138,16 @@
     for (const cell::RunnerEnd& end : command.ends)
     {
         const cell::Suspect* suspect = m_state.quarantine().find (end.request.digest);
-        const bool isNews = suspect != nullptr && suspect->isInQuarantine()
-                            && suspect->ends.back().instance == end.instance;
-        if (isNews)
+        const bool isNewlyQuarantined = suspect != nullptr && suspect->isInQuarantine()
+                                        && suspect->ends.back().instance == end.instance;
+        if (isNewlyQuarantined)
             m_effects.emplace_back (RequestQuarantined{ *suspect });
     }
 }
 
 void ControllerCore::Implementation::sendSuspectsTo (RouterSessions& sessions)
 {
-    // Called after each input: as long as nothing ends under requests it costs no look at routers.
+    // Called after each input: without changes it must not iterate over the routers.
     const base::LogIndex version = m_state.quarantine().version();
     if (std::exchange (m_suspectsVersion, version) != version)
         m_suspectsSend.request();
@@ -153,10 +156,10 @@
     std::map<base::LogIndex, std::vector<RouterConnection>> behind;
     for (auto& [connection, session] : sessions.sessions())
     {
-        // Another controller has them from the log.
+        // Another controller gets the suspects from the log.
         if (session.isRelay)
             continue;
-        answerReporter (connection, session);
+        sendReportedSuspects (connection, session);
         if (! session.reportedSuspects.empty())
             m_suspectsSend.request();
         if (session.suspectVersion >= version)
@@ -173,8 +176,8 @@
     }
 }
 
-void ControllerCore::Implementation::answerReporter (RouterConnection connection,
-                                                     RouterSession& session)
+void ControllerCore::Implementation::sendReportedSuspects (RouterConnection connection,
+                                                           RouterSession& session)
 {
     if (session.reportedSuspects.empty())
         return;
@@ -185,13 +188,13 @@
                        const auto& [digest, reportedAt] = reported;
                        const cell::Suspect* suspect = m_state.quarantine().find (digest);
                        if (suspect == nullptr)
-                           return m_now - reportedAt >= kUnsettledLifetime;
+                           return m_now - reportedAt >= kUnappliedCrashLifetime;
                        update.upserts.push_back (suspect->row());
                        return true;
                    });
     if (update.upserts.empty())
         return;
-    // Some rows, and not the whole table: also to a router that was sent nothing yet.
+    // The update has single rows, not the whole table, also for a router without a table.
     update.fromVersion = std::max<base::LogIndex> (session.suspectVersion, 1);
     update.toVersion = m_state.quarantine().version();
     sendToRouter (connection, std::move (update));
--- a/src/controller/ControllerRates.cpp
+++ b/src/controller/ControllerRates.cpp
@@ -1,7 +1,7 @@
 /**
- * How all routers keep together to the rates that runners state: the leader collects what runners
- * stated, tells every router which are limited and grants permits for requests to them. Controllers
- * that do not lead pass it on. See docs/design/runner-rates.md.
+ * Enforcement of the rates that runners state over all routers: the leader collects the stated
+ * rates, sends every router the rate-limited runners and grants permits for requests to them.
+ * Controllers that do not lead forward these messages. See docs/design/runner-rates.md.
  */
 
 #include <algorithm>
@@ -14,9 +14,9 @@
 namespace
 {
 
-/// The whole table goes to every router when it changes: no more often than this.
+/// Minimum interval between rate tables, which are sent whole to every router.
 constexpr base::Duration kTableInterval = base::milliseconds (20);
-/// The same for each row that goes to each receiver.
+/// Additional interval for each row that was sent to each receiver.
 constexpr base::Duration kTableIntervalForRow = std::chrono::microseconds (1);
 
 bool readsRates (const RouterSession& session)
@@ -38,9 +38,9 @@
     return m_leader ? m_leader->rates.version() : m_relay->rates.version();
 }
 
-void ControllerCore::Implementation::greetWithRates (RouterConnection connection,
-                                                     RouterSession& session,
-                                                     const cell::RouterHello& hello)
+void ControllerCore::Implementation::sendInitialRates (RouterConnection connection,
+                                                       RouterSession& session,
+                                                       const cell::RouterHello& hello)
 {
     session.features = hello.features;
     if (readsRates (session))
@@ -49,8 +49,8 @@
 
 void ControllerCore::Implementation::sendRatesTo (const RouterSessions& sessions, RateNews& news)
 {
-    // Called after each input: while the table stays as it is this costs no look at routers, who
-    // all got it with their greeting or since.
+    // Called after each input: while the table is unchanged it must not iterate over the routers,
+    // which all got the table when they connected or later.
     const std::uint64_t version = rateTableVersion();
     if (news.sentVersion == version || m_now < news.nextAt)
         return;
@@ -82,7 +82,7 @@
 void ControllerCore::Implementation::grantPermits (RouterConnection connection,
                                                    const cell::InstancePermitRequest& request)
 {
-    // Another member may lead by now and grant from buckets of its own.
+    // Another member may be the leader by now and grant from its own buckets.
     if (! holdsLease())
         return;
     sendToRouter (connection,
@@ -102,7 +102,7 @@
         m_leader->rates.setShare (std::min (1.0, static_cast<double> (asking) / all), m_now);
 }
 
-void ControllerCore::Implementation::tellPlacementOfRates()
+void ControllerCore::Implementation::updatePlacementRates()
 {
     if (std::exchange (m_leader->placedRates, m_leader->rates.version())
         == m_leader->rates.version())
@@ -114,7 +114,7 @@
     m_leader->enginePlacement.request();
 }
 
-void ControllerCore::Implementation::forgetRatesOfGone()
+void ControllerCore::Implementation::removeRatesOfGoneInstances()
 {
     m_leader->rates.keepOnly (
         [this] (const cell::InstanceRate& rate)
@@ -131,7 +131,8 @@
     const auto* permits = std::get_if<cell::InstancePermitRequest> (&message);
     if (report == nullptr && permits == nullptr)
         return false;
-    // Without a leader that reads it a router hears nothing, and sends nothing to limited runners.
+    // Without a leader that handles rates, a router gets no permits and sends nothing to limited
+    // runners.
     if (! m_relay->session.isConnected() || ! m_relay->rates.isLeaderGranting())
         return true;
     if (report != nullptr)
@@ -142,17 +143,17 @@
     return true;
 }
 
-void ControllerCore::Implementation::takeLeaderRates (const cell::ControllerToRouter& message)
+void ControllerCore::Implementation::applyLeaderRates (const cell::ControllerToRouter& message)
 {
     if (const auto* update = std::get_if<cell::InstanceRateUpdate> (&message))
         m_relay->rates.onUpdate (*update, m_now);
     else if (const auto* grant = std::get_if<cell::InstancePermitGrant> (&message))
-        passPermitsOn (*grant);
+        forwardPermits (*grant);
     else if (! std::holds_alternative<cell::NotLeaderReply> (message))
         m_relay->rates.onOtherMessage();
 }
 
-void ControllerCore::Implementation::passPermitsOn (const cell::InstancePermitGrant& grant)
+void ControllerCore::Implementation::forwardPermits (const cell::InstancePermitGrant& grant)
 {
     if (auto answer = m_relay->rates.onGrant (grant))
         sendToRouter (answer->router, std::move (answer->grant));
--- a/src/controller/ControllerRelay.cpp
+++ b/src/controller/ControllerRelay.cpp
@@ -1,7 +1,7 @@
 /**
- * Duties of a member that does not lead: it serves routers and takes heartbeats on behalf of the
- * leader, so that the leader's work grows with the controllers and not with the routers. See
- * RouterRelay.h.
+ * Duties of a member that does not lead: it serves routers and accepts heartbeats on behalf of the
+ * leader, so that the leader's work grows with the number of controllers and not with the number of
+ * routers. See RouterRelay.h.
  */
 
 #include <algorithm>
@@ -14,15 +14,17 @@
 namespace
 {
 
-/// The lease of the leader is renewed this often, so that those passed on are nearly as long.
+/// Interval at which the lease of the leader is renewed; short, so that the leases passed on are
+/// nearly as long.
 constexpr base::Duration kRenewInterval = base::milliseconds (250);
-/// Without a leader plain heartbeats are taken and kept for so long: it is elected within 0.6 s,
-/// and a runner that is turned away opens connections to one controller after the other. Well below
-/// the 3.5 s after which the leader calls a runner silent, should this member be cut off.
-constexpr base::Duration kHeartbeatsKeptFor = base::milliseconds (1500);
-/// The same while consensus hears from a leader: turned away, the runners of all members would call
-/// the new leader at the time when it learns what it needs to serve.
-constexpr base::Duration kHeartbeatsKeptForLeader = base::milliseconds (3000);
+/// Time without a connection to the leader for which heartbeats are still accepted and kept. An
+/// election takes up to 0.6 s, and a runner that is turned away opens connections to one controller
+/// after the other. It is well below the 3.5 s after which the leader considers a runner silent, in
+/// case this member is cut off.
+constexpr base::Duration kHeartbeatRetention = base::milliseconds (1500);
+/// The same time while consensus has a leader. Otherwise the runners of all members would turn to
+/// the new leader while it is still collecting what it needs to serve.
+constexpr base::Duration kHeartbeatRetentionWithLeader = base::milliseconds (3000);
 
 }  // namespace
 
@@ -55,7 +57,7 @@
     }
     else if (const auto* suspects = std::get_if<cell::SuspectReport> (&message))
     {
-        noteReporter (*session, *suspects);
+        recordReporter (*session, *suspects);
         if (m_relay->session.isConnected())
             m_effects.emplace_back (SendToLeader{ message });
     }
@@ -76,8 +78,8 @@
     if (! mayServe)
         return false;
     RouterSession& session = m_relay->sessions.open (connection, hello, m_now);
-    greetWithRates (connection, session, hello);
-    takeInstanceVersion (session, hello, m_relay->instances.term());
+    sendInitialRates (connection, session, hello);
+    applyInstanceVersion (session, hello, m_relay->instances.term());
     if (! m_relay->instances.hasTable() && hello.configurationVersion == 0)
     {
         sendLastKnownState (connection);
@@ -91,12 +93,12 @@
     return true;
 }
 
-void ControllerCore::Implementation::takeInstanceVersion (RouterSession& session,
-                                                          const cell::RouterHello& hello,
-                                                          base::Term term)
+void ControllerCore::Implementation::applyInstanceVersion (RouterSession& session,
+                                                           const cell::RouterHello& hello,
+                                                           base::Term term)
 {
-    // A router that comes from another controller goes on with the table that it has, also when it
-    // is newer than the one here: an older one would show runners that have left since.
+    // A router that comes from another controller continues with the table it holds, also when that
+    // is newer than the one here: an older one would contain runners that have left since.
     if (hello.instanceTerm == term)
         session.instanceVersion = hello.instanceVersion;
 }
@@ -117,19 +119,19 @@
         m_relay->configurationSend.request();
     if (session.instanceVersion != m_relay->instances.version())
         m_relay->instanceTable.request();
-    passLeaseOn (connection, session, request);
-    stateIfNews();
+    forwardLease (connection, session, request);
+    requestLeaseIfConfirmed();
 }
 
-void ControllerCore::Implementation::passLeaseOn (RouterConnection connection,
-                                                  RouterSession& session,
-                                                  const cell::LeaseRequest& request)
+void ControllerCore::Implementation::forwardLease (RouterConnection connection,
+                                                   RouterSession& session,
+                                                   const cell::LeaseRequest& request)
 {
     const base::TimePoint end = relayedLeaseEnd();
     if (end <= m_now)
     {
         ++m_counters.leasesWithheld;
-        // Once it had a lease, another controller may still have one.
+        // After a lease has expired here, another controller may still have one.
         if (end != base::TimePoint{})
             sendToRouter (connection, cell::NotLeaderReply{});
         else
@@ -148,15 +150,15 @@
     sendToRouter (connection, std::move (grant));
 }
 
-/// The leader may wait to hear of what a router has just stated.
-void ControllerCore::Implementation::stateIfNews()
+/// The leader may be waiting for confirmations that routers have just sent.
+void ControllerCore::Implementation::requestLeaseIfConfirmed()
 {
     const std::uint64_t version = m_state.configuration().identity().version;
-    const bool isNews =
+    const bool hasAdvanced =
         m_relay->sessions.confirmedVersion (version, {}, m_now) > m_relay->statedVersion
         || m_relay->sessions.confirmedInstanceVersion (m_relay->instances.version(), m_now)
                > m_relay->statedInstanceVersion;
-    if (isNews)
+    if (hasAdvanced)
         m_relay->session.requestSoon (m_now);
 }
 
@@ -173,13 +175,13 @@
 {
     m_relay->hasRunners = true;
     const cell::ServiceInstance* known = m_state.instances().find (heartbeat.instance.id);
-    // The acknowledgement of a drain is a promise, and the leader's to give.
+    // The acknowledgement of a drain is a guarantee that only the leader can give.
     const bool isPlain =
         ! heartbeat.instance.isDraining && (known == nullptr || ! known->isDraining);
-    const base::Duration keptFor =
-        m_status.leader != 0 ? kHeartbeatsKeptForLeader : kHeartbeatsKeptFor;
+    const base::Duration retention =
+        m_status.leader != 0 ? kHeartbeatRetentionWithLeader : kHeartbeatRetention;
     const bool mayKeep =
-        m_relay->session.isConnected() || m_now - m_relay->leaderlessSince < keptFor;
+        m_relay->session.isConnected() || m_now - m_relay->leaderlessSince < retention;
     if (! isPlain || ! mayKeep)
         return false;
     const bool isKnown = known != nullptr && ! m_state.instances().isNews (heartbeat.instance);
@@ -224,10 +226,10 @@
     if (std::holds_alternative<cell::ConnectController> (*due))
         m_effects.emplace_back (ConnectToLeader{ address });
     else
-        stateToLeader (std::get<cell::LeaseRequest> (*due));
+        sendStateToLeader (std::get<cell::LeaseRequest> (*due));
 }
 
-void ControllerCore::Implementation::stateToLeader (cell::LeaseRequest request)
+void ControllerCore::Implementation::sendStateToLeader (cell::LeaseRequest request)
 {
     const cell::ConfigurationIdentity& applied = m_state.configuration().identity();
     request.configurationVersion = m_relay->sessions.confirmedVersion (applied.version, {}, m_now);
@@ -283,10 +285,10 @@
     if (m_leader)
         return;
     m_relay->session.onHeard (m_now);
-    takeLeaderRates (message);
+    applyLeaderRates (message);
     if (std::holds_alternative<cell::NotLeaderReply> (message))
     {
-        // This member hears from the others who leads.
+        // This member gets the identity of the leader from consensus.
         m_relay->session.onNotLeader ({}, m_now, m_relay->random);
     }
     else if (const auto* grant = std::get_if<cell::LeaseGrant> (&message))
@@ -296,7 +298,7 @@
         for (const auto& [connection, request] : std::exchange (m_relay->unanswered, {}))
         {
             if (RouterSession* session = m_relay->sessions.find (connection))
-                passLeaseOn (connection, *session, request);
+                forwardLease (connection, *session, request);
         }
     }
     else if (const auto* quota = std::get_if<cell::QuotaGrant> (&message))
@@ -306,7 +308,7 @@
     }
     else if (const auto* instances = std::get_if<cell::InstanceUpdate> (&message))
     {
-        takeRelayedInstances (*instances);
+        applyRelayedInstances (*instances);
     }
     else if (const auto* loads = std::get_if<cell::InstanceLoadUpdate> (&message))
     {
@@ -319,12 +321,13 @@
     runRelay();
 }
 
-void ControllerCore::Implementation::takeRelayedInstances (const cell::InstanceUpdate& update)
+void ControllerCore::Implementation::applyRelayedInstances (const cell::InstanceUpdate& update)
 {
     const base::Term earlier = m_relay->instances.term();
     if (! m_relay->instances.apply (update))
     {
-        // A gap: a new connection gets the whole table. Until then what routers must have stands.
+        // Updates were missed: a new connection gets the whole table. Until then the version that
+        // routers must hold stays in force.
         m_relay->needsWholeTable = true;
         m_relay->session.onLost (m_now, m_relay->random);
         return;
@@ -358,7 +361,8 @@
         m_relay->wholeTable.request();
 }
 
-/// This member leads from now on. Its routers find another controller well within their leases.
+/// Called when this member becomes the leader. Its routers find another controller well within
+/// their leases.
 void ControllerCore::Implementation::endRelay()
 {
     if (! m_relay)
--- a/src/controller/ControllerRouters.cpp
+++ b/src/controller/ControllerRouters.cpp
@@ -1,5 +1,5 @@
-// Duties of the leader towards routers: leases, replica tables and claims. The configuration is in
-// ControllerConfiguration.cpp, registered runners are in ControllerInstances.cpp.
+// Duties of the leader towards routers: leases, replica tables and claims. The configuration is
+// handled in ControllerConfiguration.cpp, registered runners in ControllerInstances.cpp.
 
 #include <bit>
 #include <utility>
@@ -11,13 +11,13 @@
 namespace
 {
 
-/// Exact shares follow the demand at this interval.
+/// Interval at which exact shares are adapted to the demand.
 constexpr base::Duration kExactInterval = base::milliseconds (100);
 
-/// Whole shared tables go out one after the other at this interval at least.
+/// Minimum interval between whole shared tables, which are sent one at a time.
 constexpr base::Duration kWholeTableInterval = base::milliseconds (10);
 
-/// Load in steps of a power of two, so that small changes cost no message.
+/// Rounds the load down to a power of two, so that small changes cause no message.
 std::uint32_t quantised (std::uint32_t load) { return std::bit_floor (load); }
 
 }  // namespace
@@ -98,8 +98,8 @@
     }
     else if (const auto* suspects = std::get_if<cell::SuspectReport> (&message))
     {
-        // Those of one tick go into the log together.
-        noteReporter (*m_leader->sessions.find (connection), *suspects);
+        // The reports of one tick are proposed together.
+        recordReporter (*m_leader->sessions.find (connection), *suspects);
         onSuspectReport (*suspects);
         return;
     }
@@ -129,10 +129,10 @@
     {
         if (demand.waiting > 0)
             m_leader->isPlacementDue = true;
-        const auto told = m_leader->sharers.find (demand.target);
-        const bool isCrowded = told != m_leader->sharers.end()
-                               && m_leader->demands.askers (demand.target) > told->second;
-        if (isCrowded)
+        const auto sent = m_leader->sharers.find (demand.target);
+        const bool hasMoreSharers = sent != m_leader->sharers.end()
+                                    && m_leader->demands.askers (demand.target) > sent->second;
+        if (hasMoreSharers)
             m_leader->isTableDue = true;
     }
 }
@@ -164,7 +164,7 @@
         sendToRouter (connection, std::move (instances));
 }
 
-void ControllerCore::Implementation::tellWatchers()
+void ControllerCore::Implementation::notifyWatchers()
 {
     for (const RouterConnection connection : m_watchers)
         replyNotLeader (connection);
@@ -194,8 +194,8 @@
         return;
     }
     RouterSession& session = m_leader->sessions.open (connection, hello, m_now);
-    greetWithRates (connection, session, hello);
-    // A router that comes back to the same leader only needs what changed since.
+    sendInitialRates (connection, session, hello);
+    // A router that reconnects to the same leader needs only the changes since.
     const bool holdsTable = m_leader->isTableShared && hello.replicaTableTerm == m_leader->term
                             && hello.replicaTableVersion <= m_leader->table.version();
     if (holdsTable)
@@ -203,20 +203,20 @@
         session.isTableShared = true;
         session.tableVersion = hello.replicaTableVersion;
     }
-    takeInstanceVersion (session, hello);
+    applyInstanceVersion (session, hello);
     m_leader->configurationSend.request();
     sendTable (connection, session);
     m_leader->instanceTable.request();
     m_suspectsSend.request();
 }
 
-void ControllerCore::Implementation::takeInstanceVersion (RouterSession& session,
-                                                          const cell::RouterHello& hello)
+void ControllerCore::Implementation::applyInstanceVersion (RouterSession& session,
+                                                           const cell::RouterHello& hello)
 {
     InstanceTable& instances = m_leader->instances;
     if (hello.instanceTerm > instances.term())
     {
-        // This member went on with a table that another leader had given up.
+        // This member continued a table that another leader had replaced.
         instances.beginAnew (m_leader->term);
         m_leader->sessions.forgetInstanceVersions();
         return;
@@ -225,7 +225,7 @@
     const bool mayFollow =
         ! hello.isRelay || (hello.features & cell::kFollowsTableOfNextLeader) != 0;
     if (isOfThisLeader || mayFollow)
-        takeInstanceVersion (session, hello, instances.term());
+        applyInstanceVersion (session, hello, instances.term());
 }
 
 void ControllerCore::Implementation::onLeaseRequest (RouterConnection connection,
@@ -246,8 +246,8 @@
     sendTable (connection, session);
     if (session.instanceVersion != m_leader->instances.version())
         m_leader->instanceTable.request();
-    // Nothing can be granted before there is a configuration, nor to a router that might send by a
-    // table of instances in which one still takes requests whose drain was acknowledged.
+    // No lease is granted before there is a configuration, nor to a router that may still use an
+    // instance table in which an instance with an acknowledged drain takes requests.
     const bool mayServe =
         inForce.version != 0 && session.heldInstanceVersion >= requiredInstanceVersion();
     if (mayServe)
@@ -276,7 +276,7 @@
     return { m_state.configuration().identity().version, m_raft.members().members.size() };
 }
 
-void ControllerCore::Implementation::takeTenants()
+void ControllerCore::Implementation::applyTenants()
 {
     const config::Catalogue* catalogue = m_state.configuration().catalogue();
     if (catalogue == nullptr)
@@ -300,7 +300,7 @@
 void ControllerCore::Implementation::grantQuota (RouterConnection connection,
                                                  const cell::QuotaRequest& request)
 {
-    // Another member may lead by now and grant from a bucket of its own.
+    // Another member may be the leader by now and grant from its own bucket.
     if (! holdsLease())
         return;
     sendToRouter (connection, m_leader->quotas.answer (request, m_now));
@@ -332,7 +332,7 @@
     std::vector<cell::RoutableReplica> replicas = routableReplicas();
     const std::size_t routers = m_leader->sessions.sessions().size();
     m_leader->isTableDue = false;
-    // Once shared, the table stays so until the cell is half as large.
+    // A shared table stays shared until the cell has shrunk to half of the limit.
     const std::size_t limit = m_options.exactShareLimit / (m_leader->isTableShared ? 2 : 1);
     m_leader->isTableShared = routers * replicas.size() > limit;
     m_leader->nextTableAt =
@@ -389,7 +389,7 @@
 {
     if (! m_leader->table.keepsChangesSince (session.tableVersion))
     {
-        // Whole tables for all routers at once would hold up the leader's heartbeats.
+        // Sending whole tables to all routers at once would delay the leader's heartbeats.
         if (m_now < m_leader->nextWholeTableAt)
             return;
         m_leader->nextWholeTableAt = m_now + kWholeTableInterval;
@@ -469,21 +469,21 @@
 void ControllerCore::Implementation::shareCredits (std::vector<cell::RoutableReplica>& replicas)
 {
     const auto routers = static_cast<std::uint32_t> (m_leader->sessions.sessions().size());
-    m_leader->enteringSharers = steadySharers (m_leader->enteringSharers, routers);
+    m_leader->newRouterSharers = steadySharers (m_leader->newRouterSharers, routers);
     std::map<std::string, std::uint32_t> sharers;
     for (cell::RoutableReplica& replica : replicas)
     {
-        auto told = sharers.find (replica.target);
-        if (told == sharers.end())
+        auto found = sharers.find (replica.target);
+        if (found == sharers.end())
         {
             const auto earlier = m_leader->sharers.find (replica.target);
             const std::uint32_t steady =
                 steadySharers (earlier == m_leader->sharers.end() ? 0 : earlier->second,
                                m_leader->demands.askers (replica.target));
-            told = sharers.emplace (replica.target, steady).first;
+            found = sharers.emplace (replica.target, steady).first;
         }
-        replica.credits = std::max (replica.slots / told->second, 1U);
-        replica.entryCredits = std::max (replica.slots / m_leader->enteringSharers, 1U);
+        replica.credits = std::max (replica.slots / found->second, 1U);
+        replica.entryCredits = std::max (replica.slots / m_leader->newRouterSharers, 1U);
     }
     m_leader->sharers = std::move (sharers);
 }
--- a/src/controller/ControllerRunners.cpp
+++ b/src/controller/ControllerRunners.cpp
@@ -1,4 +1,4 @@
-// Duties of the leader towards runners: polls, reconciliation and orders.
+// Duties of the leader towards runners: polling, reconciliation and orders.
 
 #include <algorithm>
 #include <utility>
@@ -21,7 +21,7 @@
     if (! holdsLease())
         return;
     proposeSuspectsIfDue();
-    hintAtSuspects();
+    announceLateCrashes();
     pollMachineList();
     pollRunners();
     for (const base::RunnerId& runner : m_leader->orders.waitingRunners())
@@ -34,10 +34,10 @@
     m_leader->nextRoutineAt = m_now + kRoutineInterval;
     m_leader->demands.expire (m_now);
     runInstanceRoutine();
-    forgetLoadsOfGone();
-    forgetRatesOfGone();
+    removeLoadsOfGoneInstances();
+    removeRatesOfGoneInstances();
     shareRates();
-    tellPlacementOfRates();
+    updatePlacementRates();
     changeMembersIfDue();
     m_leader->isPlacementDue = true;
     placeIfDue();
@@ -106,7 +106,7 @@
         return;
     ++m_counters.reports;
     m_leader->watch.onReport (runner, report, m_now);
-    noteUse (report);
+    recordUse (report);
     observe (runner);
     reconcile (runner);
     drain();
@@ -120,7 +120,7 @@
     m_leader->watch.onReportFailed (runner, m_now);
 }
 
-void ControllerCore::Implementation::noteUse (const engine::Report& report)
+void ControllerCore::Implementation::recordUse (const engine::Report& report)
 {
     for (const engine::ReplicaReport& replica : report.replicas)
     {
@@ -179,8 +179,8 @@
     {
         failReplica (replica, "the engine reports it failed or no longer holds it");
     }
-    for (const StrayReplica& stray : findings.strays)
-        proposeStray (stray);
+    for (const OrphanedReplica& stray : findings.orphans)
+        proposeOrphanUnload (stray);
 }
 
 void ControllerCore::Implementation::failReplica (base::ReplicaId id, const std::string& reason)
@@ -216,21 +216,21 @@
         m_leader->busyReplicas.insert (replica);
 }
 
-void ControllerCore::Implementation::proposeStray (const StrayReplica& stray)
+void ControllerCore::Implementation::proposeOrphanUnload (const OrphanedReplica& stray)
 {
     const std::pair key (stray.runner, stray.report.replica);
-    std::erase_if (m_leader->strayPauses,
+    std::erase_if (m_leader->orphanUnloadDelays,
                    [&] (const auto& entry) { return m_now >= entry.second; });
-    if (m_leader->busyStrays.count (key) != 0 || m_leader->strayPauses.count (key) != 0)
+    if (m_leader->busyOrphans.count (key) != 0 || m_leader->orphanUnloadDelays.count (key) != 0)
         return;
     if (m_leader->orders.hasStray (stray.runner, stray.report.replica))
         return;
     const cell::DecideUnload command{ stray.report.replica, "held by an engine but not decided",
                                       cellTime() };
-    if (! propose (command, ForStray{ stray }))
+    if (! propose (command, ForOrphan{ stray }))
         return;
-    ++m_counters.strayReplicas;
-    m_leader->busyStrays.insert (key);
+    ++m_counters.orphanedReplicas;
+    m_leader->busyOrphans.insert (key);
 }
 
 void ControllerCore::Implementation::sendOrders()
@@ -289,7 +289,7 @@
     const bool isCurrent = replica != nullptr && replica->fence == order.fence;
     if (answer.refusal == base::ErrorKind::kIncarnationMismatch)
     {
-        // The next report shows the new incarnation; until then the order waits.
+        // The order waits until a report shows the new incarnation.
         m_leader->orders.onFailed (runner, order.fence, m_now);
         return;
     }
@@ -312,7 +312,7 @@
     {
         failReplica (order.replica, "order refused: " + refusal);
     }
-    // A stale load was taken earlier or never will be: the next report tells which.
+    // A stale load was either accepted earlier or never will be; the next report shows which.
 }
 
 void ControllerCore::Implementation::onOrderFailed (const base::RunnerId& runner,
--- a/src/controller/ControllerSettings.cpp
+++ b/src/controller/ControllerSettings.cpp
@@ -14,8 +14,8 @@
 constexpr std::int64_t kLargestId = 1'000'000'000'000;
 constexpr std::int64_t kLargestPort = 65535;
 constexpr std::int64_t kMostEntriesBetweenSnapshots = 10'000'000;
-constexpr base::Duration kShortest = milliseconds (1);
-constexpr base::Duration kLongest = std::chrono::hours (24);
+constexpr base::Duration kMinDuration = milliseconds (1);
+constexpr base::Duration kMaxDuration = std::chrono::hours (24);
 constexpr std::size_t kMemberParts = 4;
 
 std::vector<std::string_view> split (std::string_view text, char separator)
@@ -81,13 +81,13 @@
 void declareConsensusTiming (config::SettingsSchema& schema, ControllerSettings& settings)
 {
     consensus::RaftOptions& raft = settings.core.raft;
-    schema.addDuration ("heartbeat_interval_ms", &raft.heartbeatInterval, kShortest, seconds (10),
-                        "interval of the leader's heartbeats");
+    schema.addDuration ("heartbeat_interval_ms", &raft.heartbeatInterval, kMinDuration,
+                        seconds (10), "interval of the leader's heartbeats");
     schema.addDuration ("election_timeout_min_ms", &raft.electionTimeoutMinimum, milliseconds (10),
                         seconds (60), "shortest silence of the leader before an election");
     schema.addDuration ("election_timeout_max_ms", &raft.electionTimeoutMaximum, milliseconds (10),
                         seconds (120), "longest silence of the leader before an election");
-    schema.addDuration ("lease_margin_ms", &raft.leaseMargin, kShortest, seconds (30),
+    schema.addDuration ("lease_margin_ms", &raft.leaseMargin, kMinDuration, seconds (30),
                         "the leader's lease ends this much before election_timeout_min_ms");
     schema.addInteger ("entries_between_snapshots", &settings.entriesBetweenSnapshots, 1,
                        kMostEntriesBetweenSnapshots,
@@ -112,17 +112,17 @@
         "store has places to spare, before anybody asks for them");
     schema.addDuration ("order_pause_ms", &core.orderPause, milliseconds (0), seconds (600),
                         "a new leader sends registered engines no order for this time");
-    schema.addDuration ("keep_alive_ms", &core.keepAlive, kShortest, kLongest,
+    schema.addDuration ("keep_alive_ms", &core.keepAlive, kMinDuration, kMaxDuration,
                         "idle time before a replica may be unloaded");
-    schema.addDuration ("claim_window_ms", &core.claimWindow, seconds (1), kLongest,
+    schema.addDuration ("claim_window_ms", &core.claimWindow, seconds (1), kMaxDuration,
                         "how long idempotency keys are kept after the request's deadline");
     schema.addDuration ("call_timeout_ms", &settings.callTimeout, milliseconds (10), seconds (600),
                         "longest call for an order, a report or the machine list");
-    schema.addDuration ("stop_timeout_ms", &settings.stopTimeout, kShortest, seconds (600),
+    schema.addDuration ("stop_timeout_ms", &settings.stopTimeout, kMinDuration, seconds (600),
                         "longest planned stop");
 }
 
-std::vector<std::string> checkTogether (const ControllerSettings& settings)
+std::vector<std::string> checkConsistency (const ControllerSettings& settings)
 {
     std::vector<std::string> problems =
         config::findAddressClashes ({ { "peer_address", settings.peerAddress },
@@ -185,7 +185,7 @@
     declareConsensusTiming (schema, settings);
     declareCellTiming (schema, settings);
     config::addLoggingSettings (schema, &settings.logging);
-    schema.addCheck ([&settings] { return checkTogether (settings); });
+    schema.addCheck ([&settings] { return checkConsistency (settings); });
 }
 
 base::Result<consensus::Member> parseMember (std::string_view text)
@@ -228,7 +228,7 @@
     std::ranges::sort (set.members, {}, &consensus::Member::id);
     if (std::ranges::adjacent_find (set.members, {}, &consensus::Member::id) != set.members.end())
     {
-        return base::fail (ErrorKind::kSettingsInvalid, "members: an id stands twice");
+        return base::fail (ErrorKind::kSettingsInvalid, "members: an id is listed twice");
     }
     const auto self = static_cast<consensus::MemberId> (settings.id);
     const auto found = std::ranges::find (set.members, self, &consensus::Member::id);
@@ -246,7 +246,7 @@
     return set;
 }
 
-/// The listed members; none when the list does not hold, which the check of the settings reports.
+/// The listed members, or none when the list is invalid; the check of the settings reports that.
 static std::vector<consensus::Member> membersOrNone (const ControllerSettings& settings)
 {
     return base::handleErrors (
--- a/src/controller/ControllerSettings.h
+++ b/src/controller/ControllerSettings.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Settings of fernlift-controller.
+/// Settings of fernlift-controller: their declaration, checks and conversion to core options.
 
 #include <cstdint>
 #include <string>
@@ -19,25 +19,26 @@
 
 struct ControllerSettings
 {
-    std::int64_t id = 0;  ///< 0: drawn at the first start; only with `seeds`.
+    std::int64_t id = 0;  ///< 0: drawn at the first start; allowed only with `seeds`.
     std::string cell;
     std::string zone;
     std::string dataDirectory;
     base::SocketAddress peerAddress;
     base::SocketAddress httpAddress;
-    base::SocketAddress controlAddress;   ///< Port 0 and no host: no control interface.
-    base::SocketAddress machinesAddress;  ///< Without host: there is no machine list.
-    /// Control addresses of the controllers that found the cell and are asked to join it. When set,
-    /// the cell manages its members by itself.
+    base::SocketAddress controlAddress;   ///< Port 0 and no host: there is no control interface.
+    base::SocketAddress machinesAddress;  ///< No host: there is no machine list.
+    /// Control addresses of the controllers that found the cell and that accept requests to join
+    /// it. When set, the cell manages its members without an operator.
     std::vector<base::SocketAddress> seeds;
     std::int64_t seedPeerPort = 0;     ///< Port of `peer_address` at every seed.
-    std::vector<std::string> members;  ///< Each "ID=PEER_IP:PORT=HTTP_IP:PORT=ZONE".
-    bool isBootstrap = false;          ///< First start of the cell with an empty folder.
-    bool isFounding = false;           ///< Starts with the cell; set by withIdentity().
+    std::vector<std::string> members;  ///< Each item is "ID=PEER_IP:PORT=HTTP_IP:PORT=ZONE".
+    bool isBootstrap = false;          ///< First start of the cell, with an empty folder.
+    bool isFounding = false;           ///< Starts together with the cell; set by withIdentity().
     bool isJoining = false;            ///< First start of a member that will be added to the cell.
     ControllerOptions core;
     std::int64_t entriesBetweenSnapshots = 4096;
-    base::Duration callTimeout = base::milliseconds (2000);  ///< Of orders, reports and lists.
+    base::Duration callTimeout =
+        base::milliseconds (2000);  ///< Timeout of orders, reports and machine lists.
     base::Duration stopTimeout = base::seconds (5);
     log::Options logging;
 };
@@ -52,7 +53,7 @@
     const ControllerSettings& settings);
 /// Whether the cell forms itself from seeds and manages its members without an operator.
 [[nodiscard]] bool formsFromSeeds (const ControllerSettings& settings);
-/// Options of the core that the settings stand for.
+/// Options of the core that follow from the settings.
 [[nodiscard]] ControllerOptions coreOptions (const ControllerSettings& settings);
 
 }  // namespace fernlift::controller
--- a/src/controller/ControllerTestSupport.h
+++ b/src/controller/ControllerTestSupport.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What tests of the controller's adapters share.
+/// Event loop support for tests of the controller's adapters.
 
 #include <QCoreApplication>
 #include <QDeadlineTimer>
@@ -8,7 +8,7 @@
 namespace fernlift::controller
 {
 
-/// Makes sure that an event loop can run in this test binary.
+/// Creates the application object that an event loop needs, unless it exists.
 inline void ensureApplication()
 {
     if (QCoreApplication::instance() != nullptr)
@@ -19,7 +19,7 @@
     static QCoreApplication application (argc, argv);
 }
 
-/// Runs the event loop until `condition` holds; false when a generous guard time has passed.
+/// Runs the event loop until `condition` holds; returns false when it does not within 20 s.
 template <class Condition>
 bool runUntil (Condition condition)
 {
--- a/src/controller/MemberAdmission.cpp
+++ b/src/controller/MemberAdmission.cpp
@@ -7,11 +7,11 @@
 namespace
 {
 
-/// A member that answered within this time is alive.
-constexpr base::Duration kAliveWithin = base::milliseconds (1000);
-/// A request to join counts this long.
-constexpr base::Duration kRequestLife = base::seconds (3);
-constexpr base::Duration kSilentLearner = base::seconds (5);
+/// A member that replied within this time counts as alive.
+constexpr base::Duration kAliveTimeout = base::milliseconds (1000);
+/// Time for which a request to join stays valid.
+constexpr base::Duration kJoinRequestLifetime = base::seconds (3);
+constexpr base::Duration kLearnerSilenceTimeout = base::seconds (5);
 
 consensus::MemberSet without (const consensus::MemberSet& members, base::MemberId id)
 {
@@ -32,7 +32,7 @@
     return changed;
 }
 
-/// The leader's view of who answers.
+/// Liveness of the members as the leader sees it.
 class Liveness
 {
 public:
@@ -48,7 +48,7 @@
         return base::Duration::zero();  // The leader itself.
     }
 
-    [[nodiscard]] bool isAlive (base::MemberId id) const { return silenceOf (id) < kAliveWithin; }
+    [[nodiscard]] bool isAlive (base::MemberId id) const { return silenceOf (id) < kAliveTimeout; }
 
     /// The silent voter to remove; null when none has a successor.
     [[nodiscard]] const consensus::Member* replacedVoter() const
@@ -73,7 +73,7 @@
     }
 
 private:
-    /// Whether a voter that answers has the address of this one.
+    /// Whether an alive voter has the address of this one.
     [[nodiscard]] bool isReplaced (const consensus::Member& member) const
     {
         return std::ranges::any_of (m_status.members.members,
@@ -110,8 +110,8 @@
 std::optional<consensus::MemberSet> MemberAdmission::nextChange (
     const consensus::RaftStatus& status, base::TimePoint now)
 {
-    std::erase_if (m_candidates,
-                   [&] (const auto& item) { return now - item.second.askedAt > kRequestLife; });
+    std::erase_if (m_candidates, [&] (const auto& item)
+                   { return now - item.second.requestedAt > kJoinRequestLifetime; });
     const Liveness liveness (status);
     const consensus::MemberSet& members = status.members;
     for (const consensus::Member& member : members.members)
@@ -127,7 +127,8 @@
     }
     for (const consensus::Member& member : members.members)
     {
-        const bool isLost = ! member.isVoter && liveness.silenceOf (member.id) >= kSilentLearner;
+        const bool isLost =
+            ! member.isVoter && liveness.silenceOf (member.id) >= kLearnerSilenceTimeout;
         if (isLost)
             return without (members, member.id);
     }
--- a/src/controller/MemberAdmission.h
+++ b/src/controller/MemberAdmission.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Decides which change of the members the leader makes by itself: members that ask are taken in as
-/// learners and become voters, members that were replaced or are lost are removed.
+/// Membership changes that the leader makes without an operator: controllers that request to join
+/// are added as learners and become voters, members that were replaced or are lost are removed.
 
 #include <map>
 #include <optional>
@@ -14,22 +14,23 @@
 namespace fernlift::controller
 {
 
-/// Lives as long as one term of leadership. Pure; the caller proposes what it returns.
+/// Decides the next membership change; the caller proposes it. Has no clock. One object per term of
+/// leadership.
 class MemberAdmission
 {
 public:
-    /// Notes that a controller asked to become a voter. One that founds the cell with the others
-    /// adds to its size; any other takes the place of a member that is lost.
+    /// Records that a controller requested to become a voter. A founding controller increases the
+    /// target size of the cell; any other replaces a lost member.
     void onJoinRequest (const consensus::Member& member, bool isFounding, base::TimePoint now);
 
     /// The member set to propose next; nothing when no change is due. `status` is the leader's.
     ///  - A caught-up learner becomes a voter.
-    ///  - A silent voter is removed when a voter that answers has its address (its disk was lost),
-    ///  or
-    ///    when there are more voters than the cell should have: its successor is among them. The
-    ///    one that was silent longest goes first.
+    ///  - A silent voter is removed when an alive voter has its address (its disk was lost), or
+    ///  when
+    ///    there are more voters than the target size: one of them is its successor. The voter that
+    ///    has been silent longest is removed first.
     ///  - A silent learner is removed.
-    ///  - A controller that asked becomes a learner.
+    ///  - A controller that requested to join becomes a learner.
     [[nodiscard]] std::optional<consensus::MemberSet> nextChange (
         const consensus::RaftStatus& status, base::TimePoint now);
 
@@ -38,7 +39,7 @@
     {
         consensus::Member member;
         bool isFounding = false;
-        base::TimePoint askedAt{};
+        base::TimePoint requestedAt{};
     };
 
     std::map<base::MemberId, Candidate> m_candidates;
--- a/src/controller/MemberStart.cpp
+++ b/src/controller/MemberStart.cpp
@@ -13,7 +13,8 @@
 
 constexpr consensus::Term kBootstrapTerm = 1;
 
-/// A folder with an identity but no term has never voted: its first start was cut short.
+/// Whether the folder holds state. One with an identity but no term has never voted: its first
+/// start was interrupted.
 bool holdsState (const storage::Recovered& recovered)
 {
     return ! recovered.hardState.empty() || ! recovered.entries.empty()
--- a/src/controller/MemberStart.h
+++ b/src/controller/MemberStart.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Decides how a controller starts from what its data folder holds.
+/// Start of a controller from the content of its data folder.
 
 #include "consensus/RaftNode.h"
 #include "controller/ControllerSettings.h"
@@ -9,27 +9,27 @@
 namespace fernlift::controller
 {
 
-/// How a member begins.
+/// Kind of start of a member.
 enum class StartKind : std::uint8_t
 {
-    kRestart,    ///< The folder holds this member's state.
+    kRestart,    ///< The folder holds the state of this member.
     kBootstrap,  ///< Empty folder, first start of the cell.
-    kJoin,       ///< Empty folder, waits to be added to the cell.
+    kJoin,       ///< Empty folder, the member waits to be added to the cell.
 };
 
-/// The kind of start that folder and settings allow. Fails with kSettingsInvalid when the folder
-/// belongs to another id, is empty and neither bootstrap nor join is set, or is not empty and
-/// bootstrap is set. A member whose disk was lost must not come back under its old id: its votes
-/// are forgotten.
+/// Returns the kind of start that folder and settings allow. Fails with kSettingsInvalid when the
+/// folder belongs to another id, is empty and neither bootstrap nor join is set, or is not empty
+/// and bootstrap is set. A member whose disk was lost must not restart under its old id, since the
+/// record of its votes was lost.
 [[nodiscard]] base::Result<StartKind> decideStart (const storage::Recovered& recovered,
                                                    const ControllerSettings& settings);
 
 /// Recovers the folder and, at a first start, writes the identity and the initial members. The
-/// initial members are the first log entry, equal on all of them.
+/// initial members are the first log entry, which is the same on all of them.
 [[nodiscard]] base::Result<consensus::RecoveredState> startMember (
     storage::Storage& storage, const ControllerSettings& settings);
 
-/// The same for a folder that was recovered before.
+/// Starts from a folder that has been recovered already.
 [[nodiscard]] base::Result<consensus::RecoveredState> startMember (
     storage::Storage& storage, const ControllerSettings& settings, storage::Recovered recovered);
 
--- a/src/controller/PeerListener.cpp
+++ b/src/controller/PeerListener.cpp
@@ -15,7 +15,8 @@
 
 constexpr std::size_t kMaximumConnections = 8192;
 constexpr int kListenBacklog = 1024;
-/// Routers renew their lease and leaders send heartbeats far more often than this.
+/// Time without messages after which a connection is closed. Lease renewals of routers and
+/// heartbeats of leaders arrive far more often.
 constexpr base::Duration kIdleTimeout = base::seconds (60);
 
 }  // namespace
@@ -73,7 +74,7 @@
 
 void PeerListener::onFrame (RouterConnection number, const wire::Frame& frame)
 {
-    const bool isSound = base::handleErrors (
+    const bool isValid = base::handleErrors (
         [&]() -> base::Result<bool>
         {
             BOOST_LEAF_CHECK (dispatch (number, frame));
@@ -84,7 +85,7 @@
             log::write (log::Event::kPeerMessageInvalid, { { "error", error.message } });
             return false;
         });
-    if (! isSound)
+    if (! isValid)
         forget (number);
 }
 
@@ -111,7 +112,8 @@
         case wire::Channel::kControllerToRouter:
             break;
     }
-    return base::fail (base::ErrorKind::kMessageInvalid, "a controller does not take this channel");
+    return base::fail (base::ErrorKind::kMessageInvalid,
+                       "a controller does not receive on this channel");
 }
 
 void PeerListener::forget (RouterConnection number)
--- a/src/controller/PeerListener.h
+++ b/src/controller/PeerListener.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The peer port: accepts connections of other members and of routers.
+/// Listener on the peer port, for connections of other members and of routers.
 
 #include <QTcpServer>
 #include <functional>
@@ -17,8 +17,8 @@
 namespace fernlift::controller
 {
 
-/// Decodes what arrives and hands it on. A connection that sends anything that cannot be decoded is
-/// closed.
+/// Decodes incoming messages and passes them to the handlers. A connection that sends a message
+/// that cannot be decoded is closed. Runs on the thread of the Qt event loop.
 class PeerListener
 {
 public:
@@ -33,11 +33,10 @@
     /// `traffic` must outlive the listener.
     PeerListener (Handlers handlers, ControlTraffic* traffic);
 
-    /// Listens; port 0 lets the system choose. Returns the real address; fails with
-    /// kConnectionFailed.
+    /// Starts to listen; port 0 lets the system choose. Returns the address with the real port;
+    /// fails with kConnectionFailed.
     base::Result<base::SocketAddress> listen (const base::SocketAddress& address);
-    /// Sends to a router; does nothing when its connection is gone.
-    /// Sends one message to each of the routers; connections that are gone are passed over.
+    /// Sends one message to each of the routers; closed connections are skipped.
     void sendToRouters (std::span<const RouterConnection> connections,
                         const cell::ControllerToRouter& message);
     [[nodiscard]] std::size_t openConnections() const { return m_connections.size(); }
@@ -51,7 +50,7 @@
 
     void acceptAll();
     void onFrame (RouterConnection number, const wire::Frame& frame);
-    /// Decodes and hands on one frame; fails with kMessageInvalid.
+    /// Decodes one frame and passes it to its handler; fails with kMessageInvalid.
     base::Result<void> dispatch (RouterConnection number, const wire::Frame& frame);
     void forget (RouterConnection number);
 
--- a/src/controller/PeerTransport.cpp
+++ b/src/controller/PeerTransport.cpp
@@ -15,9 +15,10 @@
 constexpr base::Duration kLongestBackoff = base::milliseconds (500);
 constexpr std::size_t kMaximumWaitingBytes = 1024UL * 1024;
 constexpr double kBackoffSpread = 0.5;
-/// Members elect another leader after 0.6 s without its heartbeats. On a connection that swallows
-/// them, the leader would be voted out again and again until it opens another one. Packets that are
-/// lost are sent again within 0.2 s and 0.6 s.
+/// Time without acknowledgement after which a connection is closed. Members elect another leader
+/// after 0.6 s without heartbeats; on a connection that loses all data the leader would be deposed
+/// again and again until it opens another one. Single lost packets are retransmitted after 0.2 s
+/// and 0.6 s.
 constexpr base::Duration kLongestSilence = base::milliseconds (1000);
 
 }  // namespace
@@ -30,7 +31,7 @@
     if (peer.connection && peer.connection->isOpen())
     {
         peer.connection->send (wire::Channel::kMember, payload);
-        // Heartbeats must not wait behind the other sockets of a busy event loop.
+        // Heartbeats must not wait for the other sockets of a busy event loop.
         peer.connection->flush();
         return;
     }
@@ -77,8 +78,8 @@
     peer.unsent.clear();
     peer.unsentBytes = 0;
     peer.isBackingOff = true;
-    const auto pause = std::chrono::duration_cast<base::milliseconds> (nextBackoff (peer));
-    QTimer::singleShot (pause, &m_context,
+    const auto delay = std::chrono::duration_cast<base::milliseconds> (nextBackoff (peer));
+    QTimer::singleShot (delay, &m_context,
                         [this, address] { m_peers[address].isBackingOff = false; });
 }
 
