--- a/src/controller/PeerTransport.h
+++ b/src/controller/PeerTransport.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Outgoing connections to the other members. Each member sends on connections of its own and
-/// receives on those the others opened.
+/// Outgoing connections to the other members. Each member sends on the connections that it opened
+/// and receives on those that the others opened.
 
 #include <QObject>
 #include <deque>
@@ -16,8 +16,8 @@
 namespace fernlift::controller
 {
 
-/// Sends messages to addresses, connecting as needed. Delivery is not promised: while a peer cannot
-/// be reached its messages are dropped, and consensus sends again.
+/// Sends messages to addresses, connecting as needed. Delivery is not guaranteed: messages to an
+/// unreachable peer are dropped, and consensus sends them again.
 class PeerTransport
 {
 public:
@@ -30,7 +30,7 @@
     struct Peer
     {
         std::unique_ptr<wire::FrameConnection> connection;
-        std::deque<std::string> unsent;  ///< Waiting for the connection to open.
+        std::deque<std::string> unsent;  ///< Messages that wait for the connection to open.
         std::size_t unsentBytes = 0;
         bool isBackingOff = false;
         base::Duration backoff{};
@@ -39,12 +39,12 @@
     void connect (const std::string& address, Peer& peer);
     void onConnected (const std::string& address);
     void onClosed (const std::string& address);
-    /// The pause before the next attempt: doubles up to a limit, spread at random.
+    /// Delay before the next attempt: doubles up to a limit, with a random spread.
     base::Duration nextBackoff (Peer& peer);
 
     base::Random m_random;
     std::map<std::string, Peer> m_peers;
-    QObject m_context;  ///< Last member: its timers end before the peers go.
+    QObject m_context;  ///< Last member: its timers end before the peers are destroyed.
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/Reconciliation.cpp
+++ b/src/controller/Reconciliation.cpp
@@ -11,7 +11,7 @@
 using cell::ReplicaStage;
 using engine::ReplicaPhase;
 
-bool isFormer (const cell::Runner& runner, base::Incarnation incarnation)
+bool isFormerIncarnation (const cell::Runner& runner, base::Incarnation incarnation)
 {
     const auto& former = runner.formerIncarnations;
     return std::find (former.begin(), former.end(), incarnation) != former.end();
@@ -34,7 +34,7 @@
 void examineMissing (const cell::Replica& replica, base::Fence highestFence,
                      ReportFindings& findings)
 {
-    // `fence` is that of the load while loading or ready, and of the unload while unloading.
+    // `fence` is that of the load order while loading or ready, and of the unload order after it.
     if (highestFence < replica.fence)
         return;
     if (replica.stage == ReplicaStage::kUnloading)
@@ -72,7 +72,7 @@
     command.isLeaving = RunnerWatch::isLeaving (sight, command.incarnation);
     if (known == nullptr)
         return command;
-    if (isFormer (*known, command.incarnation))
+    if (isFormerIncarnation (*known, command.incarnation))
         return std::nullopt;
     const bool isNew = known->incarnation != command.incarnation
                        || ! (known->machine == command.machine)
@@ -94,10 +94,10 @@
         const cell::Replica* decided = table.findReplica (replica.replica);
         const bool isDecidedHere = decided != nullptr && decided->runner == runner
                                    && decided->incarnation == report.incarnation;
-        // One that is being unloaded goes by itself.
-        const bool isGoing = replica.phase == ReplicaPhase::kUnloading;
-        if (! isDecidedHere && ! isGoing)
-            findings.strays.push_back ({ runner, report.incarnation, replica });
+        // A replica that is being unloaded needs no order.
+        const bool isUnloading = replica.phase == ReplicaPhase::kUnloading;
+        if (! isDecidedHere && ! isUnloading)
+            findings.orphans.push_back ({ runner, report.incarnation, replica });
     }
     for (const base::ReplicaId id : table.replicasOn (runner))
     {
--- a/src/controller/Reconciliation.h
+++ b/src/controller/Reconciliation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Compares what an engine reports with what was decided, and says what to decide next.
+/// Comparison of the reports of engines with the decided replicas, and the decisions that follow.
 
 #include <optional>
 #include <string>
@@ -16,31 +16,32 @@
 namespace fernlift::controller
 {
 
-/// A replica that its engine holds although nobody decided it, or that was released.
-struct StrayReplica
+/// A replica that its engine holds although it was not decided or was released.
+struct OrphanedReplica
 {
     base::RunnerId runner;
     base::Incarnation incarnation = 0;
     engine::ReplicaReport report;
 };
 
-/// What a report calls for.
+/// Differences between a report and the decided replicas.
 struct ReportFindings
 {
-    std::vector<base::ReplicaId> ready;     ///< Loads that ended well.
-    std::vector<base::ReplicaId> failed;    ///< Loads that failed, or replicas that vanished.
-    std::vector<base::ReplicaId> released;  ///< Unloads that ended.
-    std::vector<StrayReplica> strays;
+    std::vector<base::ReplicaId> ready;     ///< Loads that succeeded.
+    std::vector<base::ReplicaId> failed;    ///< Loads that failed, or replicas that are missing.
+    std::vector<base::ReplicaId> released;  ///< Unloads that are complete.
+    std::vector<OrphanedReplica> orphans;
 };
 
-/// The command that brings the state up to date with the machine list and the report; none when it
-/// is. Signs of a former incarnation are ignored.
+/// The command that updates the state of a runner from the machine list and the report; none when
+/// it is up to date. Reports of a former incarnation are ignored.
 [[nodiscard]] std::optional<cell::ObserveRunner> observationOf (const base::RunnerId& runner,
                                                                 const RunnerSight& sight,
                                                                 const cell::ReplicaTable& table);
 
-/// Findings of a report. Reports lag: a missing replica counts as gone only when the report's
-/// highest fence shows that the engine had taken (or will never take) the order in question.
+/// Compares a report with the decided replicas. Reports lag: a missing replica counts as removed
+/// only when the highest fence in the report shows that the engine had accepted, or will never
+/// accept, the order in question.
 [[nodiscard]] ReportFindings examineReport (const base::RunnerId& runner,
                                             const engine::Report& report,
                                             const cell::ReplicaTable& table);
--- a/src/controller/ReconciliationTest.cpp
+++ b/src/controller/ReconciliationTest.cpp
@@ -64,15 +64,15 @@
     hold (m_replica, ReplicaPhase::kLoading);
     hold (77, ReplicaPhase::kReady);
     const ReportFindings findings = examine();
-    ASSERT_EQ (findings.strays.size(), 1U);
-    EXPECT_EQ (findings.strays[0].report.replica, 77U);
-    EXPECT_EQ (findings.strays[0].incarnation, kIncarnation);
+    ASSERT_EQ (findings.orphans.size(), 1U);
+    EXPECT_EQ (findings.orphans[0].report.replica, 77U);
+    EXPECT_EQ (findings.orphans[0].incarnation, kIncarnation);
 }
 
 TEST_F (ReconciliationTest, UndecidedReplicaThatIsGoingNeedsNoDecision)
 {
     hold (77, ReplicaPhase::kUnloading);
-    EXPECT_TRUE (examine().strays.empty());
+    EXPECT_TRUE (examine().orphans.empty());
 }
 
 TEST_F (ReconciliationTest, MissingLoadWaitsUntilItsFenceWasPassed)
@@ -109,7 +109,7 @@
     m_report.highestFence = m_index + 100;
     hold (77, ReplicaPhase::kReady);
     const ReportFindings findings = examine();
-    EXPECT_TRUE (findings.strays.empty());
+    EXPECT_TRUE (findings.orphans.empty());
     EXPECT_TRUE (findings.failed.empty());
 }
 
