--- a/src/controller/AdminRequestsTest.cpp
+++ b/src/controller/AdminRequestsTest.cpp
@@ -25,7 +25,7 @@
     EXPECT_TRUE (parsed) << request.path;
     if (! parsed || ! std::holds_alternative<Expected> (*parsed))
     {
-        ADD_FAILURE() << request.path << " is of another kind";
+        ADD_FAILURE() << request.path << " was parsed as a request of another type";
         return {};
     }
     return std::get<Expected> (*parsed);
@@ -37,13 +37,13 @@
         [&]() -> base::Result<base::ErrorKind>
         {
             BOOST_LEAF_CHECK (parseAdminRequest (request));
-            ADD_FAILURE() << request.method << " " << request.path << " was taken";
+            ADD_FAILURE() << request.method << " " << request.path << " was accepted";
             return base::ErrorKind::kInternal;
         },
         [] (const base::Error& error) { return error.kind; });
 }
 
-TEST (AdminRequests, readsApplyWithItsOptions)
+TEST (AdminRequests, ParsesApplyWithOptions)
 {
     const auto apply = parseAs<AdminApply> (
         requestOf ("POST", "/admin/v1/configuration", "version = 1", "wait=1&timeout_ms=1500"));
@@ -53,7 +53,7 @@
     EXPECT_FALSE (parseAs<AdminApply> (requestOf ("POST", "/admin/v1/configuration")).waitInForce);
 }
 
-TEST (AdminRequests, readsQuestions)
+TEST (AdminRequests, ParsesQueries)
 {
     parseAs<AdminStatus> (requestOf ("GET", "/admin/v1/status"));
     parseAs<AdminMembers> (requestOf ("GET", "/admin/v1/members"));
@@ -65,7 +65,7 @@
                "configuration");
 }
 
-TEST (AdminRequests, readsChangesOfMembers)
+TEST (AdminRequests, ParsesMembershipChanges)
 {
     const auto added = parseAs<AdminAddMember> (requestOf (
         "POST", "/admin/v1/members",
@@ -76,7 +76,7 @@
     EXPECT_EQ (parseAs<AdminPromoteMember> (requestOf ("POST", path, R"({"promote":4})")).id, 4U);
 }
 
-TEST (AdminRequests, readsDrain)
+TEST (AdminRequests, ParsesDrain)
 {
     const auto drain = parseAs<AdminDrain> (
         requestOf ("POST", "/admin/v1/drain", R"({"runner":"r1","draining":false})"));
@@ -84,7 +84,7 @@
     EXPECT_FALSE (drain.isDraining);
 }
 
-TEST (AdminRequests, readsQuarantineAndRelease)
+TEST (AdminRequests, ParsesQuarantineAndRelease)
 {
     const char* path = "/admin/v1/quarantine";
     parseAs<AdminQuarantine> (requestOf ("GET", path));
@@ -99,7 +99,7 @@
     }
 }
 
-TEST (AdminRequests, refusesMalformedRequests)
+TEST (AdminRequests, RejectsMalformedRequests)
 {
     using base::ErrorKind;
     for (const char* body :
--- a/src/controller/CellFormationTest.cpp
+++ b/src/controller/CellFormationTest.cpp
@@ -31,7 +31,7 @@
     return recovered;
 }
 
-TEST (CellFormationTest, AllSeedsNameTheSameFirstMembers)
+TEST (CellFormationTest, AllSeedsAgreeOnFirstMembers)
 {
     const auto first = withIdentity (settingsOf ("10.0.0.1"), {}, 1);
     const auto second = withIdentity (settingsOf ("10.0.0.2"), {}, 2);
@@ -41,7 +41,7 @@
     EXPECT_TRUE (initialMembers (first));
 }
 
-TEST (CellFormationTest, AControllerThatIsNoSeedJoinsAsAFounder)
+TEST (CellFormationTest, ControllerThatIsNotASeedJoinsAsFounder)
 {
     const auto other = withIdentity (settingsOf ("10.0.0.9"), {}, kRandomId);
     EXPECT_FALSE (other.isBootstrap);
@@ -49,7 +49,7 @@
     EXPECT_TRUE (other.isFounding);
 }
 
-TEST (CellFormationTest, ASeedThatLostItsDiskComesBackUnderANewIdentity)
+TEST (CellFormationTest, SeedWithLostDiskJoinsUnderNewIdentity)
 {
     ControllerSettings settings = settingsOf ("10.0.0.1");
     settings.isBootstrap = false;
@@ -59,7 +59,7 @@
     EXPECT_NE (static_cast<base::MemberId> (wiped.id), foundingId (settings.seeds[0]));
 }
 
-TEST (CellFormationTest, ARestartKeepsTheIdentityAndFoundsNothing)
+TEST (CellFormationTest, RestartKeepsIdentityWithoutBootstrap)
 {
     const auto restarted = withIdentity (settingsOf ("10.0.0.1"), folderOf (77, true), kRandomId);
     EXPECT_EQ (restarted.id, 77);
@@ -67,7 +67,7 @@
     EXPECT_FALSE (restarted.isJoining);
 }
 
-TEST (CellFormationTest, AFirstStartThatWasCutShortIsTakenUp)
+TEST (CellFormationTest, InterruptedFirstStartIsRepeated)
 {
     const ControllerSettings settings = settingsOf ("10.0.0.1");
     const auto again =
@@ -75,7 +75,7 @@
     EXPECT_TRUE (again.isBootstrap);
 }
 
-TEST (CellFormationTest, DrawnIdentitiesNeverEqualThoseOfSeeds)
+TEST (CellFormationTest, DrawnIdentitiesAreAboveThoseOfSeeds)
 {
     ControllerSettings settings = settingsOf ("255.255.255.255");
     settings.isBootstrap = false;
--- a/src/controller/ConfigurationChange.h
+++ b/src/controller/ConfigurationChange.h
@@ -39,8 +39,8 @@
 
 private:
     std::deque<cell::HeldConfiguration> m_recent;  ///< Oldest first; the last one is in force.
-    std::map<std::uint64_t, cell::ConfigurationUpdate>
-        m_updates;  ///< Updates to the configuration in force, by base version.
+    /** Updates to the configuration in force, by base version. */
+    std::map<std::uint64_t, cell::ConfigurationUpdate> m_updates;
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/ConfigurationChangeTest.cpp
+++ b/src/controller/ConfigurationChangeTest.cpp
@@ -14,7 +14,7 @@
     return { version, "digest-" + std::to_string (version), 0, 0 };
 }
 
-/// What a change brings beside what is kept.
+/// Text that a difference contains in addition to the pieces of the base.
 std::string newText (const cell::ConfigurationUpdate& update)
 {
     std::string text;
@@ -23,34 +23,35 @@
     return text;
 }
 
-TEST (ConfigurationChangeTest, OnlyTheMiddleGoesToAHolderOfTheBase)
+TEST (ConfigurationChangeTest, SendsOnlyChangedTextToHolderOfBase)
 {
     ConfigurationChange change;
-    change.note (identity (1), "head\nvalue = 1\ntail\n");
-    change.note (identity (2), "head\nvalue = 27\ntail\n");
+    change.setInForce (identity (1), "head\nvalue = 1\ntail\n");
+    change.setInForce (identity (2), "head\nvalue = 27\ntail\n");
     const auto update = change.updateFrom (1);
     EXPECT_EQ (update.version, 2U);
     EXPECT_EQ (update.baseVersion, 1U);
     EXPECT_EQ (newText (update), "27");
 }
 
-TEST (ConfigurationChangeTest, OthersGetTheWholeText)
+TEST (ConfigurationChangeTest, SendsWholeTextWithoutKnownBase)
 {
     ConfigurationChange change;
-    change.note (identity (1), "one");
+    change.setInForce (identity (1), "one");
     EXPECT_EQ (change.updateFrom (0).text, "one");
-    change.note (identity (2), "two");
+    change.setInForce (identity (2), "two");
     EXPECT_EQ (change.updateFrom (0).text, "two");
     EXPECT_TRUE (change.isKept (1, "digest-1"));
     EXPECT_FALSE (change.isKept (1, "another digest"));
-    EXPECT_EQ (change.updateFrom (2).text, "two") << "it asks since it has lost it";
+    EXPECT_EQ (change.updateFrom (2).text, "two")
+        << "a router that requests the version in force has lost it";
 }
 
-TEST (ConfigurationChangeTest, HoldersOfOneOfTheLastFewGetAChangeAndOlderOnesTheWholeText)
+TEST (ConfigurationChangeTest, SendsDifferenceToRecentVersionsOnly)
 {
     ConfigurationChange change;
     for (std::uint64_t version = 1; version <= 8; ++version)
-        change.note (identity (version), "head " + std::to_string (version) + " tail");
+        change.setInForce (identity (version), "head " + std::to_string (version) + " tail");
     for (std::uint64_t version = 3; version <= 7; ++version)
     {
         EXPECT_TRUE (change.isKept (version, "digest-" + std::to_string (version)));
@@ -62,23 +63,23 @@
     EXPECT_EQ (change.updateFrom (2).text, "head 8 tail");
 }
 
-TEST (ConfigurationChangeTest, TheSameConfigurationTwiceKeepsTheChange)
+TEST (ConfigurationChangeTest, RepeatedConfigurationKeepsDifference)
 {
     ConfigurationChange change;
-    change.note (identity (1), "one");
-    change.note (identity (2), "two");
-    change.note (identity (2), "two");
+    change.setInForce (identity (1), "one");
+    change.setInForce (identity (2), "two");
+    change.setInForce (identity (2), "two");
     EXPECT_EQ (change.updateFrom (1).baseVersion, 1U);
 }
 
-RC_GTEST_PROP (ConfigurationChangeTest, TheChangeGivesTheNewText, ())
+RC_GTEST_PROP (ConfigurationChangeTest, DifferenceYieldsNewText, ())
 {
     const auto text = rc::gen::container<std::string> (rc::gen::elementOf (std::string ("ab")));
     const std::string before = *text;
     const std::string after = *text;
     ConfigurationChange change;
-    change.note (identity (1), before);
-    change.note (identity (2), after);
+    change.setInForce (identity (1), before);
+    change.setInForce (identity (2), after);
     const auto update = change.updateFrom (1);
     RC_ASSERT (cell::joinPieces (before, update.pieces) == after);
 }
--- a/src/controller/ConfigurationRollout.h
+++ b/src/controller/ConfigurationRollout.h
@@ -90,7 +90,7 @@
         base::TimePoint committedAt{};
     };
 
-    std::deque<Open> m_open;       ///< In ascending order of versions and times.
+    std::deque<Open> m_open;       ///< Open versions, in ascending order of version and time.
     std::uint64_t m_lastLate = 0;  ///< Version last returned as late.
     base::Duration m_lastDuration{};
 };
--- a/src/controller/ConfigurationRolloutTest.cpp
+++ b/src/controller/ConfigurationRolloutTest.cpp
@@ -16,7 +16,7 @@
     ConfigurationRollout m_rollout;
 };
 
-TEST_F (ConfigurationRolloutTest, TellsHowLongTheNewestConfirmedVersionTook)
+TEST_F (ConfigurationRolloutTest, ReportsDurationOfNewestConfirmedVersion)
 {
     m_rollout.onCommitted (4, m_now);
     m_now += milliseconds (100);
@@ -31,7 +31,7 @@
     EXPECT_FALSE (m_rollout.onConfirmed (6, m_now));
 }
 
-TEST_F (ConfigurationRolloutTest, TellsOnceThatAVersionIsLate)
+TEST_F (ConfigurationRolloutTest, ReportsLateVersionOnce)
 {
     m_rollout.onCommitted (4, m_now);
     m_now += milliseconds (999);
@@ -44,7 +44,7 @@
     EXPECT_FALSE (m_rollout.takeLate (m_now));
 }
 
-TEST_F (ConfigurationRolloutTest, PassesOverAVersionThatIsNotNew)
+TEST_F (ConfigurationRolloutTest, IgnoresVersionThatIsNotNew)
 {
     m_rollout.onCommitted (4, m_now);
     m_rollout.onCommitted (4, m_now + milliseconds (10));
--- a/src/controller/ControlRequestsTest.cpp
+++ b/src/controller/ControlRequestsTest.cpp
@@ -13,7 +13,7 @@
 
 using test::TestCell;
 
-/// A configuration text is its version, a blank and anything; "bad" is invalid.
+/// Parses test configurations: the version, a blank and any text; a text with "bad" is invalid.
 config::CatalogueOutcome parseTestConfiguration (std::string_view text)
 {
     config::CatalogueOutcome outcome;
@@ -96,7 +96,7 @@
     TestCell m_cell;
 };
 
-TEST_F (ControlRequestsTest, AFollowerNamesTheLeaderToAnInstanceThatDrains)
+TEST_F (ControlRequestsTest, FollowerRefersDrainingInstanceToLeader)
 {
     InstanceHeartbeat draining = heartbeatOf ("i-1", 1);
     draining.instance.isDraining = true;
@@ -105,7 +105,7 @@
     EXPECT_EQ (answer->verdict, ControlVerdict::kNotLeader);
 }
 
-TEST_F (ControlRequestsTest, AFollowerTakesAHeartbeatForTheLeader)
+TEST_F (ControlRequestsTest, FollowerForwardsHeartbeatToLeader)
 {
     const auto answer = m_cell.askControl (follower(), heartbeatOf ("i-1", 1));
     ASSERT_TRUE (answer);
@@ -114,7 +114,7 @@
     EXPECT_NE (m_cell.core (m_cell.leader()).state().instances().find ("i-1"), nullptr);
 }
 
-TEST_F (ControlRequestsTest, TheHighestVersionPrevailsAndOthersAreAcknowledged)
+TEST_F (ControlRequestsTest, HighestVersionPrevailsAndOthersAreAcknowledged)
 {
     EXPECT_EQ (ask (ReplaceConfiguration{ "5 a" }), ControlVerdict::kDone);
     EXPECT_EQ (ask (ReplaceConfiguration{ "5 other" }), ControlVerdict::kDone);
@@ -127,31 +127,32 @@
     EXPECT_EQ (m_cell.router (0).configurationVersion, 7U);
 }
 
-TEST_F (ControlRequestsTest, AChangeIsAcknowledgedOnceNoRouterServesUnderAnEarlierOne)
+TEST_F (ControlRequestsTest, ChangeIsAcknowledgedOnceNoRouterServesUnderEarlierVersion)
 {
     ASSERT_EQ (ask (ReplaceConfiguration{ "5 a" }), ControlVerdict::kDone);
     m_cell.run (base::seconds (1));
     ASSERT_TRUE (m_cell.router (1).admits (m_cell.now()));
-    m_cell.router (1).isCut = true;  // It hears of nothing, and its lease goes on.
+    m_cell.router (1).isCut = true;  // It receives nothing, and its lease continues.
     ASSERT_EQ (ask (ReplaceConfiguration{ "6 b" }), ControlVerdict::kDone);
     const test::TestRouter& router = m_cell.router (1);
     ASSERT_EQ (router.configurationVersion, 5U);
-    EXPECT_FALSE (router.admits (m_cell.now())) << "it serves under 5 after 6 was acknowledged";
+    EXPECT_FALSE (router.admits (m_cell.now()))
+        << "the router serves under 5 after 6 was acknowledged";
 }
 
-TEST_F (ControlRequestsTest, AChangeThatIsSentAgainIsAcknowledgedInTheSameWay)
+TEST_F (ControlRequestsTest, RepeatedChangeIsAcknowledgedUnderSameCondition)
 {
     ASSERT_EQ (ask (ReplaceConfiguration{ "5 a" }), ControlVerdict::kDone);
     m_cell.run (base::seconds (1));
     m_cell.router (1).isCut = true;
     const auto first = m_cell.askControl (m_cell.leader(), ReplaceConfiguration{ "6 b" },
                                           base::milliseconds (500));
-    ASSERT_FALSE (first) << "router 1 may serve under 5 yet";
+    ASSERT_FALSE (first) << "router 1 may still serve under 5";
     EXPECT_EQ (ask (ReplaceConfiguration{ "6 b" }), ControlVerdict::kDone);
     EXPECT_FALSE (m_cell.router (1).admits (m_cell.now()));
 }
 
-TEST_F (ControlRequestsTest, AChangeIsOneMessageHoweverManyRoutersThereAre)
+TEST_F (ControlRequestsTest, ChangeIsEncodedOnceForAllRouters)
 {
     ASSERT_EQ (ask (ReplaceConfiguration{ "5 a" }), ControlVerdict::kDone);
     m_cell.run (base::seconds (1));
@@ -161,10 +162,10 @@
     ASSERT_EQ (m_cell.router (0).configurationVersion, 6U);
     ASSERT_EQ (m_cell.router (1).configurationVersion, 6U);
     EXPECT_EQ (m_cell.configurationMessages, 1U)
-        << "comparing and encoding it takes the leader long";
+        << "comparing and encoding a configuration is expensive at the leader";
 }
 
-TEST_F (ControlRequestsTest, ARouterThatKnowsNothingWorksWithTheLastKnownStateUntilThereIsALeader)
+TEST_F (ControlRequestsTest, RouterWithoutStateGetsLastKnownStateWithoutLeader)
 {
     ask (ReplaceConfiguration{ "5 a" });
     ask (heartbeatOf ("i-1", 1));
@@ -179,17 +180,17 @@
         m_cell.router (router).instanceVersion = 0;
     }
     m_cell.router (0).acceptsLastKnownState = true;
-    m_cell.restart (1);  // Alone it leads nobody.
+    m_cell.restart (1);  // A single member cannot become leader.
     m_cell.reconnect (0, 1);
     m_cell.reconnect (1, 1);
     m_cell.run (base::milliseconds (50));
     EXPECT_EQ (m_cell.leader(), 0U);
     EXPECT_EQ (m_cell.router (0).configurationVersion, 5U);
     EXPECT_TRUE (m_cell.router (0).instances.contains ("i-1"));
-    EXPECT_EQ (m_cell.router (1).configurationVersion, 0U) << "it serves under leases only";
+    EXPECT_EQ (m_cell.router (1).configurationVersion, 0U) << "router 1 serves only with a lease";
 }
 
-TEST_F (ControlRequestsTest, ARouterWithAConfigurationGetsNoneFromAFollower)
+TEST_F (ControlRequestsTest, RouterWithConfigurationGetsNoOlderOneFromFollower)
 {
     ask (ReplaceConfiguration{ "5 a" });
     m_cell.run (base::milliseconds (200));
@@ -202,7 +203,7 @@
     EXPECT_EQ (m_cell.router (0).regressions, 0U);
 }
 
-TEST_F (ControlRequestsTest, AFollowerTellsWaitingRoutersOfTheLeaderAsSoonAsThereIsOne)
+TEST_F (ControlRequestsTest, FollowerNotifiesWaitingRoutersOfNewLeader)
 {
     for (const base::MemberId member : { 1U, 2U, 3U })
         m_cell.kill (member);
@@ -214,7 +215,7 @@
     hello.router = base::RouterId ("r");
     hello.cell = base::CellId ("c");
     core.onRouterMessage (77, hello);
-    const auto note = [&]
+    const auto collectReplies = [&]
     {
         for (const Effect& effect : core.takeEffects())
         {
@@ -225,19 +226,19 @@
                 leaders.push_back (reply->leaderAddress);
         }
     };
-    note();
+    collectReplies();
     EXPECT_EQ (leaders, std::vector<std::string>{ "" });
     leaders.clear();
     const consensus::AppendRequest heartbeat{ 0, 0, 0, 1, {} };
     core.onMemberMessage ({ 2, 1, 99, heartbeat });
-    note();
+    collectReplies();
     ASSERT_EQ (leaders.size(), 1U);
     EXPECT_FALSE (leaders[0].empty());
 }
 
-TEST_F (ControlRequestsTest, ManyLargeConfigurationsAreNotLeftForARestartToRead)
+TEST_F (ControlRequestsTest, ManyLargeConfigurationsCauseSnapshot)
 {
-    // Kept compressed they take little room, but each takes as long to read as it is large.
+    // Compressed entries are small, but the time to parse them depends on the uncompressed size.
     const std::string padding (SnapshotSchedule::kLongLogBytes / 4, 'x');
     for (int version = 1; version <= 12; ++version)
         ask (ReplaceConfiguration{ std::to_string (version) + " " + padding });
@@ -246,12 +247,12 @@
         EXPECT_GT (m_cell.snapshotIndex (member), 0U) << "member " << member;
 }
 
-TEST_F (ControlRequestsTest, NothingIsReadBeforeThereIsAConfiguration)
+TEST_F (ControlRequestsTest, ReadIsUnavailableWithoutConfiguration)
 {
     EXPECT_EQ (ask (ReadConfiguration{}), ControlVerdict::kUnavailable);
 }
 
-TEST_F (ControlRequestsTest, ADrainIsAcknowledgedOnceItIsCommittedAndRoutersHearOfIt)
+TEST_F (ControlRequestsTest, DrainIsCommittedAndSentToRouters)
 {
     EXPECT_EQ (ask (heartbeatOf ("i-1", 1)), ControlVerdict::kDone);
     m_cell.run (base::milliseconds (200));
@@ -264,23 +265,23 @@
     EXPECT_TRUE (m_cell.router (1).instances.at ("i-1").instance.isDraining);
 }
 
-TEST_F (ControlRequestsTest, ADrainIsAcknowledgedOnceNoRouterMaySendThere)
+TEST_F (ControlRequestsTest, DrainIsAcknowledgedOnceNoRouterMaySendRequests)
 {
     ask (ReplaceConfiguration{ "5 a" });
     ask (heartbeatOf ("i-1", 1));
     m_cell.run (base::seconds (1));
-    m_cell.router (1).isCut = true;  // It hears of nothing, and its lease goes on.
+    m_cell.router (1).isCut = true;  // It receives nothing, and its lease continues.
     InstanceHeartbeat draining = heartbeatOf ("i-1", 2);
     draining.instance.isDraining = true;
     const auto first = m_cell.askControl (m_cell.leader(), draining, base::milliseconds (500));
-    EXPECT_FALSE (first) << "router 1 may send there";
+    EXPECT_FALSE (first) << "router 1 may still send requests to the instance";
     draining.sequence = 3;
     EXPECT_EQ (ask (draining), ControlVerdict::kDone);
     EXPECT_FALSE (m_cell.router (1).instances.at ("i-1").instance.isDraining);
     EXPECT_FALSE (m_cell.router (1).admits (m_cell.now()));
 }
 
-TEST_F (ControlRequestsTest, ADrainThatIsAskedForAgainDoesNotBeginToWaitAnew)
+TEST_F (ControlRequestsTest, RepeatedDrainJoinsThePendingOne)
 {
     ask (ReplaceConfiguration{ "5 a" });
     ask (heartbeatOf ("i-1", 1));
@@ -288,7 +289,7 @@
     m_cell.router (1).isCut = true;
     InstanceHeartbeat draining = heartbeatOf ("i-1", 2);
     draining.instance.isDraining = true;
-    // A runner gives each call a second; the lease of the router that is cut off goes on for two.
+    // A runner gives up each call after a second; the lease of the isolated router lasts two.
     std::optional<ControlAnswer> answer;
     int calls = 0;
     while (! answer && calls < 10)
@@ -303,7 +304,7 @@
     EXPECT_FALSE (m_cell.router (1).admits (m_cell.now()));
 }
 
-TEST_F (ControlRequestsTest, ADeregistrationIsAcknowledgedOnceNoRouterMaySendThere)
+TEST_F (ControlRequestsTest, DeregistrationIsAcknowledgedOnceNoRouterMaySendRequests)
 {
     ask (ReplaceConfiguration{ "5 a" });
     ask (heartbeatOf ("i-1", 1));
@@ -314,7 +315,7 @@
     EXPECT_FALSE (m_cell.router (1).admits (m_cell.now()));
 }
 
-TEST_F (ControlRequestsTest, ADrainIsAcknowledgedSoonWhenAllRoutersAreThere)
+TEST_F (ControlRequestsTest, DrainIsAcknowledgedQuicklyWhenAllRoutersAreConnected)
 {
     ask (ReplaceConfiguration{ "5 a" });
     ask (heartbeatOf ("i-1", 1));
@@ -326,7 +327,7 @@
     EXPECT_LT (m_cell.now() - requestedAt, base::milliseconds (100));
 }
 
-TEST_F (ControlRequestsTest, AnInstanceTakesThePlaceOfTheOneThatWasAtItsAddress)
+TEST_F (ControlRequestsTest, InstanceReplacesPredecessorAtItsAddress)
 {
     InstanceHeartbeat earlier = heartbeatOf ("i-1", 9);
     ASSERT_TRUE (m_cell.askControl (m_cell.leader(), earlier));
@@ -334,7 +335,7 @@
     next.instance.address = earlier.instance.address;
     ASSERT_TRUE (m_cell.askControl (m_cell.leader(), next));
     m_cell.run (base::milliseconds (200));
-    // A heartbeat that was delayed does not bring the earlier one back.
+    // A delayed heartbeat must not restore the earlier instance.
     earlier.sequence = 10;
     ASSERT_TRUE (m_cell.askControl (m_cell.leader(), earlier));
     m_cell.run (base::milliseconds (200));
@@ -343,7 +344,7 @@
     EXPECT_NE (instances.find ("i-2"), nullptr);
 }
 
-TEST_F (ControlRequestsTest, ADrainOutlivesItsLeaderAndALateHeartbeat)
+TEST_F (ControlRequestsTest, DrainSurvivesLeaderChangeAndLateHeartbeat)
 {
     ask (heartbeatOf ("i-1", 1));
     InstanceHeartbeat draining = heartbeatOf ("i-1", 3);
@@ -358,7 +359,7 @@
     EXPECT_TRUE (instance->isDraining);
 }
 
-TEST_F (ControlRequestsTest, AnIsolatedLeaderAcknowledgesNothing)
+TEST_F (ControlRequestsTest, IsolatedLeaderAcknowledgesNothing)
 {
     const base::MemberId leader = m_cell.leader();
     ask (heartbeatOf ("i-1", 1));
@@ -371,7 +372,7 @@
     EXPECT_TRUE (! read || read->verdict != ControlVerdict::kDone);
 }
 
-TEST_F (ControlRequestsTest, ANewLeaderKnowsWhatRunnersHold)
+TEST_F (ControlRequestsTest, NewLeaderHasModelsOfRunners)
 {
     ask (ReplaceConfiguration{ "1 a" });
     ask (heartbeatOf ("i-1", 1));
@@ -384,7 +385,7 @@
     EXPECT_EQ (instance->models[0].model, "m1");
 }
 
-TEST_F (ControlRequestsTest, AModelThatRequestsWaitForIsLoaded)
+TEST_F (ControlRequestsTest, LoadsModelThatRequestsWaitFor)
 {
     ask (ReplaceConfiguration{ "1 a" });
     m_cell.engineReports["i-1"].models = { { "m1", 1, {} } };
@@ -401,7 +402,7 @@
     EXPECT_EQ (order.expectedSequence, 0U);
 }
 
-TEST_F (ControlRequestsTest, TwoLeadersNeverOrderWithinThePause)
+TEST_F (ControlRequestsTest, OrdersOfTwoLeadersAreSeparatedByDelay)
 {
     ask (ReplaceConfiguration{ "1 a" });
     m_cell.engineReports["i-1"].models = { { "m1", 1, {} } };
@@ -441,7 +442,7 @@
     }
 }
 
-TEST_F (ControlRequestsTest, ANewLeaderOrdersAnEngineThatHadNoOrderLatelyAtOnce)
+TEST_F (ControlRequestsTest, NewLeaderOrdersEngineWithoutRecentOrderAtOnce)
 {
     ask (ReplaceConfiguration{ "1 a" });
     m_cell.engineReports["i-1"].models = { { "m1", 1, {} } };
@@ -450,7 +451,7 @@
     const base::MemberId before = m_cell.leader();
     m_cell.kill (before);
     ASSERT_TRUE (m_cell.awaitLeader());
-    const base::TimePoint ledFrom = m_cell.now();
+    const base::TimePoint leaderSince = m_cell.now();
     ask (heartbeatOf ("i-1", 2));
     ASSERT_TRUE (m_cell.runUntil (
         [&]
@@ -459,7 +460,7 @@
             return ! m_cell.engineOrders.empty();
         },
         base::seconds (2)));
-    EXPECT_LT (m_cell.engineOrders[0].at - ledFrom, base::seconds (2));
+    EXPECT_LT (m_cell.engineOrders[0].at - leaderSince, base::seconds (2));
     EXPECT_NE (m_cell.engineOrders[0].from, before);
 }
 
@@ -470,7 +471,7 @@
     return heartbeat;
 }
 
-TEST_F (ControlRequestsTest, ARunnerThatStartsAgainUnderItsIdTakesRequestsAgain)
+TEST_F (ControlRequestsTest, RestartedRunnerUnderSameIdTakesRequests)
 {
     ask (ReplaceConfiguration{ "5 a" });
     ask (incarnationOf (1000, 90));
@@ -480,7 +481,7 @@
     EXPECT_EQ (ask (InstanceDeregistration{ "i-1", 1000 }), ControlVerdict::kDone);
     EXPECT_EQ (ask (incarnationOf (2000, 1)), ControlVerdict::kDone);
     m_cell.run (base::milliseconds (200));
-    // Late words of the one that is gone.
+    // Late messages of the earlier incarnation.
     ask (incarnationOf (1000, 92));
     ask (draining);
     ask (InstanceDeregistration{ "i-1", 1000 });
@@ -491,7 +492,7 @@
     EXPECT_FALSE (instance.isDraining);
 }
 
-TEST_F (ControlRequestsTest, ADrainOfALaterIncarnationIsNotAnsweredByThatOfAnEarlierOne)
+TEST_F (ControlRequestsTest, DrainOfLaterIncarnationWaitsForItself)
 {
     ask (ReplaceConfiguration{ "5 a" });
     for (const base::UnixMilliseconds startedAt : { 1000, 2000 })
@@ -507,17 +508,17 @@
     }
 }
 
-TEST_F (ControlRequestsTest, ARunnerOfAServiceThatIsNotThereTakesNobodysPlace)
+TEST_F (ControlRequestsTest, RunnerOfUnknownServiceReplacesNoRunner)
 {
     ask (ReplaceConfiguration{ "5 a" });
     ask (heartbeatOf ("i-1", 1));
-    InstanceHeartbeat stranger = heartbeatOf ("i-9", 1);
-    stranger.instance.service = "other";
-    stranger.instance.address = heartbeatOf ("i-1", 1).instance.address;
-    EXPECT_EQ (ask (stranger), ControlVerdict::kDone);
-    InstanceHeartbeat namesake = heartbeatOf ("i-1", 2);
-    namesake.instance.service = "other";
-    EXPECT_EQ (ask (namesake), ControlVerdict::kDone);
+    InstanceHeartbeat sameAddress = heartbeatOf ("i-9", 1);
+    sameAddress.instance.service = "other";
+    sameAddress.instance.address = heartbeatOf ("i-1", 1).instance.address;
+    EXPECT_EQ (ask (sameAddress), ControlVerdict::kDone);
+    InstanceHeartbeat sameId = heartbeatOf ("i-1", 2);
+    sameId.instance.service = "other";
+    EXPECT_EQ (ask (sameId), ControlVerdict::kDone);
     m_cell.run (base::milliseconds (200));
     EXPECT_EQ (m_cell.unusableMessages, 2U);
     EXPECT_FALSE (m_cell.router (1).instances.contains ("i-9"));
--- a/src/controller/ControllerCore.h
+++ b/src/controller/ControllerCore.h
@@ -207,8 +207,8 @@
 /// Status of a member that does not lead and serves routers on behalf of the leader.
 struct RelayStatus
 {
-    bool mayServe =
-        false;  ///< It holds a lease of the leader that it may pass on. Always false at the leader.
+    /// It holds a lease of the leader that it may pass on. Always false at the leader.
+    bool mayServe = false;
     std::uint32_t routers = 0;
     std::uint64_t configuration = 0;    ///< Version of the configuration applied here.
     std::uint64_t instanceVersion = 0;  ///< Version of the instance table held.
--- a/src/controller/ControllerCoreTest.cpp
+++ b/src/controller/ControllerCoreTest.cpp
@@ -17,7 +17,7 @@
 constexpr int kOk = 200;
 constexpr int kConflict = 409;
 
-TEST (ControllerCoreTest, LoadsModelForDemandAndTellsRouters)
+TEST (ControllerCoreTest, LoadsModelOnDemandAndNotifiesRouters)
 {
     TestCell cell (testOptions());
     ASSERT_TRUE (cell.awaitLeader());
@@ -31,7 +31,8 @@
     EXPECT_EQ (cell.held ("a"), 1U);
 }
 
-/// Says hello for a router that holds its table, and whether the table was then replaced whole.
+/// Sends a hello of a router that holds the given version of the replica table. Returns whether the
+/// router then received the whole table.
 bool isTableReplaced (TestCell& cell, base::Term term, std::uint64_t version)
 {
     test::TestRouter& router = cell.router (0);
@@ -49,7 +50,7 @@
     return router.table.count (marker) == 0;
 }
 
-TEST (ControllerCoreTest, AReturningRouterKeepsItsTable)
+TEST (ControllerCoreTest, ReconnectingRouterKeepsItsTable)
 {
     TestCell::Options options = testOptions();
     options.controller.exactShareLimit = 0;
@@ -77,7 +78,7 @@
     EXPECT_EQ (cell.held ("x"), 1U);
 }
 
-TEST (ControllerCoreTest, NewLeaderGoesOnWithOrderInFlight)
+TEST (ControllerCoreTest, NewLeaderContinuesOrderInFlight)
 {
     TestCell cell (testOptions());
     ASSERT_TRUE (cell.awaitLeader());
@@ -89,7 +90,7 @@
     cell.kill (old);
     ASSERT_TRUE (cell.runUntil ([&] { return cell.router (1).knows ("b"); }, base::seconds (10)));
     EXPECT_EQ (cell.held ("b"), 1U);
-    // The first leader's order arrives late and changes nothing.
+    // The order of the first leader arrives late and must have no effect.
     for (const auto& [runner, order] : cell.heldOrders)
     {
         cell.engine (runner.value).take (order, cell.now());
@@ -98,7 +99,7 @@
     EXPECT_EQ (cell.held ("b"), 1U);
 }
 
-TEST (ControllerCoreTest, EqualVersionsConflictAndResendsGetTheEarlierAnswer)
+TEST (ControllerCoreTest, RejectsOtherTextOfSameVersionAndAcceptsRepeat)
 {
     TestCell cell (testOptions());
     ASSERT_TRUE (cell.awaitLeader());
@@ -108,7 +109,7 @@
     EXPECT_EQ (cell.apply (testCatalogue (4)), kConflict);
 }
 
-TEST (ControllerCoreTest, DemandOfManyRoutersIsOneDecisionTakenAtOnce)
+TEST (ControllerCoreTest, DemandOfManyRoutersCausesOneImmediateDecision)
 {
     TestCell::Options options = testOptions();
     options.routers = 6;
@@ -135,14 +136,14 @@
             return knowing > 0;
         },
         base::seconds (5)));
-    EXPECT_EQ (knowing, options.routers) << "all routers hear of the replica in the same step";
+    EXPECT_EQ (knowing, options.routers) << "all routers must be sent the replica in the same step";
     std::uint32_t credits = 0;
     for (std::size_t router = 0; router < options.routers; ++router)
     {
         for (const auto& [key, replica] : cell.router (router).table)
             credits += replica.credits;
     }
-    EXPECT_EQ (credits, 8U) << "the slots of the runner";
+    EXPECT_EQ (credits, 8U) << "the sum must be the slots of the runner";
 }
 
 TEST (ControllerCoreTest, UnansweredOrderIsSentAgain)
@@ -160,7 +161,7 @@
     EXPECT_EQ (cell.held ("b"), 1U);
 }
 
-TEST (ControllerCoreTest, ClaimSurvivesItsLeader)
+TEST (ControllerCoreTest, ClaimSurvivesLeaderChange)
 {
     TestCell cell (testOptions());
     ASSERT_TRUE (cell.awaitLeader());
@@ -205,7 +206,7 @@
     };
     EXPECT_EQ (statusOf (AdminAddMember{ { 1, "c1:1", "c1:2", "z1", false } }), kConflict);
     EXPECT_EQ (statusOf (AdminAddMember{ { kNew, "c9:1", "c9:2", "z1", false } }), kOk);
-    EXPECT_NE (statusOf (AdminPromoteMember{ kNew }), kOk) << "it has not caught up";
+    EXPECT_NE (statusOf (AdminPromoteMember{ kNew }), kOk) << "the learner has not caught up";
     EXPECT_NE (cell.ask (leader, AdminMembers{})->json.find ("c9:1"), std::string::npos);
     EXPECT_EQ (statusOf (AdminRemoveMember{ kNew }), kOk);
     EXPECT_EQ (cell.ask (leader, AdminMembers{})->json.find ("c9:1"), std::string::npos);
@@ -213,7 +214,7 @@
     EXPECT_NE (cell.ask (follower, AdminRemoveMember{ 3 })->httpStatus, kOk);
 }
 
-TEST (ControllerCoreTest, LeavingSeenByOneRouterIsToldToAll)
+TEST (ControllerCoreTest, LeavingSeenByOneRouterReachesAllRouters)
 {
     TestCell cell (testOptions());
     ASSERT_TRUE (cell.awaitLeader());
@@ -225,15 +226,16 @@
     const std::string other = holder == "r1" ? "r2" : "r1";
     cell.sendFromRouter (0, cell::RunnerLeavingSeen{ base::RunnerId (holder),
                                                      cell.engine (holder).report().incarnation });
-    const base::TimePoint saidAt = cell.now();
+    const base::TimePoint reportedAt = cell.now();
     ASSERT_TRUE (cell.runUntil ([&] { return ! cell.router (1).knows ("b"); }, base::seconds (5)));
-    // Simulated time of a few messages; neither the machine list nor the engine says it.
-    EXPECT_LE (base::toMilliseconds (cell.now() - saidAt), 20);
-    std::uint32_t most = 0;
-    cell.onStep = [&] { most = std::max (most, cell.held ("b")); };
+    // Simulated time of a few messages; neither the machine list nor the engine reports the
+    // leaving.
+    EXPECT_LE (base::toMilliseconds (cell.now() - reportedAt), 20);
+    std::uint32_t maxHeld = 0;
+    cell.onStep = [&] { maxHeld = std::max (maxHeld, cell.held ("b")); };
     EXPECT_TRUE (
         cell.runUntil ([&] { return cell.engine (other).isReady ("b"); }, base::seconds (10)));
-    EXPECT_EQ (most, 1U);
+    EXPECT_EQ (maxHeld, 1U);
 }
 
 }  // namespace
--- a/src/controller/ControllerImplementation.h
+++ b/src/controller/ControllerImplementation.h
@@ -90,7 +90,7 @@
 /// becomes the fence of the unload order.
 struct ForOrphan
 {
-    OrphanedReplica stray;
+    OrphanedReplica orphan;
 };
 struct ForNothing
 {
@@ -123,7 +123,7 @@
     base::TimePoint arrivedAt{};
 };
 /// A membership change that the leader makes without a request of an operator.
-struct ForOwnMembers
+struct ForAutomaticMembers
 {
 };
 /// Orders to registered engines that are sent once the record of them is committed.
@@ -134,7 +134,7 @@
 };
 using Purpose = std::variant<ForPlacement, ForApply, ForDrain, ForMembers, ForClaims, ForReplica,
                              ForRunner, ForOrphan, ForNothing, ForControl, ForLeavingInstance,
-                             ForConfiguration, ForOwnMembers, ForEngineOrders, ForRelease>;
+                             ForConfiguration, ForAutomaticMembers, ForEngineOrders, ForRelease>;
 
 /// A committed apply whose operator waits until it is in force at every router.
 struct PendingApply
@@ -149,7 +149,7 @@
 struct PendingConfiguration
 {
     ForConfiguration purpose;
-    std::uint64_t version = 0;  ///< The version to wait for: in force since the commit.
+    std::uint64_t version = 0;  ///< In force after the commit: this change or a later one.
     ControlAnswer answer;
 };
 
@@ -159,8 +159,8 @@
 struct PendingLeave
 {
     std::vector<ControlTicket> tickets;
-    std::uint64_t tableVersion = 0;  ///< First instance table that contains the change; 0: none
-                                     ///< yet.
+    /// First version of the instance table that contains the change; 0: none yet.
+    std::uint64_t tableVersion = 0;
     /// Time at which the lease of every router that has not confirmed the table has expired.
     base::TimePoint leasesEndAt{};
     bool isConfirmed = false;  ///< Stays set as long as this member leads.
@@ -203,12 +203,12 @@
     RunnerWatch watch;
     OrderQueue orders;
     RouterSessions sessions;
-    bool isTableShared = false;                    ///< All routers get the same replica table.
-    RoutableTable table;                           ///< Used while the table is shared.
-    std::vector<cell::RoutableReplica> rows;       ///< Used while the table is not shared.
-    std::optional<CreditShare> exactShare;         ///< Used while the table is not shared.
-    std::map<std::string, std::uint32_t> sharers;  ///< Number of routers that share a target's
-                                                   ///< replicas, as last sent.
+    bool isTableShared = false;               ///< All routers get the same replica table.
+    RoutableTable table;                      ///< Used while the table is shared.
+    std::vector<cell::RoutableReplica> rows;  ///< Used while the table is not shared.
+    std::optional<CreditShare> exactShare;    ///< Used while the table is not shared.
+    /// Number of routers that share a target's replicas, as last sent.
+    std::map<std::string, std::uint32_t> sharers;
     std::uint32_t newRouterSharers = 0;  ///< The same number for routers that report no demand.
     DemandTable demands;
     ClaimBatcher claims;
@@ -239,8 +239,8 @@
     std::map<base::ReplicaId, bool> usesStore;
     ReadyEstimates estimates;  ///< Estimates as last sent to routers.
     InstanceTable instances;
-    InstanceLoadSum loadSum;  ///< Sum of the loads that this member's routers and the other
-                              ///< controllers report.
+    /// Sum of the loads that this member's routers and the other controllers report.
+    InstanceLoadSum loadSum;
     InstanceLoadTable loads;  ///< The same loads together with speeds, as sent to routers.
     RunnerSpeeds speeds;
     /// Start times of the incarnations to which `loads` and `speeds` apply, by instance.
@@ -249,8 +249,8 @@
     InstanceRateLedger rates;       ///< Rates of the runners that state one.
     std::uint64_t placedRates = 0;  ///< Version of `rates` last passed to placement.
     RateNews rateNews;
-    base::DecayingRate
-        heartbeats;  ///< Heartbeats that arrived at this member itself while it leads.
+    /// Heartbeats that arrived at this member itself while it leads.
+    base::DecayingRate heartbeats;
     quota::QuotaLedger quotas;
     QuotaBasis quotaBasis;        ///< Configuration and member count that `quotas` is set up for.
     cell::NoteSuspects suspects;  ///< Runner crashes reported and not proposed yet.
@@ -374,7 +374,7 @@
                  const cell::ApplyResult& result);
     void finish (const ForConfiguration& purpose, base::LogIndex index,
                  const cell::ApplyResult& result);
-    void finish (const ForOwnMembers& purpose, base::LogIndex index,
+    void finish (const ForAutomaticMembers& purpose, base::LogIndex index,
                  const cell::ApplyResult& result);
     void finish (const ForEngineOrders& purpose, base::LogIndex index,
                  const cell::ApplyResult& result);
@@ -398,7 +398,7 @@
     void recordUse (const engine::Report& report);
     void failReplica (base::ReplicaId replica, const std::string& reason);
     void proposeForReplica (base::ReplicaId replica, const cell::Command& command);
-    void proposeOrphanUnload (const OrphanedReplica& stray);
+    void proposeOrphanUnload (const OrphanedReplica& orphan);
     void sendOrders();
     void sendOrders (const base::RunnerId& runner);
     void onOrderRefused (const base::RunnerId& runner, const engine::Order& order,
@@ -658,8 +658,8 @@
     cell::CellState m_state;
     consensus::RaftNode m_raft;
     consensus::RaftSummary m_status;  ///< Raft status at the last drain.
-    ConfigurationChange
-        m_configurationChange;  ///< Recent configurations; kept also without leading.
+    /// Recent configurations; kept also without leading.
+    ConfigurationChange m_configurationChange;
     std::optional<Leadership> m_leader;
     /// Connections of routers that this member does not serve; they are notified when a leader is
     /// known.
--- a/src/controller/ControllerInstances.cpp
+++ b/src/controller/ControllerInstances.cpp
@@ -62,7 +62,7 @@
     const cell::ServiceInstance* known = m_state.instances().find (heartbeat.instance.id);
     if (known != nullptr && isOfEarlierIncarnation (heartbeat.instance))
     {
-        // The sender has ended; the state of the later incarnation stands.
+        // The sender has ended; the state of the later incarnation remains valid.
         answerControl (ticket, { ControlVerdict::kDone, ownAdminAddress(), "" });
         return;
     }
--- a/src/controller/ControllerLoadsTest.cpp
+++ b/src/controller/ControllerLoadsTest.cpp
@@ -1,4 +1,4 @@
-// How loads of runners that routers report reach all routers, in a whole cell.
+// Tests that the loads of runners that routers report reach all routers of a cell.
 
 #include <gtest/gtest.h>
 
@@ -16,7 +16,7 @@
 using test::TestRouter;
 
 constexpr std::size_t kRouters = 6;
-/// From a report until all other routers know: two steps upwards and one down, and some ticks.
+/// Time limit from a report until all other routers have it: three messages and some ticks.
 constexpr base::Duration kBound = milliseconds (200);
 
 /// Two routers at each of three controllers, of which one leads, and two runners.
@@ -35,7 +35,7 @@
         EXPECT_TRUE (answer && answer->verdict == ControlVerdict::kDone);
         for (const std::string id : { "i-1", "i-2" })
             EXPECT_TRUE (m_cell.askControl (m_leader, heartbeat (id)));
-        // Instances are removed when they fall silent.
+        // Without heartbeats the instances would be removed.
         m_cell.onStep = [this]
         {
             if (m_cell.now() < m_nextBeatAt)
@@ -84,17 +84,17 @@
         const auto found = loads.find (instance);
         return found == loads.end() ? 0 : found->second.inFlight;
     }
-    [[nodiscard]] bool allKnow (const std::string& instance, std::uint32_t inFlight,
-                                std::size_t but = kRouters)
+    [[nodiscard]] bool allHave (const std::string& instance, std::uint32_t inFlight,
+                                std::size_t excluded = kRouters)
     {
         for (std::size_t number = 0; number < kRouters; ++number)
         {
-            if (number != but && known (number, instance) != inFlight)
+            if (number != excluded && known (number, instance) != inFlight)
                 return false;
         }
         return true;
     }
-    /// A router of a controller that does not lead.
+    /// Number of a router at a controller that does not lead, searched from `from` on.
     [[nodiscard]] std::size_t relayedRouter (std::size_t from = 0) const
     {
         while (memberFor (from) == m_leader)
@@ -105,27 +105,28 @@
     TestCell m_cell;
     base::MemberId m_leader = 0;
     std::uint64_t m_sequence = 0;
-    base::UnixMilliseconds m_startOfFirst = 0;  ///< Of the incarnation of i-1; 0: it tells none.
+    base::UnixMilliseconds m_startOfFirst =
+        0;  ///< Start time of the incarnation of i-1; 0: none stated.
     base::TimePoint m_nextBeatAt{};
     bool m_isBeatDue = false;
 };
 
-TEST_F (ControllerLoadsTest, AllRoutersHearOfARequestWithinABoundedTime)
+TEST_F (ControllerLoadsTest, RequestsReachAllRoutersWithinTimeBound)
 {
     for (std::size_t router = 0; router < kRouters; ++router)
     {
         report (router, { { "i-1", 1, 900 } });
         const auto inFlight = static_cast<std::uint32_t> (router + 1);
-        EXPECT_TRUE (m_cell.runUntil ([&] { return allKnow ("i-1", inFlight); }, kBound))
+        EXPECT_TRUE (m_cell.runUntil ([&] { return allHave ("i-1", inFlight); }, kBound))
             << "after the report of router " << router;
     }
     EXPECT_EQ (m_cell.router (0).loads.at ("i-1").unreadTokens, 6 * 900U);
     for (std::size_t router = 0; router < kRouters; ++router)
         report (router, { { "i-1", 0, 0 } });
-    EXPECT_TRUE (m_cell.runUntil ([&] { return allKnow ("i-1", 0); }, kBound));
+    EXPECT_TRUE (m_cell.runUntil ([&] { return allHave ("i-1", 0); }, kBound));
 }
 
-TEST_F (ControllerLoadsTest, ASlowdownOfTheMomentReachesAllRoutersWithItsAge)
+TEST_F (ControllerLoadsTest, TemporarySlowdownReachesAllRoutersWithItsAge)
 {
     cell::InstanceLoadReport slow;
     slow.slowdowns.push_back ({ "i-1", 250, 20 });
@@ -150,10 +151,10 @@
     }
 }
 
-TEST_F (ControllerLoadsTest, ARouterThatComesLaterIsToldAll)
+TEST_F (ControllerLoadsTest, NewRouterReceivesAllLoads)
 {
     report (0, { { "i-1", 3, 0 }, { "i-2", 4, 0 } });
-    ASSERT_TRUE (m_cell.runUntil ([&] { return allKnow ("i-2", 4); }, kBound));
+    ASSERT_TRUE (m_cell.runUntil ([&] { return allHave ("i-2", 4); }, kBound));
     const std::size_t late = relayedRouter (1);
     m_cell.router (late).loads.clear();
     m_cell.reconnect (late, m_leader);
@@ -161,57 +162,57 @@
         [&] { return known (late, "i-1") == 3 && known (late, "i-2") == 4; }, kBound));
 }
 
-TEST_F (ControllerLoadsTest, WhatARouterHadGoesWithItsConnection)
+TEST_F (ControllerLoadsTest, LoadOfRouterEndsWithItsConnection)
 {
     const std::size_t moving = relayedRouter();
     report (moving, { { "i-1", 3, 0 } });
     report (moving + 1, { { "i-1", 2, 0 } });
-    ASSERT_TRUE (m_cell.runUntil ([&] { return allKnow ("i-1", 5); }, kBound));
+    ASSERT_TRUE (m_cell.runUntil ([&] { return allHave ("i-1", 5); }, kBound));
     m_cell.reconnect (moving, m_leader);
-    EXPECT_TRUE (m_cell.runUntil ([&] { return allKnow ("i-1", 2); }, kBound));
+    EXPECT_TRUE (m_cell.runUntil ([&] { return allHave ("i-1", 2); }, kBound));
     report (moving, { { "i-1", 3, 0 } });
-    EXPECT_TRUE (m_cell.runUntil ([&] { return allKnow ("i-1", 5); }, kBound))
-        << "it tells all again";
+    EXPECT_TRUE (m_cell.runUntil ([&] { return allHave ("i-1", 5); }, kBound))
+        << "the router must be able to report its load again";
 }
 
-TEST_F (ControllerLoadsTest, AFrozenRoutersPartDoesNotCountUntilItThaws)
+TEST_F (ControllerLoadsTest, LoadOfSilentRouterIsExcludedUntilItReturns)
 {
     const std::size_t frozen = relayedRouter();
     report (frozen, { { "i-1", 3, 0 } });
-    ASSERT_TRUE (m_cell.runUntil ([&] { return allKnow ("i-1", 3); }, kBound));
+    ASSERT_TRUE (m_cell.runUntil ([&] { return allHave ("i-1", 3); }, kBound));
     m_cell.router (frozen).isCut = true;
     const std::size_t other = frozen == 0 ? 1 : 0;
     report (other, { { "i-1", 1, 0 } });
-    EXPECT_TRUE (m_cell.runUntil ([&] { return allKnow ("i-1", 4, frozen); }, kBound));
-    EXPECT_TRUE (m_cell.runUntil ([&] { return allKnow ("i-1", 1, frozen); }, seconds (2)));
+    EXPECT_TRUE (m_cell.runUntil ([&] { return allHave ("i-1", 4, frozen); }, kBound));
+    EXPECT_TRUE (m_cell.runUntil ([&] { return allHave ("i-1", 1, frozen); }, seconds (2)));
     m_cell.router (frozen).isCut = false;
-    EXPECT_TRUE (m_cell.runUntil ([&] { return allKnow ("i-1", 4); }, seconds (2)));
+    EXPECT_TRUE (m_cell.runUntil ([&] { return allHave ("i-1", 4); }, seconds (2)));
 }
 
-TEST_F (ControllerLoadsTest, ANewLeaderKnowsWhatRoutersOfTheOtherControllersHave)
+TEST_F (ControllerLoadsTest, NewLeaderCollectsLoadsOfOtherControllers)
 {
     const std::size_t relayed = relayedRouter();
     const std::size_t direct = relayed == 0 ? 1 : 0;
     report (relayed, { { "i-1", 3, 0 } });
     report (direct, { { "i-2", 2, 0 } });
-    ASSERT_TRUE (m_cell.runUntil ([&] { return allKnow ("i-1", 3); }, kBound));
+    ASSERT_TRUE (m_cell.runUntil ([&] { return allHave ("i-1", 3); }, kBound));
     m_cell.kill (m_leader);
     ASSERT_TRUE (m_cell.awaitLeader());
     run (seconds (3));
-    // Routers tell all again to the controller to which they moved.
+    // Routers report all loads again to the controller to which they moved.
     for (std::size_t number = 0; number < kRouters; ++number)
         report (number, { { "i-1", number == relayed ? 3U : 0U, 0 } });
     report (direct, { { "i-2", 5, 0 } });
     run (milliseconds (300));
-    EXPECT_TRUE (allKnow ("i-1", 3));
-    EXPECT_TRUE (allKnow ("i-2", 5));
+    EXPECT_TRUE (allHave ("i-1", 3));
+    EXPECT_TRUE (allHave ("i-2", 5));
 }
 
-TEST_F (ControllerLoadsTest, TheLeaderForgetsTheRoutersOfAControllerThatIsCutOff)
+TEST_F (ControllerLoadsTest, LeaderDropsLoadsOfIsolatedController)
 {
     const std::size_t relayed = relayedRouter();
     report (relayed, { { "i-1", 3, 0 } });
-    ASSERT_TRUE (m_cell.runUntil ([&] { return allKnow ("i-1", 3); }, kBound));
+    ASSERT_TRUE (m_cell.runUntil ([&] { return allHave ("i-1", 3); }, kBound));
     m_cell.isolate (memberFor (relayed), true);
     const auto isForgotten = [&]
     {
@@ -225,7 +226,7 @@
     EXPECT_TRUE (m_cell.runUntil (isForgotten, seconds (4)));
 }
 
-TEST_F (ControllerLoadsTest, AFigureThatIsTheUsualOfARunnerIsToldAsItsSpeed)
+TEST_F (ControllerLoadsTest, ConstantSlowdownBecomesSpeedOfRunner)
 {
     const std::size_t relayed = relayedRouter();
     const auto state = [&] (std::uint32_t percent)
@@ -250,7 +251,7 @@
     EXPECT_EQ (m_cell.router (0).loads["i-1"].speedPercent, 200U);
 }
 
-TEST_F (ControllerLoadsTest, ANewLeaderGoesOnWithTheSpeedsThatItWasTold)
+TEST_F (ControllerLoadsTest, NewLeaderRestoresSpeedsReceivedAsRelay)
 {
     cell::InstanceLoadReport report;
     report.slowdowns.push_back ({ "i-1", 50, 0 });
@@ -263,7 +264,7 @@
         EXPECT_EQ (m_cell.router (number).loads["i-1"].speedPercent, 200U) << number;
 }
 
-TEST_F (ControllerLoadsTest, ASpeedGoesWithItsIncarnation)
+TEST_F (ControllerLoadsTest, SpeedEndsWithItsIncarnation)
 {
     m_startOfFirst = 1000;
     run (seconds (2));
@@ -282,12 +283,12 @@
     EXPECT_EQ (m_cell.router (0).loads["i-1"].speedPercent, 100U);
 }
 
-TEST_F (ControllerLoadsTest, AnOperatorSeesLoadAndSpeedOfARunner)
+TEST_F (ControllerLoadsTest, OperatorSeesLoadAndSpeedOfRunner)
 {
-    cell::InstanceLoadReport told;
-    told.uses.push_back ({ "i-1", 3, 900 });
-    told.slowdowns.push_back ({ "i-1", 50, 0 });
-    m_cell.sendFromRouter (relayedRouter(), told);
+    cell::InstanceLoadReport report;
+    report.uses.push_back ({ "i-1", 3, 900 });
+    report.slowdowns.push_back ({ "i-1", 50, 0 });
+    m_cell.sendFromRouter (relayedRouter(), report);
     run (seconds (1));
     const auto answer = m_cell.ask (m_leader, AdminExplain{ "runner", "i-1" });
     ASSERT_TRUE (answer);
@@ -303,26 +304,26 @@
     }
 }
 
-TEST_F (ControllerLoadsTest, NothingIsSentWhereNoRouterReports)
+TEST_F (ControllerLoadsTest, SendsNothingWhenNoRouterReports)
 {
-    std::size_t told = 0;
+    std::size_t updates = 0;
     for (std::size_t number = 0; number < kRouters; ++number)
-        m_cell.router (number).onLoads = [&] (const auto&) { ++told; };
+        m_cell.router (number).onLoads = [&] (const auto&) { ++updates; };
     for (std::size_t number = 0; number < kRouters; ++number)
         m_cell.reconnect (number, memberFor (number + 1));
     run (seconds (3));
-    EXPECT_EQ (told, 0U);
+    EXPECT_EQ (updates, 0U);
 }
 
-TEST_F (ControllerLoadsTest, AtRestNothingIsSent)
+TEST_F (ControllerLoadsTest, SendsNothingWithoutChanges)
 {
     report (0, { { "i-1", 3, 0 } });
     run (seconds (1));
-    std::size_t told = 0;
+    std::size_t updates = 0;
     for (std::size_t number = 0; number < kRouters; ++number)
-        m_cell.router (number).onLoads = [&] (const auto&) { ++told; };
+        m_cell.router (number).onLoads = [&] (const auto&) { ++updates; };
     run (seconds (3));
-    EXPECT_EQ (told, 0U);
+    EXPECT_EQ (updates, 0U);
 }
 
 }  // namespace
--- a/src/controller/ControllerMembers.cpp
+++ b/src/controller/ControllerMembers.cpp
@@ -32,7 +32,7 @@
         std::ranges::any_of (m_leader->proposals,
                              [] (const auto& item)
                              {
-                                 return std::holds_alternative<ForOwnMembers> (item.second)
+                                 return std::holds_alternative<ForAutomaticMembers> (item.second)
                                         || std::holds_alternative<ForMembers> (item.second);
                              });
     if (isChanging)
@@ -45,13 +45,13 @@
         [&]() -> base::Result<void>
         {
             BOOST_LEAF_AUTO (index, m_raft.proposeMembers (std::move (*change), m_now));
-            m_leader->proposals.emplace (index, ForOwnMembers{});
+            m_leader->proposals.emplace (index, ForAutomaticMembers{});
             return {};
         },
         [] (const base::Error&) {});  // The change is not possible now; the next routine retries.
 }
 
-void ControllerCore::Implementation::finish (const ForOwnMembers& /*purpose*/,
+void ControllerCore::Implementation::finish (const ForAutomaticMembers& /*purpose*/,
                                              base::LogIndex /*index*/,
                                              const cell::ApplyResult& /*result*/)
 {
--- a/src/controller/ControllerProcess.h
+++ b/src/controller/ControllerProcess.h
@@ -92,13 +92,13 @@
     http::Counter& m_unusableMessages =
         m_metrics.counter ("fernlift_controller_runner_messages_unusable_total",
                            "Messages in runners' names that could not be used.");
-    std::unique_ptr<storage::Storage>
-        m_openedStorage;  ///< Set until the storage thread takes it over.
+    /// Set until the storage thread takes it over.
+    std::unique_ptr<storage::Storage> m_openedStorage;
     std::optional<ControllerCore> m_core;
     PeerTransport m_transport;
     RunnerClient m_runners;
-    cell::ControllerLink
-        m_leaderLink;  ///< Connection on which this controller acts for its routers.
+    /// Connection on which this controller acts for its routers.
+    cell::ControllerLink m_leaderLink;
     PeerListener m_listener;
     AdminHttp m_admin;
     std::unique_ptr<ControlHttp> m_control;   ///< Null without a control interface.
@@ -114,8 +114,8 @@
     base::MemberId m_lastLeader = 0;
     QObject m_context;
     QTimer m_ticker;
-    std::unique_ptr<StorageThread>
-        m_storage;  ///< Last member: its thread ends before the others are destroyed.
+    /// Last member: its thread ends before the others are destroyed.
+    std::unique_ptr<StorageThread> m_storage;
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/ControllerProposals.cpp
+++ b/src/controller/ControllerProposals.cpp
@@ -137,22 +137,22 @@
 void ControllerCore::Implementation::finish (const ForOrphan& purpose, base::LogIndex index,
                                              const cell::ApplyResult& /*result*/)
 {
-    const OrphanedReplica& stray = purpose.stray;
-    const std::pair key (stray.runner, stray.report.replica);
+    const OrphanedReplica& orphan = purpose.orphan;
+    const std::pair key (orphan.runner, orphan.report.replica);
     m_leader->busyOrphans.erase (key);
     m_leader->orphanUnloadDelays[key] = m_now + m_options.orderTimeout;
     engine::Order order;
-    order.kind = stray.report.adapter.empty() ? engine::OrderKind::kUnloadModel
-                                              : engine::OrderKind::kUnloadAdapter;
+    order.kind = orphan.report.adapter.empty() ? engine::OrderKind::kUnloadModel
+                                               : engine::OrderKind::kUnloadAdapter;
     order.fence = index;
-    order.incarnation = stray.incarnation;
-    order.replica = stray.report.replica;
-    order.model = stray.report.model;
-    order.version = stray.report.version;
-    order.adapter = stray.report.adapter;
-    order.memory = stray.report.memory;
-    m_leader->orders.addStray (stray.runner, order);
-    m_leader->ordersDue.insert (stray.runner);
+    order.incarnation = orphan.incarnation;
+    order.replica = orphan.report.replica;
+    order.model = orphan.report.model;
+    order.version = orphan.report.version;
+    order.adapter = orphan.report.adapter;
+    order.memory = orphan.report.memory;
+    m_leader->orders.addStray (orphan.runner, order);
+    m_leader->ordersDue.insert (orphan.runner);
 }
 
 void ControllerCore::Implementation::finish (const ForNothing& /*purpose*/,
--- a/src/controller/ControllerQuarantineTest.cpp
+++ b/src/controller/ControllerQuarantineTest.cpp
@@ -1,4 +1,4 @@
-// Requests under which runners ended, in a whole cell of controllers.
+// Tests of the quarantine of requests at which runners crash, in a cell of controllers.
 
 #include <gtest/gtest.h>
 
@@ -39,14 +39,14 @@
         options.controller.hasMachineList = false;
         return options;
     }
-    /// A router reports that a runner ended; it was sent the request 50 ms before.
+    /// Sends a router's report of a runner crash 50 ms after the runner was sent the request.
     void report (std::size_t router, const std::string& instance)
     {
         cell::SuspectReport report;
         report.ends.push_back ({ { 1, "r" }, instance, 60, 10 });
         m_cell.sendFromRouter (router, report);
     }
-    void reportTwo()
+    void reportTwoCrashes()
     {
         for (const char* instance : { "a", "b" })
         {
@@ -54,17 +54,17 @@
             m_cell.run (milliseconds (200));
         }
     }
-    [[nodiscard]] std::uint32_t endsAt (std::size_t router)
+    [[nodiscard]] std::uint32_t crashesAt (std::size_t router)
     {
         const auto& suspects = m_cell.router (router).suspects;
         const auto found = suspects.find ("r");
         return found == suspects.end() ? 0 : found->second.ends;
     }
-    [[nodiscard]] bool allKnow (std::uint32_t ends)
+    [[nodiscard]] bool allHave (std::uint32_t ends)
     {
         for (std::size_t number = 0; number < kRouters; ++number)
         {
-            if (endsAt (number) != ends)
+            if (crashesAt (number) != ends)
                 return false;
         }
         return true;
@@ -74,29 +74,29 @@
     base::MemberId m_leader = 0;
 };
 
-TEST_F (ControllerQuarantineTest, EndsSeenByDifferentRoutersAddUpAtAll)
+TEST_F (ControllerQuarantineTest, CrashesReportedByDifferentRoutersAddUp)
 {
     report (0, "a");
     m_cell.run (milliseconds (200));
     report (2, "b");
     m_cell.run (milliseconds (200));
-    EXPECT_TRUE (allKnow (2));
+    EXPECT_TRUE (allHave (2));
     report (3, "c");
-    EXPECT_TRUE (m_cell.runUntil ([&] { return allKnow (3); }, milliseconds (200)));
+    EXPECT_TRUE (m_cell.runUntil ([&] { return allHave (3); }, milliseconds (200)));
 }
 
-TEST_F (ControllerQuarantineTest, OnlyWhoReportedItIsShownARequestWithOneEnd)
+TEST_F (ControllerQuarantineTest, RequestWithOneCrashIsSentOnlyToItsReporters)
 {
     report (0, "a");
     report (2, "a");
     m_cell.run (milliseconds (200));
-    EXPECT_EQ (endsAt (0), 1);
-    EXPECT_EQ (endsAt (1), 0);
-    EXPECT_EQ (endsAt (2), 1);
-    EXPECT_EQ (endsAt (3), 0);
+    EXPECT_EQ (crashesAt (0), 1);
+    EXPECT_EQ (crashesAt (1), 0);
+    EXPECT_EQ (crashesAt (2), 1);
+    EXPECT_EQ (crashesAt (3), 0);
 }
 
-TEST_F (ControllerQuarantineTest, RoutersHearOfEndsBeforeASlowDiskHasThem)
+TEST_F (ControllerQuarantineTest, RoutersAreNotifiedOfCrashesBeforeSlowCommit)
 {
     report (0, "a");
     m_cell.run (milliseconds (200));
@@ -110,21 +110,21 @@
         EXPECT_EQ (hints[0].instance, "b");
         EXPECT_GE (hints[0].sentAgoMilliseconds, 60 + 30);
     }
-    // A router tells it again until the table shows it.
+    // A router repeats the report until it receives the suspect status.
     m_cell.diskDelay = milliseconds (1);
     m_cell.run (seconds (3));
     report (0, "b");
-    EXPECT_TRUE (m_cell.runUntil ([&] { return allKnow (2); }, seconds (1)));
+    EXPECT_TRUE (m_cell.runUntil ([&] { return allHave (2); }, seconds (1)));
 }
 
-TEST_F (ControllerQuarantineTest, WhatIsKnownOutlivesTheLeader)
+TEST_F (ControllerQuarantineTest, QuarantineSurvivesLeaderChange)
 {
     for (const char* instance : { "a", "b", "c" })
     {
         report (0, instance);
         m_cell.run (milliseconds (200));
     }
-    ASSERT_TRUE (allKnow (3));
+    ASSERT_TRUE (allHave (3));
     m_cell.kill (m_leader);
     m_cell.run (seconds (3));
     ASSERT_TRUE (m_cell.awaitLeader());
@@ -134,25 +134,25 @@
     EXPECT_TRUE (suspect->isInQuarantine());
 }
 
-TEST_F (ControllerQuarantineTest, ARouterThatComesLaterHearsOfAll)
+TEST_F (ControllerQuarantineTest, NewRouterReceivesSuspects)
 {
-    reportTwo();
+    reportTwoCrashes();
     m_cell.router (1).suspects.clear();
     m_cell.reconnect (1, m_leader);
-    EXPECT_TRUE (m_cell.runUntil ([&] { return endsAt (1) == 2; }, seconds (1)));
+    EXPECT_TRUE (m_cell.runUntil ([&] { return crashesAt (1) == 2; }, seconds (1)));
 }
 
-TEST_F (ControllerQuarantineTest, AWholeAnswerAcquitsAtAllRouters)
+TEST_F (ControllerQuarantineTest, CompleteAnswerClearsRequestAtAllRouters)
 {
-    reportTwo();
-    ASSERT_TRUE (allKnow (2));
-    cell::SuspectReport acquittal;
-    acquittal.acquitted.emplace_back ("r");
-    m_cell.sendFromRouter (3, acquittal);
-    EXPECT_TRUE (m_cell.runUntil ([&] { return allKnow (0); }, milliseconds (300)));
+    reportTwoCrashes();
+    ASSERT_TRUE (allHave (2));
+    cell::SuspectReport clearance;
+    clearance.acquitted.emplace_back ("r");
+    m_cell.sendFromRouter (3, clearance);
+    EXPECT_TRUE (m_cell.runUntil ([&] { return allHave (0); }, milliseconds (300)));
 }
 
-TEST_F (ControllerQuarantineTest, AnInstanceThatIsLeavingIsNoEvidence)
+TEST_F (ControllerQuarantineTest, EndOfLeavingInstanceIsNoCrash)
 {
     InstanceHeartbeat heartbeat;
     heartbeat.instance.id = "a";
@@ -163,10 +163,10 @@
     ASSERT_TRUE (m_cell.askControl (m_leader, heartbeat));
     report (0, "a");
     m_cell.run (milliseconds (300));
-    EXPECT_TRUE (allKnow (0));
+    EXPECT_TRUE (allHave (0));
 }
 
-TEST_F (ControllerQuarantineTest, AnOperatorSeesAndReleasesThem)
+TEST_F (ControllerQuarantineTest, OperatorListsAndReleasesQuarantinedRequests)
 {
     for (const char* instance : { "a", "b", "c" })
     {
@@ -182,7 +182,7 @@
     const auto released = m_cell.ask (m_leader, AdminRelease{ "r" });
     ASSERT_TRUE (released);
     EXPECT_EQ (released->httpStatus, 200);
-    EXPECT_TRUE (m_cell.runUntil ([&] { return allKnow (0); }, milliseconds (300)));
+    EXPECT_TRUE (m_cell.runUntil ([&] { return allHave (0); }, milliseconds (300)));
 }
 
 }  // namespace
--- a/src/controller/ControllerRatesTest.cpp
+++ b/src/controller/ControllerRatesTest.cpp
@@ -1,5 +1,5 @@
-// How the rates that runners state reach all routers, and permits come from the leader, in a whole
-// cell. Routers of an earlier version get none of it.
+// Tests that the rates that runners state reach all routers of a cell and that the leader grants
+// the permits. Routers of an earlier version receive neither.
 
 #include <gtest/gtest.h>
 
@@ -19,9 +19,9 @@
 using test::TestCell;
 
 constexpr std::size_t kRouters = 6;
-/// The last one does not read rates.
-constexpr std::size_t kEarlier = 5;
-/// From an answer at one router until all others know.
+/// Index of the router that does not support rates: the last one.
+constexpr std::size_t kEarlierRouter = 5;
+/// Time limit from the report of one router until all others have the rate.
 constexpr base::Duration kSpreadTime = milliseconds (200);
 
 /// Two routers at each of three controllers, of which one leads, and a runner.
@@ -34,7 +34,7 @@
         {
             m_cell.router (number).acceptsLastKnownState = true;
             m_cell.router (number).features =
-                number == kEarlier ? 0U : std::uint32_t{ cell::kReadsInstanceRates };
+                number == kEarlierRouter ? 0U : std::uint32_t{ cell::kReadsInstanceRates };
         }
         EXPECT_TRUE (m_cell.awaitLeader());
         m_leader = m_cell.leader();
@@ -63,7 +63,7 @@
         beat.sequence = ++m_sequence;
         m_cell.askControl (m_cell.leader(), beat, milliseconds (0));
     }
-    /// Lets time pass; the runner goes on to send heartbeats.
+    /// Advances the time while the runner sends heartbeats.
     void run (base::Duration duration)
     {
         const base::TimePoint end = m_cell.now() + duration;
@@ -89,7 +89,7 @@
     void ask (std::size_t router, std::size_t requests)
     {
         cell::InstancePermitRequest request;
-        request.claims.sequence = ++m_asked;
+        request.claims.sequence = ++m_requestSequence;
         request.claims.needs.push_back ({ "i-1", std::vector<std::uint64_t> (requests, 1) });
         m_cell.sendFromRouter (router, request);
         run (milliseconds (50));
@@ -99,9 +99,9 @@
         const auto& rates = m_cell.router (router).rates;
         return rates && ! rates->limited.empty() ? rates->limited.front().perSecond : -1;
     }
-    [[nodiscard]] bool allKnow (double perSecond)
+    [[nodiscard]] bool allHave (double perSecond)
     {
-        for (std::size_t number = 0; number < kEarlier; ++number)
+        for (std::size_t number = 0; number < kEarlierRouter; ++number)
         {
             if (known (number) != perSecond)
                 return false;
@@ -112,29 +112,29 @@
     TestCell m_cell;
     base::MemberId m_leader = 0;
     std::uint64_t m_sequence = 0;
-    std::uint64_t m_asked = 0;
+    std::uint64_t m_requestSequence = 0;
 };
 
-TEST_F (ControllerRatesTest, EveryRouterKnowsWhatOneHeard)
+TEST_F (ControllerRatesTest, RateReportedByOneRouterReachesAllRouters)
 {
-    for (std::size_t number = 0; number < kEarlier; ++number)
+    for (std::size_t number = 0; number < kEarlierRouter; ++number)
     {
         state (number, static_cast<double> (number) + 2);
         run (kSpreadTime);
-        EXPECT_TRUE (allKnow (static_cast<double> (number) + 2)) << number;
+        EXPECT_TRUE (allHave (static_cast<double> (number) + 2)) << number;
     }
     stateNone (1);
     run (kSpreadTime);
-    EXPECT_TRUE (allKnow (-1));
+    EXPECT_TRUE (allHave (-1));
 }
 
-TEST_F (ControllerRatesTest, ARouterHearsOfRatesBeforeItsTableOfRunners)
+TEST_F (ControllerRatesTest, RateTableIsSentBeforeInstanceTable)
 {
     state (0, 2);
     run (kSpreadTime);
     connectAll();
     run (seconds (1));
-    for (std::size_t number = 0; number < kEarlier; ++number)
+    for (std::size_t number = 0; number < kEarlierRouter; ++number)
     {
         const auto& received = m_cell.router (number).received;
         ASSERT_FALSE (received.empty());
@@ -142,21 +142,21 @@
     }
 }
 
-TEST_F (ControllerRatesTest, ARouterOfAnEarlierVersionGetsNothingNew)
+TEST_F (ControllerRatesTest, RouterOfEarlierVersionReceivesNoRates)
 {
     state (0, 2);
     run (seconds (1));
-    EXPECT_FALSE (m_cell.router (kEarlier).rates);
+    EXPECT_FALSE (m_cell.router (kEarlierRouter).rates);
 }
 
-TEST_F (ControllerRatesTest, PermitsOfAllRoutersComeFromOneBucket)
+TEST_F (ControllerRatesTest, AllRoutersShareOneBucketOfPermits)
 {
     state (0, 2);
     run (seconds (3));
-    for (std::size_t number = 0; number < kEarlier; ++number)
+    for (std::size_t number = 0; number < kEarlierRouter; ++number)
         ask (number, 1);
     std::uint64_t granted = 0;
-    for (std::size_t number = 0; number < kEarlier; ++number)
+    for (std::size_t number = 0; number < kEarlierRouter; ++number)
     {
         const auto& permits = m_cell.router (number).permits;
         ASSERT_EQ (permits.size(), 1U) << number;
@@ -166,7 +166,7 @@
     EXPECT_EQ (granted, 2U);
 }
 
-TEST_F (ControllerRatesTest, ANewLeaderKnowsTheRatesAndBeginsWithEmptyBuckets)
+TEST_F (ControllerRatesTest, NewLeaderHasRatesAndStartsWithEmptyBuckets)
 {
     state (0, 2);
     run (seconds (3));
@@ -175,7 +175,7 @@
     m_leader = m_cell.leader();
     connectAll();
     run (milliseconds (300));
-    EXPECT_TRUE (allKnow (2));
+    EXPECT_TRUE (allHave (2));
     const auto answer = m_cell.ask (m_leader, AdminExplain{ "runner", "i-1" });
     ASSERT_TRUE (answer);
     EXPECT_NE (answer->json.find ("\"rate_per_second\":2"), std::string::npos) << answer->json;
@@ -184,7 +184,7 @@
     EXPECT_LT (m_cell.router (0).permits.back().units, 2U);
 }
 
-TEST_F (ControllerRatesTest, AnOperatorSeesTheRateAndWhatBecameOfRequests)
+TEST_F (ControllerRatesTest, OperatorSeesRateAndPermitCounts)
 {
     state (0, 2);
     run (seconds (3));
@@ -200,7 +200,7 @@
         EXPECT_NE (text.find (line), std::string::npos) << line;
 }
 
-TEST_F (ControllerRatesTest, NothingIsSentWhereNobodyStatesARate)
+TEST_F (ControllerRatesTest, SendsNothingWhenNoRateIsStated)
 {
     for (std::size_t number = 0; number < kRouters; ++number)
         m_cell.router (number).received.clear();
@@ -212,7 +212,7 @@
     }
 }
 
-/// A hello as versions before the features wrote it.
+/// A hello as encoded by versions without the field `features`.
 struct EarlierHello
 {
     cell::RouterHello hello;
@@ -239,7 +239,7 @@
         [] (const base::Error&) { return Read(); });
 }
 
-TEST (RouterHelloTest, EarlierAndLaterVersionsReadEachOther)
+TEST (RouterHelloTest, EarlierAndPresentVersionsDecodeEachOther)
 {
     cell::RouterHello hello;
     hello.router = base::RouterId ("router-1");
--- a/src/controller/ControllerRelayTest.cpp
+++ b/src/controller/ControllerRelayTest.cpp
@@ -1,4 +1,4 @@
-// Routers that are served by controllers which do not lead, in a whole cell.
+// Tests of controllers that serve routers without leading, in a cell of controllers.
 
 #include <gtest/gtest.h>
 
@@ -59,7 +59,7 @@
         beat.models = std::move (models);
         return beat;
     }
-    /// Value of a line of a member's metrics.
+    /// Value of a metric of a member; -1 when it is missing.
     double metric (base::MemberId member, const std::string& name)
     {
         const std::string text = m_cell.core (member).metricsText();
@@ -72,7 +72,7 @@
     base::MemberId m_follower = 0;
 };
 
-TEST_F (ControllerRelayTest, RoutersAreServedByAControllerThatDoesNotLead)
+TEST_F (ControllerRelayTest, RelayServesRouters)
 {
     ASSERT_TRUE (apply (1));
     EXPECT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
@@ -85,7 +85,7 @@
     EXPECT_EQ (m_cell.router (0).connectedTo, m_follower);
 }
 
-TEST_F (ControllerRelayTest, AChangeIsConfirmedAsSoonAsTheRoutersHaveIt)
+TEST_F (ControllerRelayTest, ChangeIsConfirmedOnceRoutersHaveIt)
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
@@ -95,7 +95,7 @@
     EXPECT_TRUE (allServe (2));
 }
 
-TEST_F (ControllerRelayTest, AChangeWaitsForARouterThatDoesNotHearOfIt)
+TEST_F (ControllerRelayTest, ChangeWaitsForLeaseOfUnreachableRouter)
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
@@ -104,7 +104,7 @@
     EXPECT_FALSE (m_cell.router (3).admits (m_cell.now()));
 }
 
-TEST_F (ControllerRelayTest, AMemberThatHearsTheLeaderKeepsHeartbeatsUntilItIsConnected)
+TEST_F (ControllerRelayTest, RelayKeepsHeartbeatsUntilConnectedToLeader)
 {
     ASSERT_TRUE (apply (1));
     for (const base::MemberId member : { m_follower, 6 - m_leader - m_follower })
@@ -115,18 +115,18 @@
     m_cell.run (milliseconds (2500));
     const base::MemberId leader = m_cell.leader();
     ASSERT_NE (leader, 0U);
-    const base::MemberId relay = 6 - leader - m_leader;  // Of members 1 to 3.
+    const base::MemberId relay = 6 - leader - m_leader;  // The third of the members 1 to 3.
     const auto answer = m_cell.askControl (relay, heartbeat (2));
     ASSERT_TRUE (answer);
-    EXPECT_EQ (answer->verdict, ControlVerdict::kDone) << "it sends the runner to the leader";
-    // Not for ever: the leader would call the runner silent.
+    EXPECT_EQ (answer->verdict, ControlVerdict::kDone) << "the relay must keep the heartbeat";
+    // The time is limited, since the leader would consider the runner silent.
     m_cell.run (seconds (3));
     const auto later = m_cell.askControl (relay, heartbeat (3));
     ASSERT_TRUE (later);
     EXPECT_EQ (later->verdict, ControlVerdict::kNotLeader);
 }
 
-TEST_F (ControllerRelayTest, ARelayOfAnEarlierBuildGetsTheWholeTableOfANewLeader)
+TEST_F (ControllerRelayTest, RelayOfEarlierBuildReceivesWholeTableOfNewLeader)
 {
     ASSERT_TRUE (apply (1));
     for (const base::MemberId member : { m_follower, 6 - m_leader - m_follower })
@@ -157,7 +157,7 @@
     EXPECT_EQ (rowsAfterHello (0), 1U) << "the table has one row";
 }
 
-TEST_F (ControllerRelayTest, RoutersOutliveAChangeOfTheLeader)
+TEST_F (ControllerRelayTest, RoutersServeThroughLeaderChange)
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
@@ -172,7 +172,7 @@
     EXPECT_FALSE (hasGap) << "leases outlast an election";
 }
 
-TEST_F (ControllerRelayTest, RoutersOfAControllerThatIsCutOffGoToAnother)
+TEST_F (ControllerRelayTest, RoutersOfIsolatedControllerMoveToAnother)
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
@@ -182,7 +182,7 @@
         [&] { return allServe (1) && m_cell.router (0).connectedTo != m_follower; }, seconds (5)));
 }
 
-TEST_F (ControllerRelayTest, AHeartbeatReachesTheLeaderAndItsHoldingsTheRouters)
+TEST_F (ControllerRelayTest, RelayedHeartbeatUpdatesModelsAtRouters)
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
@@ -202,7 +202,7 @@
         seconds (2)));
 }
 
-TEST_F (ControllerRelayTest, AnyControllerTakesTheFirstHeartbeatOfARunner)
+TEST_F (ControllerRelayTest, AnyControllerAcceptsFirstHeartbeatOfRunner)
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
@@ -213,7 +213,7 @@
                                   seconds (1)));
 }
 
-TEST_F (ControllerRelayTest, ABusyLeaderSendsHeartbeatsToControllersThatFollowIt)
+TEST_F (ControllerRelayTest, BusyLeaderRedirectsHeartbeatsToRelays)
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
@@ -229,7 +229,7 @@
     EXPECT_EQ (many->leaderAddress, "c" + std::to_string (m_follower) + ":2");
 }
 
-TEST_F (ControllerRelayTest, ARunnerThatHasLeftDoesNotComeBackByALateHeartbeat)
+TEST_F (ControllerRelayTest, LateHeartbeatDoesNotRestoreDeregisteredRunner)
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
@@ -241,7 +241,7 @@
     EXPECT_FALSE (m_cell.router (0).instances.contains ("i-1"));
 }
 
-TEST_F (ControllerRelayTest, ADrainIsForTheLeader)
+TEST_F (ControllerRelayTest, RelayRefersDrainToLeader)
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.askControl (m_leader, heartbeat (1)));
--- a/src/controller/ControllerRunners.cpp
+++ b/src/controller/ControllerRunners.cpp
@@ -179,8 +179,8 @@
     {
         failReplica (replica, "the engine reports it failed or no longer holds it");
     }
-    for (const OrphanedReplica& stray : findings.orphans)
-        proposeOrphanUnload (stray);
+    for (const OrphanedReplica& orphan : findings.orphans)
+        proposeOrphanUnload (orphan);
 }
 
 void ControllerCore::Implementation::failReplica (base::ReplicaId id, const std::string& reason)
@@ -216,18 +216,18 @@
         m_leader->busyReplicas.insert (replica);
 }
 
-void ControllerCore::Implementation::proposeOrphanUnload (const OrphanedReplica& stray)
+void ControllerCore::Implementation::proposeOrphanUnload (const OrphanedReplica& orphan)
 {
-    const std::pair key (stray.runner, stray.report.replica);
+    const std::pair key (orphan.runner, orphan.report.replica);
     std::erase_if (m_leader->orphanUnloadDelays,
                    [&] (const auto& entry) { return m_now >= entry.second; });
     if (m_leader->busyOrphans.count (key) != 0 || m_leader->orphanUnloadDelays.count (key) != 0)
         return;
-    if (m_leader->orders.hasStray (stray.runner, stray.report.replica))
+    if (m_leader->orders.hasStray (orphan.runner, orphan.report.replica))
         return;
-    const cell::DecideUnload command{ stray.report.replica, "held by an engine but not decided",
+    const cell::DecideUnload command{ orphan.report.replica, "held by an engine but not decided",
                                       cellTime() };
-    if (! propose (command, ForOrphan{ stray }))
+    if (! propose (command, ForOrphan{ orphan }))
         return;
     ++m_counters.orphanedReplicas;
     m_leader->busyOrphans.insert (key);
--- a/src/controller/ControllerSafetyTest.cpp
+++ b/src/controller/ControllerSafetyTest.cpp
@@ -1,5 +1,5 @@
-// What a leader must never do, whatever fails: each test also shows the planted fault that breaks
-// it.
+// Safety properties of a leader under failures. Where a planted fault exists that violates the
+// property, the test also runs with the fault and expects the violation.
 
 #include <gtest/gtest.h>
 
@@ -33,7 +33,7 @@
 
 constexpr std::size_t kNotLeaderReply = 0;
 
-TEST (ControllerSafetyTest, NewLeaderActsOnlyOnceItsOwnTermIsCommitted)
+TEST (ControllerSafetyTest, NewLeaderActsOnlyOnceEntryOfItsTermIsCommitted)
 {
     consensus::RecoveredState recovered;
     recovered.initialMembers.members = { { 1, "a:1", "a:2", "z1", true } };
@@ -41,14 +41,15 @@
     ControllerOptions options;
     options.cell = base::CellId ("c");
     ControllerCore core (1, options, recovered, 1, now, 0);
-    const auto askAsRouter = [&]
+    const auto sendHello = [&]
     {
         cell::RouterHello hello;
         hello.cell = options.cell;
         core.onRouterMessage (1, hello);
         return core.takeEffects();
     };
-    // Writes are not confirmed: the vote first, then the entry of the new term.
+    // Writes stay unconfirmed, except for the vote, so that the entry of the new term is not
+    // committed.
     std::uint64_t written = 0;
     for (int tick = 0; tick < 200; ++tick)
     {
@@ -66,7 +67,7 @@
         if (tick == 150)
             core.onPersisted (written);
     }
-    EXPECT_TRUE (holdsMessage (askAsRouter(), kNotLeaderReply));
+    EXPECT_TRUE (holdsMessage (sendHello(), kNotLeaderReply));
     for (int writes = 0; writes < 5; ++writes)
     {
         core.onPersisted (written);
@@ -77,11 +78,12 @@
         }
     }
     EXPECT_EQ (core.raftStatus().role, consensus::Role::kLeader);
-    EXPECT_FALSE (holdsMessage (askAsRouter(), kNotLeaderReply));
+    EXPECT_FALSE (holdsMessage (sendHello(), kNotLeaderReply));
 }
 
-/// A leader is frozen, another takes over and puts version 2 in force everywhere; then the old one
-/// gets a lease request. True when a router then admits requests under version 1.
+/// Freezes a leader while another takes over and puts version 2 in force everywhere, so that a
+/// lease request reaches the frozen leader. Returns whether a router then admits requests under
+/// version 1.
 bool admitsUnderOldConfiguration (PlantedFault fault)
 {
     TestCell::Options options = testOptions();
@@ -113,9 +115,9 @@
     EXPECT_TRUE (admitsUnderOldConfiguration (PlantedFault::kLeaseWithoutLeaderLease));
 }
 
-/// A runner that holds the only replica of b is silent for a minute while requests wait for b; the
-/// most replicas of b that engines held together.
-std::uint32_t mostHeldDuringSilence (PlantedFault fault)
+/// Silences the runner that holds the only replica of b for a minute while requests wait for b.
+/// Returns the maximum number of replicas of b that engines held at the same time.
+std::uint32_t maxHeldDuringSilence (PlantedFault fault)
 {
     TestCell::Options options = testOptions();
     options.controller.plantedFault = fault;
@@ -126,19 +128,19 @@
     EXPECT_TRUE (cell.runUntil ([&] { return cell.isReadySomewhere ("b"); }, base::seconds (5)));
     const std::string holder = cell.engine ("r1").isReady ("b") ? "r1" : "r2";
     cell.engine (holder).isAlive = false;
-    std::uint32_t most = 0;
-    cell.onStep = [&] { most = std::max (most, cell.held ("b")); };
+    std::uint32_t maxHeld = 0;
+    cell.onStep = [&] { maxHeld = std::max (maxHeld, cell.held ("b")); };
     cell.run (base::seconds (60));
-    return most;
+    return maxHeld;
 }
 
-TEST (ControllerSafetyTest, SilentRunnerStillCounts)
+TEST (ControllerSafetyTest, ReplicaOfSilentRunnerStillCounts)
 {
-    EXPECT_EQ (mostHeldDuringSilence (PlantedFault::kNone), 1U);
-    EXPECT_EQ (mostHeldDuringSilence (PlantedFault::kReplicaReleasedOnSilence), 2U);
+    EXPECT_EQ (maxHeldDuringSilence (PlantedFault::kNone), 1U);
+    EXPECT_EQ (maxHeldDuringSilence (PlantedFault::kReplicaReleasedOnSilence), 2U);
 }
 
-TEST (ControllerSafetyTest, MachineGoneFromTheListIsReplaced)
+TEST (ControllerSafetyTest, ReplicaOfUnlistedMachineIsReplaced)
 {
     TestCell cell (testOptions());
     ASSERT_TRUE (cell.awaitLeader());
@@ -153,8 +155,8 @@
         cell.runUntil ([&] { return cell.engine (other).isReady ("b"); }, base::seconds (20)));
 }
 
-/// The order of a leader that died arrives long after its replica was loaded by the next leader and
-/// unloaded again; replicas of b held in the end.
+/// Delivers the order of a dead leader long after the next leader had the replica loaded and
+/// unloaded again. Returns the number of replicas of b held in the end.
 std::uint32_t heldAfterLateOrder (PlantedFault fault)
 {
     TestCell::Options options = testOptions (1);
@@ -170,7 +172,8 @@
     cell.kill (old);
     EXPECT_TRUE (cell.runUntil ([&] { return cell.isReadySomewhere ("b"); }, base::seconds (10)));
     cell.setDemand (0, "b", 0);
-    // Without fences the engine takes the unload for the load sent again, and keeps b as well.
+    // Without fences the engine may also ignore the unload as a repeat of the load order and keep
+    // b.
     cell.runUntil ([&] { return cell.held ("b") == 0; }, base::seconds (20));
     for (const auto& [runner, order] : cell.heldOrders)
     {
@@ -185,7 +188,7 @@
     EXPECT_EQ (heldAfterLateOrder (PlantedFault::kOrderWithoutFence), 1U);
 }
 
-TEST (ControllerSafetyTest, IsolatedLeaderSendsNoOrderThatCounts)
+TEST (ControllerSafetyTest, IsolatedLeaderSendsNoUncommittedOrder)
 {
     TestCell cell (testOptions());
     ASSERT_TRUE (cell.awaitLeader());
@@ -194,22 +197,22 @@
     cell.reconnect (0, old);
     cell.run (base::seconds (1));
     cell.isolate (old, true);
-    // The isolated leader still reaches its router and every engine.
+    // The isolated leader is still connected to its router and every engine.
     cell.setDemand (0, "b", 5);
     cell.run (base::milliseconds (300));
-    EXPECT_EQ (cell.ordersDelivered, 0U) << "a decision that is not committed was ordered";
-    std::uint32_t most = 0;
-    cell.onStep = [&] { most = std::max (most, cell.held ("b")); };
+    EXPECT_EQ (cell.ordersDelivered, 0U) << "an order was sent for an uncommitted decision";
+    std::uint32_t maxHeld = 0;
+    cell.onStep = [&] { maxHeld = std::max (maxHeld, cell.held ("b")); };
     ASSERT_TRUE (cell.runUntil ([&] { return cell.isReadySomewhere ("b"); }, base::seconds (15)));
     const std::uint64_t ordersBefore = cell.ordersDelivered;
     cell.run (base::seconds (3600));
     EXPECT_EQ (cell.ordersDelivered, ordersBefore);
     cell.isolate (old, false);
     cell.run (base::seconds (3));
-    EXPECT_EQ (most, 1U);
+    EXPECT_EQ (maxHeld, 1U);
 }
 
-TEST (ControllerSafetyTest, UndecidedReplicaIsUnloadedWithAFence)
+TEST (ControllerSafetyTest, OrphanedReplicaIsUnloadedWithFence)
 {
     TestCell cell (testOptions());
     ASSERT_TRUE (cell.awaitLeader());
@@ -223,7 +226,7 @@
     undecided.memory = 600;
     ASSERT_TRUE (cell.engine ("r1").take (undecided, cell.now()).accepted);
     ASSERT_TRUE (cell.runUntil ([&] { return cell.held ("b") == 0; }, base::seconds (5)));
-    EXPECT_EQ (cell.ordersDelivered, 1U) << "one order is enough, however late the reports are";
+    EXPECT_EQ (cell.ordersDelivered, 1U) << "late reports must not cause a second order";
     EXPECT_GT (cell.engine ("r1").report().highestFence, 1U);
 }
 
@@ -241,7 +244,7 @@
     EXPECT_EQ (cell.held ("b"), 1U);
 }
 
-TEST (ControllerSafetyTest, RestartFromSnapshotsBringsNothingOldBack)
+TEST (ControllerSafetyTest, RestartFromSnapshotsRestoresLatestState)
 {
     TestCell::Options options = testOptions();
     options.controller.entriesBetweenSnapshots = 10;
--- a/src/controller/ControllerSettingsTest.cpp
+++ b/src/controller/ControllerSettingsTest.cpp
@@ -32,7 +32,7 @@
     return settings;
 }
 
-TEST (ControllerSettingsTest, JoiningNeedsTheMembers)
+TEST (ControllerSettingsTest, JoiningRequiresMembers)
 {
     ControllerSettings settings = joiningSettings();
     EXPECT_TRUE (problemsOf (settings).empty());
@@ -40,7 +40,7 @@
     EXPECT_EQ (problemsOf (settings).size(), 1U);
 }
 
-TEST (ControllerSettingsTest, OnlyAJoiningMemberHasContacts)
+TEST (ControllerSettingsTest, OnlyJoiningMemberHasContacts)
 {
     ControllerSettings settings = joiningSettings();
     const ControllerOptions joining = coreOptions (settings);
--- a/src/controller/MemberAdmissionTest.cpp
+++ b/src/controller/MemberAdmissionTest.cpp
@@ -60,13 +60,13 @@
 
 using Ids = std::vector<base::MemberId>;
 
-TEST_F (MemberAdmissionTest, ASilentVoterWithoutSuccessorStays)
+TEST_F (MemberAdmissionTest, KeepsSilentVoterWithoutSuccessor)
 {
     silence (3, base::seconds (60));
     EXPECT_TRUE (nextIds().empty());
 }
 
-TEST_F (MemberAdmissionTest, AControllerThatAsksBecomesALearnerAndThenAVoter)
+TEST_F (MemberAdmissionTest, JoiningControllerBecomesLearnerAndThenVoter)
 {
     m_admission.onJoinRequest (memberOf (9, "d"), false, kNow);
     const auto added = m_admission.nextChange (m_status, kNow);
@@ -79,7 +79,7 @@
     EXPECT_TRUE (promoted->members.back().isVoter);
 }
 
-TEST_F (MemberAdmissionTest, AFounderAddsToTheSizeOfTheCell)
+TEST_F (MemberAdmissionTest, FounderIncreasesTargetSize)
 {
     m_admission.onJoinRequest (memberOf (9, "d"), true, kNow);
     const auto added = m_admission.nextChange (m_status, kNow);
@@ -87,23 +87,23 @@
     EXPECT_EQ (added->targetSize, 4U);
 }
 
-TEST_F (MemberAdmissionTest, ALearnerThatLagsIsNotPromoted)
+TEST_F (MemberAdmissionTest, LaggingLearnerIsNotPromoted)
 {
     add (memberOf (9, "d", false), {});
     m_status.progress.back().matchIndex = 9;
     EXPECT_TRUE (nextIds().empty());
 }
 
-TEST_F (MemberAdmissionTest, ALostVoterIsRemovedOnceItsSuccessorVotes)
+TEST_F (MemberAdmissionTest, LostVoterIsRemovedOnceSuccessorIsVoter)
 {
     silence (3, kSilent);
     add (memberOf (9, "d", false), {});
-    EXPECT_EQ (nextIds(), (Ids{ 1, 2, 3, 9 }));  // Promoted first.
+    EXPECT_EQ (nextIds(), (Ids{ 1, 2, 3, 9 }));  // The promotion comes first.
     m_status.members.members.back().isVoter = true;
     EXPECT_EQ (nextIds(), (Ids{ 1, 2, 9 }));
 }
 
-TEST_F (MemberAdmissionTest, TheVoterThatWasSilentLongestGoesFirst)
+TEST_F (MemberAdmissionTest, RemovesLongestSilentVoterFirst)
 {
     silence (2, kSilent);
     silence (3, 2 * kSilent);
@@ -111,7 +111,7 @@
     EXPECT_EQ (nextIds(), (Ids{ 1, 2, 9 }));
 }
 
-TEST_F (MemberAdmissionTest, AMemberThatLostItsDiskGivesWayToTheOneAtItsAddress)
+TEST_F (MemberAdmissionTest, RemovesMemberReplacedAtItsAddress)
 {
     silence (2, 2 * kSilent);
     silence (3, kSilent);
@@ -120,7 +120,7 @@
     EXPECT_EQ (nextIds(), (Ids{ 1, 2, 9 }));
 }
 
-TEST_F (MemberAdmissionTest, ARequestToJoinIsForgottenAfterAWhile)
+TEST_F (MemberAdmissionTest, JoinRequestExpires)
 {
     m_admission.onJoinRequest (memberOf (9, "d"), false, kNow - base::seconds (10));
     EXPECT_TRUE (nextIds().empty());
--- a/src/controller/MemberStartTest.cpp
+++ b/src/controller/MemberStartTest.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// Keeps in memory what a data folder would hold.
+/// Storage that keeps the content of the data folder in memory.
 class MemoryStorage final : public storage::Storage
 {
 public:
@@ -45,7 +45,7 @@
     return settings;
 }
 
-/// What startMember returns, or the message of its error.
+/// Calls startMember; when it fails, returns nothing and sets `message` to that of the error.
 std::optional<consensus::RecoveredState> start (MemoryStorage& storage,
                                                 const ControllerSettings& settings,
                                                 std::string* message = nullptr)
@@ -65,7 +65,7 @@
         });
 }
 
-TEST (MemberStart, refusesAnEmptyFolderWithoutBootstrapOrJoin)
+TEST (MemberStart, RejectsEmptyFolderWithoutBootstrapOrJoin)
 {
     MemoryStorage storage;
     std::string message;
@@ -74,7 +74,7 @@
     EXPECT_EQ (storage.contents.memberId, 0U);
 }
 
-TEST (MemberStart, bootstrapWritesTheSameFirstEntryOnEveryMember)
+TEST (MemberStart, BootstrapWritesSameFirstEntryOnEveryMember)
 {
     MemoryStorage first;
     MemoryStorage second;
@@ -93,7 +93,7 @@
     EXPECT_TRUE (members->members[1].isVoter);
 }
 
-TEST (MemberStart, restartReadsTheFolderAlone)
+TEST (MemberStart, RestartReadsOnlyTheFolder)
 {
     MemoryStorage storage;
     ControllerSettings settings = settingsOf (1);
@@ -107,7 +107,7 @@
     EXPECT_EQ (state->hardState.term, 1U);
 }
 
-TEST (MemberStart, refusesBootstrapOnAFolderThatHoldsState)
+TEST (MemberStart, RejectsBootstrapOnFolderWithState)
 {
     MemoryStorage storage;
     ControllerSettings settings = settingsOf (1);
@@ -116,7 +116,7 @@
     EXPECT_FALSE (start (storage, settings));
 }
 
-TEST (MemberStart, bootstrapsAgainWhenTheFirstStartWasCutShort)
+TEST (MemberStart, RepeatsInterruptedBootstrap)
 {
     MemoryStorage storage;
     storage.contents.memberId = 1;
@@ -125,7 +125,7 @@
     EXPECT_TRUE (start (storage, settings));
 }
 
-TEST (MemberStart, refusesTheFolderOfAnotherMember)
+TEST (MemberStart, RejectsFolderOfAnotherMember)
 {
     MemoryStorage storage;
     storage.contents.memberId = 2;
@@ -136,7 +136,7 @@
     EXPECT_NE (message.find ("belongs to member 2"), std::string::npos) << message;
 }
 
-TEST (MemberStart, joinsWithoutMembers)
+TEST (MemberStart, JoinsWithoutMembers)
 {
     MemoryStorage storage;
     ControllerSettings settings = settingsOf (4);
@@ -149,7 +149,7 @@
     EXPECT_EQ (storage.contents.memberId, 4U);
 }
 
-TEST (MemberStart, refusesMembersThatContradictTheOtherSettings)
+TEST (MemberStart, RejectsMembersThatContradictOtherSettings)
 {
     for (const char* text :
          { "1=127.0.0.1:9999=127.0.0.1:8001=z1", "3=127.0.0.1:7001=127.0.0.1:8001=z1", "1=x=y=z1",
--- a/src/controller/MembersAdminTest.cpp
+++ b/src/controller/MembersAdminTest.cpp
@@ -46,7 +46,7 @@
     m_cell->cut (first, true);
     m_cell->cut (second, true);
     const auto uncommitted = m_cell->ask (leader, AdminRemoveMember{ first });
-    ASSERT_TRUE (uncommitted) << "the end of leadership answers it";
+    ASSERT_TRUE (uncommitted) << "the request must be answered when leadership ends";
     EXPECT_EQ (uncommitted->httpStatus, kUnavailable) << uncommitted->json;
     m_cell->cut (first, false);
     m_cell->cut (second, false);
@@ -57,7 +57,7 @@
     EXPECT_EQ (committed->httpStatus, kOk) << committed->json;
 }
 
-TEST_F (MembersAdminTest, ErrorsCarryTheLeaderAndTheProblems)
+TEST_F (MembersAdminTest, ErrorsContainLeaderAndProblems)
 {
     ASSERT_TRUE (m_cell->awaitLeader());
     const base::MemberId follower = m_cell->leader() % 3 + 1;
--- a/src/controller/PeerTransportTest.cpp
+++ b/src/controller/PeerTransportTest.cpp
@@ -30,7 +30,7 @@
             [this] (RouterConnection connection, const cell::RouterToController& message)
         { m_routerMessages.emplace_back (connection, message.index()); };
         handlers.onRouterGone = [this] (RouterConnection connection)
-        { m_gone.push_back (connection); };
+        { m_disconnected.push_back (connection); };
         m_listener = std::make_unique<PeerListener> (handlers, &m_traffic);
         const auto bound = m_listener->listen (address);
         ASSERT_TRUE (bound);
@@ -45,12 +45,12 @@
     ControlTraffic m_traffic;
     std::vector<base::Term> m_terms;
     std::vector<std::pair<RouterConnection, std::size_t>> m_routerMessages;
-    std::vector<RouterConnection> m_gone;
+    std::vector<RouterConnection> m_disconnected;
     base::SocketAddress m_address;
     std::unique_ptr<PeerListener> m_listener;
 };
 
-TEST_F (PeerTransportTest, deliversInOrderFromTheFirstMessageOn)
+TEST_F (PeerTransportTest, DeliversAllMessagesInOrder)
 {
     PeerTransport transport (1);
     for (base::Term term = 1; term <= 20; ++term)
@@ -64,7 +64,7 @@
                std::string::npos);
 }
 
-TEST_F (PeerTransportTest, connectsAgainAfterThePeerRestarts)
+TEST_F (PeerTransportTest, ReconnectsAfterPeerRestart)
 {
     PeerTransport transport (1);
     transport.send (m_address.toString(), messageOfTerm (1));
@@ -78,7 +78,7 @@
         }));
 }
 
-TEST_F (PeerTransportTest, dropsMessagesToAnAddressThatCannotBeReached)
+TEST_F (PeerTransportTest, DropsMessagesToUnreachableAddress)
 {
     const std::string address = m_address.toString();
     m_listener.reset();
@@ -98,7 +98,7 @@
     EXPECT_EQ (m_terms.front(), 2U);
 }
 
-TEST_F (PeerTransportTest, tellsRoutersFromMembersAndReportsTheirEnd)
+TEST_F (PeerTransportTest, ReportsRouterConnectionsAndTheirEnd)
 {
     std::vector<std::size_t> replies;
     auto router = wire::FrameConnection::connectTo (
@@ -121,11 +121,11 @@
     ASSERT_TRUE (runUntil ([&] { return replies.size() == 1; }));
     EXPECT_EQ (replies[0], cell::ControllerToRouter (cell::LeaseGrant{}).index());
     router.reset();
-    ASSERT_TRUE (runUntil ([&] { return m_gone.size() == 1; }));
-    EXPECT_EQ (m_gone[0], connection);
+    ASSERT_TRUE (runUntil ([&] { return m_disconnected.size() == 1; }));
+    EXPECT_EQ (m_disconnected[0], connection);
 }
 
-TEST_F (PeerTransportTest, closesAConnectionThatSendsDamagedMessages)
+TEST_F (PeerTransportTest, ClosesConnectionAfterInvalidMessage)
 {
     bool isClosed = false;
     auto peer = wire::FrameConnection::connectTo (m_address, {},
--- a/src/controller/ReconciliationTest.cpp
+++ b/src/controller/ReconciliationTest.cpp
@@ -59,7 +59,7 @@
     engine::Report m_report;
 };
 
-TEST_F (ReconciliationTest, UndecidedReplicaIsAStray)
+TEST_F (ReconciliationTest, UndecidedReplicaIsOrphaned)
 {
     hold (m_replica, ReplicaPhase::kLoading);
     hold (77, ReplicaPhase::kReady);
@@ -69,21 +69,21 @@
     EXPECT_EQ (findings.orphans[0].incarnation, kIncarnation);
 }
 
-TEST_F (ReconciliationTest, UndecidedReplicaThatIsGoingNeedsNoDecision)
+TEST_F (ReconciliationTest, UnloadingUndecidedReplicaNeedsNoDecision)
 {
     hold (77, ReplicaPhase::kUnloading);
     EXPECT_TRUE (examine().orphans.empty());
 }
 
-TEST_F (ReconciliationTest, MissingLoadWaitsUntilItsFenceWasPassed)
+TEST_F (ReconciliationTest, MissingLoadFailsOnlyOnceFenceIsReached)
 {
     m_report.highestFence = m_replica - 1;
-    EXPECT_TRUE (examine().failed.empty()) << "the order may still be on its way";
+    EXPECT_TRUE (examine().failed.empty()) << "the order may still be in flight";
     m_report.highestFence = m_replica;
     EXPECT_EQ (examine().failed, Ids{ m_replica });
 }
 
-TEST_F (ReconciliationTest, UnloadEndsOnlyWithAReportThatKnowsOfIt)
+TEST_F (ReconciliationTest, UnloadCompletesOnlyWithLaterReport)
 {
     apply (cell::DecideUnload{ m_replica, "", 0 });
     m_report.highestFence = m_replica;
@@ -103,7 +103,7 @@
     EXPECT_EQ (examine().failed, Ids{ m_replica });
 }
 
-TEST_F (ReconciliationTest, ReportOfAnotherIncarnationSaysNothing)
+TEST_F (ReconciliationTest, IgnoresReportOfAnotherIncarnation)
 {
     m_report.incarnation = kIncarnation + 1;
     m_report.highestFence = m_index + 100;
