--- a/src/controller/EngineDemandSum.cpp
+++ b/src/controller/EngineDemandSum.cpp
@@ -7,9 +7,9 @@
 namespace
 {
 
-/// Requests that begin to wait at many routers within this time are told together.
+/// Requests that begin to wait at many routers within this time are reported together.
 constexpr base::Duration kUrgentInterval = base::milliseconds (20);
-/// Half of the shortest interval at which routers report.
+/// Half of the shortest report interval of routers.
 constexpr base::Duration kSteadyInterval = base::milliseconds (250);
 
 }  // namespace
--- a/src/controller/EngineDemandSum.h
+++ b/src/controller/EngineDemandSum.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /**
- * Demand of many routers for models and adapters, added up for one report to the leader.
+ * Adds up the demand of many routers for models and adapters into one report to the leader.
  *
- * The leader then reads one report of each controller in place of one of each router.
+ * The leader thus reads one report from each controller instead of one from each router.
  */
 
 #include <cstdint>
@@ -22,14 +22,15 @@
 class EngineDemandSum
 {
 public:
-    /** Replaces what one router reported before for these targets. */
+    /** Replaces the demand that one router reported earlier for these targets. */
     void onReport (std::uint64_t router, const std::vector<cell::EngineDemand>& demands);
     void onRouterGone (std::uint64_t router);
-    /** The leader is another one, or has forgotten: the next report names every target. */
+    /** Puts every target into the next report, for a new leader or one that lost its state. */
     void tellAll();
 
-    /** The report that is due; nothing when there is none. At once when requests began to wait,
-        though no more often than several times in the life of a short wait; else now and then.
+    /** Returns the report that is due, or nothing. A report is due 20 ms after the last one when
+        more requests wait at a router than before, so that a request that waits only briefly is
+        still reported in time; otherwise it is due at the regular interval.
     */
     [[nodiscard]] std::vector<cell::EngineDemand> takeDue (base::TimePoint now);
 
@@ -37,19 +38,19 @@
     using Target = std::tuple<std::string, std::string, std::string>;
     struct Total
     {
-        std::map<std::uint64_t, cell::EngineDemand> byRouter;  ///< Without those that want nothing.
-        std::uint32_t arrivals = 0;                            ///< Since the last report.
-        std::uint64_t promptTokens = 0;                        ///< Of the arrivals.
-        bool isChanged = false;                                ///< Since the last report.
-        bool isUrgent = false;                                 ///< More wait than were told.
+        std::map<std::uint64_t, cell::EngineDemand> byRouter;  ///< Only routers with demand.
+        std::uint32_t arrivals = 0;                            ///< Arrivals since the last report.
+        std::uint64_t promptTokens = 0;                        ///< Prompt tokens of the arrivals.
+        bool isChanged = false;                                ///< Changed since the last report.
+        bool isUrgent = false;  ///< More requests wait than were reported.
     };
 
     static void set (Total& total, std::uint64_t router, const cell::EngineDemand& demand);
 
     std::map<Target, Total> m_totals;
     bool m_isUrgent = false;
-    base::TimePoint m_reportedAt{};  ///< Of the last report of all that changed.
-    base::TimePoint m_urgentAt{};    ///< Of the last report of any kind.
+    base::TimePoint m_reportedAt{};  ///< Time of the last report of all changes.
+    base::TimePoint m_urgentAt{};    ///< Time of the last report of any kind.
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/HeartbeatBatch.cpp
+++ b/src/controller/HeartbeatBatch.cpp
@@ -9,25 +9,26 @@
 namespace
 {
 
-/// A sixth of the silence after which the leader calls an instance silent (3.5 s), with the usual
-/// interval of heartbeats (1.2 s) well within it.
+/// The leader counts an instance as silent after 3.5 s without a heartbeat. Heartbeats usually
+/// arrive every 1.2 s, so this delay leaves a wide margin.
 constexpr base::Duration kInterval = base::milliseconds (300);
-/// News of many runners within this time goes out together: while a cell of 3,000 runners formed,
-/// the leader got a message for each first heartbeat.
+/// Changes of many runners within this time are sent together. Without it, the leader received one
+/// message for each first heartbeat while a cell of 3,000 runners formed.
 constexpr base::Duration kUrgentInterval = base::milliseconds (25);
-/// Holdings are told again after this time, should the leader believe something else.
-constexpr base::Duration kRepeatAfter = base::milliseconds (2500);
-/// The same where many runners call this controller: so much for each of them, so that the leader
-/// reads some 30 repeats a second from each controller however large the cell. Repeats for 3,000
-/// runners each 2.5 s took it a hundredth of a core, of the 0.15 that it has.
-constexpr base::Duration kRepeatIntervalForRunner = base::milliseconds (30);
+/// Unchanged held models are sent again after this time, in case the leader has other data.
+constexpr base::Duration kRepeatInterval = base::milliseconds (2500);
+/// With many runners at this controller, the mean repeat interval is this time for each of them, so
+/// that the leader reads about 30 repeats per second from each controller in a cell of any size.
+/// Repeats for 3,000 runners every 2.5 s took the leader 0.01 of a core, out of 0.15 available to
+/// it.
+constexpr base::Duration kRepeatIntervalPerRunner = base::milliseconds (30);
 constexpr std::int64_t kSpreadParts = 16;
-/// What was told this long ago may not be in the log when the leader changes.
-constexpr base::Duration kNotedAfter = base::seconds (2);
-/// A runner that was not heard for this long has gone, or calls another controller.
-constexpr base::Duration kForgetAfter = base::seconds (30);
+/// Held models sent less than this time ago may be missing from the log when the leader changes.
+constexpr base::Duration kReplicationDelay = base::seconds (2);
+/// Without heartbeats for this time, a runner was removed or is connected to another controller.
+constexpr base::Duration kEntryLifetime = base::seconds (30);
 
-bool isSameHoldings (const cell::InstanceSighting& left, const cell::InstanceSighting& right)
+bool hasSameModels (const cell::InstanceSighting& left, const cell::InstanceSighting& right)
 {
     return left.models == right.models && left.inMemory == right.inMemory
            && left.onDisk == right.onDisk && left.startedAt == right.startedAt;
@@ -35,23 +36,25 @@
 
 }  // namespace
 
-/// Other than those of other runners, so that what was told of all at once, to a new leader, is not
-/// repeated at once.
-base::Duration HeartbeatBatch::repeatAfter (const std::string& id) const
+/// Intervals differ between runners, so that held models that were all sent at once to a new leader
+/// are not repeated all at once.
+base::Duration HeartbeatBatch::repeatIntervalOf (const std::string& id) const
 {
-    const auto runners = static_cast<std::int64_t> (m_told.size());
+    const auto runners = static_cast<std::int64_t> (m_sent.size());
     const base::Duration mean =
-        std::max<base::Duration> (kRepeatAfter, runners * kRepeatIntervalForRunner);
+        std::max<base::Duration> (kRepeatInterval, runners * kRepeatIntervalPerRunner);
     const auto part =
         static_cast<std::int64_t> (std::hash<std::string>{}(id) % std::size_t{ kSpreadParts });
-    return kRepeatAfter + 2 * (mean - kRepeatAfter) * part / kSpreadParts;
+    return kRepeatInterval + 2 * (mean - kRepeatInterval) * part / kSpreadParts;
 }
 
-bool HeartbeatBatch::isRepeatDue (const std::string& id, const Told& told, base::TimePoint now)
+bool HeartbeatBatch::isRepeatDue (const std::string& id, const SentModels& sent,
+                                  base::TimePoint now)
 {
-    if (now - told.at >= repeatAfter (id))
+    if (now - sent.at >= repeatIntervalOf (id))
         return true;
-    return told.leader != m_leaders && (now - told.at < kNotedAfter || m_repeats.take (now));
+    return sent.leaderChange != m_leaderChanges
+           && (now - sent.at < kReplicationDelay || m_repeats.take (now));
 }
 
 void HeartbeatBatch::add (const InstanceHeartbeat& heartbeat, bool isKnown, base::TimePoint now)
@@ -73,17 +76,17 @@
     const bool isLater = cell::isEarlierIncarnation (waiting.startedAt, sighting.startedAt);
     if (waiting.sequence > sighting.sequence && ! isLater)
         return;
-    const auto told = m_told.find (id);
-    const bool isNews =
-        ! isKnown || told == m_told.end() || ! isSameHoldings (told->second.sighting, sighting);
-    if (isNews || isRepeatDue (id, told->second, now))
+    const auto sent = m_sent.find (id);
+    const bool isChange =
+        ! isKnown || sent == m_sent.end() || ! hasSameModels (sent->second.sighting, sighting);
+    if (isChange || isRepeatDue (id, sent->second, now))
     {
-        m_told[id] = { sighting, now, m_leaders };
-        m_isUrgent = m_isUrgent || isNews;
+        m_sent[id] = { sighting, now, m_leaderChanges };
+        m_isUrgent = m_isUrgent || isChange;
         waiting = std::move (sighting);
         return;
     }
-    // Holdings that still wait to be told stay.
+    // Keeps held models that are still waiting to be sent.
     waiting.instance = id;
     waiting.sequence = sighting.sequence;
     waiting.startedAt = sighting.startedAt;
@@ -97,7 +100,8 @@
         return due;
     m_isUrgent = false;
     m_sentAt = now;
-    std::erase_if (m_told, [&] (const auto& item) { return now - item.second.at > kForgetAfter; });
+    std::erase_if (m_sent,
+                   [&] (const auto& item) { return now - item.second.at > kEntryLifetime; });
     for (auto& [id, sighting] : std::exchange (m_waiting, {}))
         due.push_back (std::move (sighting));
     return due;
--- a/src/controller/HeartbeatBatch.h
+++ b/src/controller/HeartbeatBatch.h
@@ -1,10 +1,12 @@
 #pragma once
 
 /**
- * Heartbeats of runners that a controller took on behalf of the leader, until they are passed on.
+ * Collects the heartbeats of runners that a controller receives on behalf of the leader, and
+ * batches them for relaying.
  *
- * What a runner holds is passed on when it changed; else only that the runner lives. A change goes
- * at once: the leader waits for it with its next order.
+ * The held models of a runner are relayed when they changed; otherwise the relayed heartbeat only
+ * shows that the runner is alive. A change is relayed without delay, since the leader waits for it
+ * before it sends the runner its next order.
  */
 
 #include <map>
@@ -23,36 +25,41 @@
 class HeartbeatBatch
 {
 public:
-    /** `isKnown`: the cell knows this incarnation; else it is told whole. */
+    /** Adds a heartbeat. Unless the cell has registered this incarnation (`isKnown`), the complete
+        instance is relayed.
+    */
     void add (const InstanceHeartbeat& heartbeat, bool isKnown, base::TimePoint now);
-    /** The leader is another one, or has forgotten: holdings are told anew, a few at a time. It
-        knows those that are noted in the log; the rest can wait for its other news.
+    /** Relays the held models of all runners again, a few at a time, for a new leader or one that
+        lost its state. Such a leader has those that the log records; the rest is less urgent than
+        its other updates.
     */
-    void tellAll() { ++m_leaders; }
-    /** What is due; nothing when there is none. */
+    void tellAll() { ++m_leaderChanges; }
+    /** Returns the heartbeats to relay now. */
     [[nodiscard]] std::vector<cell::InstanceSighting> takeDue (base::TimePoint now);
 
 private:
     static constexpr double kMostRepeatsAtOnce = 50;
     static constexpr double kRepeatsPerSecond = 100;
 
-    struct Told
+    struct SentModels
     {
-        cell::InstanceSighting sighting;  ///< With holdings.
+        cell::InstanceSighting sighting;  ///< Includes the held models.
         base::TimePoint at{};
-        std::uint64_t leader = 0;  ///< m_leaders at that time.
+        std::uint64_t leaderChange = 0;  ///< Value of m_leaderChanges when sent.
     };
 
-    /** After which the holdings of this runner are told again though they have not changed. */
-    [[nodiscard]] base::Duration repeatAfter (const std::string& id) const;
-    /** Whether what was told is to be told again now. */
-    [[nodiscard]] bool isRepeatDue (const std::string& id, const Told& told, base::TimePoint now);
+    /** Returns the time after which unchanged held models of this runner are relayed again. */
+    [[nodiscard]] base::Duration repeatIntervalOf (const std::string& id) const;
+    /** Whether the held models that were sent are due to be sent again. */
+    [[nodiscard]] bool isRepeatDue (const std::string& id, const SentModels& sent,
+                                    base::TimePoint now);
 
-    std::map<std::string, cell::InstanceSighting> m_waiting;  ///< By instance.
-    std::map<std::string, Told> m_told;                       ///< Holdings last told, by instance.
-    std::uint64_t m_leaders = 0;                              ///< Calls of tellAll().
-    /** Holdings that a new leader is told again. Told of all runners of a large cell within one
-        interval of their heartbeats, it had no time for its own.
+    std::map<std::string, cell::InstanceSighting> m_waiting;  ///< Heartbeats to relay, by instance.
+    std::map<std::string, SentModels> m_sent;  ///< Held models last sent, by instance.
+    std::uint64_t m_leaderChanges = 0;         ///< Number of calls of tellAll().
+    /** Limits the rate at which held models are sent again to a new leader. When it received those
+        of all runners of a large cell within one heartbeat interval, it had no time left to send
+        its own heartbeats.
     */
     base::TokenBucket m_repeats{ kMostRepeatsAtOnce, kRepeatsPerSecond };
     bool m_isUrgent = false;
--- a/src/controller/InstanceLoadSum.cpp
+++ b/src/controller/InstanceLoadSum.cpp
@@ -7,10 +7,11 @@
 namespace
 {
 
-/// What a router knows is at most two of these and one interval of a router's reports old.
+/// Data at a router is at most two of these intervals and one report interval of a router old.
 constexpr base::Duration kReportInterval = base::milliseconds (50);
-/// Per row of a report: the leader reads at most 10,000 a second of each controller.
-constexpr base::Duration kReportIntervalForRow = std::chrono::microseconds (100);
+/// Interval per row of a report: the leader reads at most 10,000 rows per second from each
+/// controller.
+constexpr base::Duration kReportIntervalPerRow = std::chrono::microseconds (100);
 
 }  // namespace
 
@@ -63,13 +64,13 @@
     m_reporters.erase (reporter);
 }
 
-void InstanceLoadSum::setHeard (std::uint64_t reporter, bool isHeard)
+void InstanceLoadSum::setHeard (std::uint64_t reporter, bool isActive)
 {
     const auto found = m_reporters.find (reporter);
-    if (found == m_reporters.end() || std::exchange (found->second.isHeard, isHeard) == isHeard)
+    if (found == m_reporters.end() || std::exchange (found->second.isActive, isActive) == isActive)
         return;
     for (const auto& [instance, use] : found->second.uses)
-        replace (instance, isHeard ? Use{} : use, isHeard ? use : Use{});
+        replace (instance, isActive ? Use{} : use, isActive ? use : Use{});
 }
 
 void InstanceLoadSum::tellAll()
@@ -91,7 +92,7 @@
     if (rows == 0)
         return std::nullopt;
     const base::Duration interval = std::max<base::Duration> (
-        kReportInterval, static_cast<std::int64_t> (rows) * kReportIntervalForRow);
+        kReportInterval, static_cast<std::int64_t> (rows) * kReportIntervalPerRow);
     if (! m_reporting.takeDue (now, interval))
         return std::nullopt;
     cell::InstanceLoadReport report;
--- a/src/controller/InstanceLoadSum.h
+++ b/src/controller/InstanceLoadSum.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * What several reporters have at runners and know of them, added up.
+ * Adds up the requests and observations of several reporters for each runner.
  *
- * At a controller that does not lead the reporters are its routers, and the sum goes to the leader;
- * at the leader they are its own routers and the other controllers. The part of a reporter goes
- * with its connection.
+ * At a controller that does not lead, the reporters are its routers and the sum is sent to the
+ * leader. At the leader, the reporters are its own routers and the other controllers. The part of a
+ * reporter is removed when its connection closes.
  */
 
 #include <cstdint>
@@ -34,22 +34,24 @@
         bool operator== (const Use&) const = default;
     };
 
-    /** Replaces what the reporter has at the runners that it names. */
+    /** Replaces the reporter's requests at the runners that the report names. */
     void onReport (std::uint64_t reporter, const cell::InstanceLoadReport& report,
                    base::TimePoint now);
     void onReporterGone (std::uint64_t reporter);
-    /** Whether the reporter has been heard of lately. While it has not, its part does not count: it
-        may be frozen or cut off, and its requests over.
+    /** Sets whether messages of the reporter have arrived recently. While none have, its part is
+       not counted: the reporter may be frozen or disconnected, and its requests may have ended.
     */
-    void setHeard (std::uint64_t reporter, bool isHeard);
-    /** The receiver is another one, or has forgotten: the next report names every runner in use. */
+    void setHeard (std::uint64_t reporter, bool isActive);
+    /** Puts every runner in use into the next report, for a new receiver or one that lost its
+     * state.
+     */
     void tellAll();
 
     [[nodiscard]] Use useOf (const std::string& instance) const;
     [[nodiscard]] std::size_t reporters() const { return m_reporters.size(); }
 
-    /** Sums that changed, and what reporters told of paces and slowdowns, since the last report;
-        nothing when that is nothing, or not due yet.
+    /** Returns the sums that changed, and the paces and slowdowns received, since the last report.
+        Returns nothing when there are none or the next report is not due yet.
     */
     [[nodiscard]] std::optional<cell::InstanceLoadReport> takeDue (base::TimePoint now);
 
@@ -67,18 +69,19 @@
 
     struct Reporter
     {
-        std::map<std::string, Use> uses;  ///< Without idle runners.
-        bool isHeard = true;
+        std::map<std::string, Use> uses;  ///< Only runners in use.
+        bool isActive = true;
     };
 
-    /** A part of the sum changes. */
+    /** Replaces one reporter's part of the sum for a runner. */
     void replace (const std::string& instance, const Use& before, const Use& after);
 
     std::map<std::uint64_t, Reporter> m_reporters;
-    std::map<std::string, Use> m_totals;  ///< Of those that are heard; without idle runners.
-    std::set<std::string> m_changed;      ///< Runners whose sum is to be told.
-    std::map<std::pair<std::string, std::string>, Pace> m_paces;  ///< By runner and model; to tell.
-    std::map<std::string, Slowdown> m_slowdowns;                  ///< The freshest; to be told.
+    std::map<std::string, Use> m_totals;  ///< Sums over active reporters, without idle runners.
+    std::set<std::string> m_changed;      ///< Runners whose sum has to be reported.
+    /// Paces to be reported, by runner and model.
+    std::map<std::pair<std::string, std::string>, Pace> m_paces;
+    std::map<std::string, Slowdown> m_slowdowns;  ///< Latest of each runner, to be reported.
     PacedWork m_reporting;
 };
 
--- a/src/controller/InstanceLoadTable.cpp
+++ b/src/controller/InstanceLoadTable.cpp
@@ -7,13 +7,13 @@
 namespace
 {
 
-/// Read within some 3 ms at the 38 tokens a millisecond of known engines: no reason for another
-/// choice.
+/// Known engines process 38 prompt tokens per millisecond, so this number takes about 3 ms and does
+/// not affect routing.
 constexpr std::uint64_t kNegligibleTokens = 100;
-/// A slowdown that lasts is told again before receivers stop to believe in it.
-constexpr base::Duration kSlowdownRepeated = base::milliseconds (200);
-/// Parts of a slowdown whose difference changes no choice.
-constexpr std::uint32_t kNegligibleParts = 10;
+/// A slowdown that persists is sent again before receivers consider it expired.
+constexpr base::Duration kSlowdownRepeatInterval = base::milliseconds (200);
+/// Differences up to one part in this many of a slowdown do not affect routing.
+constexpr std::uint32_t kNegligibleDivisor = 10;
 
 std::uint64_t difference (std::uint64_t one, std::uint64_t other)
 {
@@ -24,14 +24,15 @@
 
 void InstanceLoadTable::onReport (const cell::InstanceLoadReport& report, base::TimePoint now)
 {
-    m_toldAt = now;
+    m_lastUpdateAt = now;
     for (const cell::InstanceUse& use : report.uses)
     {
         Row& row = m_rows[use.instance];
-        const bool isReadingOver = use.unreadTokens == 0 && row.unreadTokens != 0;
-        const bool isNews = use.inFlight != row.inFlight || isReadingOver
-                            || difference (use.unreadTokens, row.unreadTokens) > kNegligibleTokens;
-        if (! isNews)
+        const bool isPrefillComplete = use.unreadTokens == 0 && row.unreadTokens != 0;
+        const bool isChanged =
+            use.inFlight != row.inFlight || isPrefillComplete
+            || difference (use.unreadTokens, row.unreadTokens) > kNegligibleTokens;
+        if (! isChanged)
             continue;
         row.inFlight = use.inFlight;
         row.unreadTokens = use.unreadTokens;
@@ -49,16 +50,16 @@
     if (statedAt < row.slowdownAt)
         return;
     row.slowdownAt = statedAt;
-    const bool isUsual =
-        difference (percent, cell::kUsualPercent) * kNegligibleParts <= cell::kUsualPercent;
-    const bool isOther =
-        isUsual != (row.slowdownPercent == cell::kUsualPercent)
-        || difference (percent, row.slowdownPercent) * kNegligibleParts > row.slowdownPercent;
-    const bool isRepeated = ! isUsual && statedAt - row.slowdownToldAt >= kSlowdownRepeated;
-    if (! isOther && ! isRepeated)
+    const bool isNominal =
+        difference (percent, cell::kUsualPercent) * kNegligibleDivisor <= cell::kUsualPercent;
+    const bool isSignificant =
+        isNominal != (row.slowdownPercent == cell::kUsualPercent)
+        || difference (percent, row.slowdownPercent) * kNegligibleDivisor > row.slowdownPercent;
+    const bool isRepeated = ! isNominal && statedAt - row.slowdownSentAt >= kSlowdownRepeatInterval;
+    if (! isSignificant && ! isRepeated)
         return;
-    row.slowdownPercent = isUsual ? cell::kUsualPercent : percent;
-    row.slowdownToldAt = statedAt;
+    row.slowdownPercent = isNominal ? cell::kUsualPercent : percent;
+    row.slowdownSentAt = statedAt;
     markChanged (row);
 }
 
@@ -73,7 +74,7 @@
 
 void InstanceLoadTable::apply (const cell::InstanceLoadUpdate& update, base::TimePoint now)
 {
-    m_toldAt = now;
+    m_lastUpdateAt = now;
     std::map<std::string, Row> earlier;
     if (update.isWhole)
         std::swap (earlier, m_rows);
@@ -89,7 +90,7 @@
     }
     for (const auto& [instance, row] : earlier)
     {
-        if (! isUsual (row) && ! m_rows.contains (instance))
+        if (! isNominal (row) && ! m_rows.contains (instance))
             markChanged (m_rows[instance]);
     }
 }
@@ -112,7 +113,7 @@
     update.isWhole = version == 0;
     for (const auto& [instance, row] : m_rows)
     {
-        if (row.changedAt > version && ! (update.isWhole && isUsual (row)))
+        if (row.changedAt > version && ! (update.isWhole && isNominal (row)))
             update.loads.push_back (toMessage (instance, row, now));
     }
     return update;
@@ -132,7 +133,7 @@
         visit (toMessage (instance, row, now));
 }
 
-bool InstanceLoadTable::isUsual (const Row& row)
+bool InstanceLoadTable::isNominal (const Row& row)
 {
     return row.inFlight == 0 && row.unreadTokens == 0 && row.speedPercent == cell::kUsualPercent
            && row.slowdownPercent == cell::kUsualPercent;
--- a/src/controller/InstanceLoadTable.h
+++ b/src/controller/InstanceLoadTable.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * What all routers together know of each runner, as it goes to routers: the leader fills it from
- * sums, another controller from the leader's updates.
+ * Table of the load and speed of each runner, over all routers, that controllers send to routers.
+ * The leader fills it from sums of reports, another controller from the leader's updates.
  *
- * Which version a row last changed in is kept for each row, so that each receiver gets what changed
- * since it was last sent something, and all that are equally far get the same message.
+ * Each row keeps the version in which it last changed, so that a receiver gets only the changes
+ * since the last update it was sent, and all receivers at the same version get the same message.
  */
 
 #include <cstdint>
@@ -24,29 +24,32 @@
 class InstanceLoadTable
 {
 public:
-    /** Takes over sums of uses, and slowdowns against the usual of each runner. Differences that
-        change no choice are left out.
+    /** Applies sums of uses, and slowdowns relative to the nominal speed of each runner. Ignores
+        differences that are too small to affect routing.
     */
     void onReport (const cell::InstanceLoadReport& report, base::TimePoint now);
     void setSpeed (const std::string& instance, std::uint32_t percent);
-    /** Takes over what the leader sent. */
+    /** Applies an update of the leader. */
     void apply (const cell::InstanceLoadUpdate& update, base::TimePoint now);
-    /** Forgets the other runners: they are gone. */
+    /** Removes the rows of all other runners, which have been removed from the cell. */
     void keepOnly (const std::function<bool (const std::string& instance)>& isKept);
 
-    /** Grows with each change; above 0. */
+    /** Increases with each change; starts at 1. */
     [[nodiscard]] std::uint64_t version() const { return m_version; }
     [[nodiscard]] std::size_t size() const { return m_rows.size(); }
     [[nodiscard]] std::size_t rowsSince (std::uint64_t version) const;
-    /** What changed since a version; 0: all that differs from an idle runner of usual speed. */
+    /** Returns the rows changed since a version. For version 0, returns all rows that differ from
+        an idle runner of nominal speed.
+    */
     [[nodiscard]] cell::InstanceLoadUpdate updateSince (std::uint64_t version,
                                                         base::TimePoint now) const;
-    /** Of an idle runner of usual speed when nothing is known. */
+    /** Returns the load of a runner; for an unknown one, that of an idle runner of nominal speed.
+     */
     [[nodiscard]] cell::InstanceLoad loadOf (const std::string& instance,
                                              base::TimePoint now) const;
-    /** When something was last told here; the begin of time before that. */
-    [[nodiscard]] base::TimePoint toldAt() const { return m_toldAt; }
-    /** Calls `visit` with each row, as updateSince() would tell it. */
+    /** Time of the last report or update; the epoch before the first. */
+    [[nodiscard]] base::TimePoint toldAt() const { return m_lastUpdateAt; }
+    /** Calls `visit` with each row, in the form in which updateSince() returns it. */
     void visit (base::TimePoint now,
                 const std::function<void (const cell::InstanceLoad& load)>& visit) const;
 
@@ -57,19 +60,19 @@
         std::uint64_t unreadTokens = 0;
         std::uint32_t speedPercent = 100;
         std::uint32_t slowdownPercent = 100;
-        base::TimePoint slowdownAt{};      ///< When it was stated last.
-        base::TimePoint slowdownToldAt{};  ///< The same of what receivers were told.
-        std::uint64_t changedAt = 0;       ///< Version.
+        base::TimePoint slowdownAt{};      ///< Time of the last report of it.
+        base::TimePoint slowdownSentAt{};  ///< Time of the report last sent to receivers.
+        std::uint64_t changedAt = 0;       ///< Version of the last change.
     };
 
     void setSlowdown (Row& row, std::uint32_t percent, base::TimePoint statedAt);
     void markChanged (Row& row) { row.changedAt = ++m_version; }
-    [[nodiscard]] static bool isUsual (const Row& row);
+    [[nodiscard]] static bool isNominal (const Row& row);
     [[nodiscard]] static cell::InstanceLoad toMessage (const std::string& instance, const Row& row,
                                                        base::TimePoint now);
 
     std::uint64_t m_version = 1;
-    base::TimePoint m_toldAt{};
+    base::TimePoint m_lastUpdateAt{};
     std::map<std::string, Row> m_rows;
 };
 
--- a/src/controller/InstanceLoadsTest.cpp
+++ b/src/controller/InstanceLoadsTest.cpp
@@ -1,4 +1,4 @@
-// InstanceLoadSum and InstanceLoadTable.
+// Tests of InstanceLoadSum and InstanceLoadTable.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -33,7 +33,7 @@
     return report;
 }
 
-TEST (InstanceLoadSum, AddsUpWhatReportersHave)
+TEST (InstanceLoadSum, AddsUpReporters)
 {
     InstanceLoadSum sum;
     sum.onReport (1, uses ({ { "a", 2, 100 }, { "b", 1, 0 } }), at (0));
@@ -42,14 +42,14 @@
     ASSERT_TRUE (due);
     EXPECT_EQ (due->uses, (std::vector<cell::InstanceUse>{ { "a", 5, 150 }, { "b", 1, 0 } }));
     sum.onReport (1, uses ({ { "a", 0, 0 } }), at (10));
-    EXPECT_FALSE (sum.takeDue (at (20))) << "not so soon again";
+    EXPECT_FALSE (sum.takeDue (at (20))) << "the report interval has not passed";
     due = sum.takeDue (at (60));
     ASSERT_TRUE (due);
     EXPECT_EQ (due->uses, (std::vector<cell::InstanceUse>{ { "a", 3, 50 } }));
     EXPECT_FALSE (sum.takeDue (at (600)));
 }
 
-TEST (InstanceLoadSum, TheNextReportIsLaterWhenThereIsMuchToTell)
+TEST (InstanceLoadSum, IntervalGrowsWithTheSizeOfTheReport)
 {
     InstanceLoadSum sum;
     std::vector<cell::InstanceUse> many;
@@ -62,7 +62,7 @@
     EXPECT_TRUE (sum.takeDue (at (300)));
 }
 
-TEST (InstanceLoadSum, AReporterThatIsGoneHasNothing)
+TEST (InstanceLoadSum, RemovesThePartOfADisconnectedReporter)
 {
     InstanceLoadSum sum;
     sum.onReport (1, uses ({ { "a", 2, 100 } }), at (0));
@@ -75,7 +75,7 @@
     EXPECT_EQ (sum.reporters(), 1U);
 }
 
-TEST (InstanceLoadSum, AReporterThatIsNotHeardOfDoesNotCountUntilItIs)
+TEST (InstanceLoadSum, InactiveReporterIsNotCountedUntilItReports)
 {
     InstanceLoadSum sum;
     sum.onReport (1, uses ({ { "a", 2, 100 } }), at (0));
@@ -94,10 +94,10 @@
     EXPECT_EQ (sum.useOf ("b").inFlight, 1U);
     sum.setHeard (1, false);
     sum.onReporterGone (1);
-    EXPECT_EQ (sum.useOf ("a").inFlight, 1U) << "it is taken out only once";
+    EXPECT_EQ (sum.useOf ("a").inFlight, 1U) << "the part is subtracted only once";
 }
 
-TEST (InstanceLoadSum, AnotherLeaderIsToldAllAtOnce)
+TEST (InstanceLoadSum, ReportsAllRunnersToANewLeaderAtOnce)
 {
     InstanceLoadSum sum;
     sum.onReport (1, uses ({ { "a", 2, 100 }, { "b", 1, 0 } }), at (0));
@@ -108,7 +108,7 @@
     EXPECT_EQ (due->uses.size(), 2U);
 }
 
-TEST (InstanceLoadSum, PassesOnPacesAddedUpAndTheFreshestSlowdown)
+TEST (InstanceLoadSum, ReportsSummedPacesAndTheLatestSlowdown)
 {
     InstanceLoadSum sum;
     cell::InstanceLoadReport one = slowdown ("a", 250, 40);
@@ -124,7 +124,7 @@
     EXPECT_FALSE (sum.takeDue (at (500)));
 }
 
-/// One step of a history of reporters at two controllers that do not lead.
+/// One random event at one of two controllers that do not lead.
 struct Step
 {
     int relay = 0;
@@ -149,17 +149,17 @@
     return step;
 }
 
-RC_GTEST_PROP (InstanceLoads, EveryRouterHearsTheTruthAfterAnyReportsAndLosses, ())
+RC_GTEST_PROP (InstanceLoads, RelayTablesMatchTheReportsAfterAnyReportsAndDisconnections, ())
 {
     struct Relay
     {
         InstanceLoadSum sum;
         InstanceLoadTable table;
         std::map<std::uint64_t, std::map<std::string, InstanceLoadSum::Use>> truth;
-        std::uint64_t sentVersion = 0;  // By the leader to it.
+        std::uint64_t sentVersion = 0;  // Last version that the leader sent to it.
         std::uint64_t connection = 0;
         bool isCut = false;
-        std::set<std::uint64_t> silent;  // Routers.
+        std::set<std::uint64_t> silent;  // Inactive routers.
     };
     std::vector<Relay> relays (2);
     InstanceLoadSum leaderSum;
@@ -228,7 +228,7 @@
             connect (relay);
         }
         else
-        {  // Another leader, which knows nothing.
+        {  // A new leader without any state.
             leaderSum = {};
             leaderTable = {};
             for (Relay& each : relays)
@@ -272,7 +272,7 @@
     }
 }
 
-TEST (InstanceLoadTable, TellsChangesSinceAVersionAndAllToANewReceiver)
+TEST (InstanceLoadTable, ReturnsChangesSinceAVersionAndTheWholeTableToANewReceiver)
 {
     InstanceLoadTable table;
     table.onReport (uses ({ { "a", 1, 0 }, { "b", 2, 0 } }), at (0));
@@ -285,11 +285,11 @@
     EXPECT_EQ (table.rowsSince (version), 1U);
     const auto whole = table.updateSince (0, at (0));
     EXPECT_TRUE (whole.isWhole);
-    ASSERT_EQ (whole.loads.size(), 1U) << "an idle runner is not named";
+    ASSERT_EQ (whole.loads.size(), 1U) << "idle runners are omitted";
     EXPECT_EQ (whole.loads[0].instance, "a");
 }
 
-TEST (InstanceLoadTable, FewTokensMakeNoDifference)
+TEST (InstanceLoadTable, IgnoresSmallChangesOfPrefillTokens)
 {
     InstanceLoadTable table;
     table.onReport (uses ({ { "a", 1, 5000 } }), at (0));
@@ -297,39 +297,39 @@
     table.onReport (uses ({ { "a", 1, 5060 } }), at (0));
     EXPECT_EQ (table.version(), version);
     table.onReport (uses ({ { "a", 1, 5120 } }), at (0));
-    EXPECT_GT (table.version(), version) << "against what was told, not against what came last";
+    EXPECT_GT (table.version(), version) << "differences count from the last published value";
     table.onReport (uses ({ { "a", 1, 80 } }), at (0));
     const std::uint64_t later = table.version();
     table.onReport (uses ({ { "a", 1, 0 } }), at (0));
-    EXPECT_GT (table.version(), later) << "the runner has read all";
+    EXPECT_GT (table.version(), later) << "the end of all prefills is always published";
 }
 
-TEST (InstanceLoadTable, ASlowdownThatLastsIsRepeatedNowAndThen)
+TEST (InstanceLoadTable, RepeatsAPersistentSlowdown)
 {
     InstanceLoadTable table;
     table.onReport (slowdown ("a", 100), at (0));
-    const std::uint64_t usual = table.version();
+    const std::uint64_t nominal = table.version();
     table.onReport (slowdown ("a", 100), at (500));
-    EXPECT_EQ (table.version(), usual) << "as usual is no news";
+    EXPECT_EQ (table.version(), nominal) << "nominal speed is no change";
     table.onReport (slowdown ("a", 250), at (600));
     const std::uint64_t slow = table.version();
-    EXPECT_GT (slow, usual);
+    EXPECT_GT (slow, nominal);
     table.onReport (slowdown ("a", 245), at (700));
     EXPECT_EQ (table.version(), slow);
     table.onReport (slowdown ("a", 250), at (800));
     EXPECT_GT (table.version(), slow);
-    const auto told = table.updateSince (slow, at (830));
-    ASSERT_EQ (told.loads.size(), 1U);
-    EXPECT_EQ (told.loads[0].slowdownPercent, 250U);
-    EXPECT_EQ (told.loads[0].slowdownAgeMilliseconds, 30);
+    const auto update = table.updateSince (slow, at (830));
+    ASSERT_EQ (update.loads.size(), 1U);
+    EXPECT_EQ (update.loads[0].slowdownPercent, 250U);
+    EXPECT_EQ (update.loads[0].slowdownAgeMilliseconds, 30);
     const std::uint64_t repeated = table.version();
     table.onReport (slowdown ("a", 100, 100), at (850));
-    EXPECT_EQ (table.version(), repeated) << "it was stated before the last one";
+    EXPECT_EQ (table.version(), repeated) << "the report is older than the last one";
     table.onReport (slowdown ("a", 100), at (860));
     EXPECT_GT (table.version(), repeated);
 }
 
-TEST (InstanceLoadTable, AWholeUpdateMakesRunnersIdleThatItDoesNotName)
+TEST (InstanceLoadTable, RunnersOmittedFromAWholeUpdateBecomeIdle)
 {
     InstanceLoadTable leader;
     InstanceLoadTable relay;
@@ -340,16 +340,16 @@
     next.onReport (uses ({ { "b", 2, 0 } }), at (0));
     next.setSpeed ("c", 55);
     relay.apply (next.updateSince (0, at (0)), at (0));
-    std::map<std::string, cell::InstanceLoad> told;
+    std::map<std::string, cell::InstanceLoad> update;
     for (const cell::InstanceLoad& load : relay.updateSince (version, at (0)).loads)
-        told[load.instance] = load;
-    EXPECT_EQ (told.at ("a").inFlight, 0U);
-    EXPECT_EQ (told.at ("c").speedPercent, 55U);
+        update[load.instance] = load;
+    EXPECT_EQ (update.at ("a").inFlight, 0U);
+    EXPECT_EQ (update.at ("c").speedPercent, 55U);
     EXPECT_EQ (relay.loadOf ("c", at (0)).speedPercent, 55U);
     EXPECT_EQ (relay.loadOf ("d", at (0)).speedPercent, 100U);
 }
 
-TEST (InstanceLoadTable, RunnersThatAreGoneAreForgotten)
+TEST (InstanceLoadTable, ForgetsRemovedRunners)
 {
     InstanceLoadTable table;
     table.onReport (uses ({ { "a", 1, 0 }, { "b", 2, 0 } }), at (0));
--- a/src/controller/InstanceMirror.cpp
+++ b/src/controller/InstanceMirror.cpp
@@ -17,9 +17,9 @@
         m_known.restart (update.toVersion);
         m_requiredVersion = 0;
     }
-    else if (leaderOf (update.toVersion) != leaderOf (m_version))
+    else if (termOf (update.toVersion) != termOf (m_version))
     {
-        m_known.passTo (m_version, leaderOf (update.toVersion));
+        m_known.continueUnderLeader (m_version, termOf (update.toVersion));
     }
     m_term = update.term;
     m_version = update.toVersion;
@@ -31,13 +31,13 @@
     {
         m_rows.erase (id);
         m_changed.forget (id);
-        m_removed.note (id, m_version);
+        m_removed.record (id, m_version);
     }
     for (const cell::RoutableInstance& row : update.upserts)
     {
         const std::string& id = row.instance.id;
         m_rows[id] = row;
-        m_changed.note (id, m_version);
+        m_changed.record (id, m_version);
         m_removed.forget (id);
     }
     return true;
--- a/src/controller/InstanceMirror.h
+++ b/src/controller/InstanceMirror.h
@@ -1,12 +1,12 @@
 #pragma once
 
 /**
- * The leader's table of registered runners, as a controller that serves routers on its behalf holds
- * it.
+ * Relay copy of the leader's table of registered runners, held by a controller that serves routers
+ * on behalf of the leader.
  *
- * Keeps the leader's numbers of versions, so that a router that comes from another controller goes
- * on with the table it has. Which version a row last changed in is kept for each row, so that
- * routers get changes only.
+ * Keeps the leader's version numbers, so that a router that connects after it was connected to
+ * another controller can keep its table. Each row keeps the version in which it last changed, so
+ * that routers are sent changes only.
  */
 
 #include <cstdint>
@@ -25,37 +25,42 @@
 class InstanceMirror
 {
 public:
-    /** Takes over a change. False when it does not fit what is held: the whole table is needed. */
+    /** Applies an update. Returns false when it does not follow on the held version; the whole
+       table is needed then.
+    */
     bool apply (const cell::InstanceUpdate& update);
 
-    /** What changed since a version of the same term; the whole table when that is not known. */
+    /** Returns the changes since a version of the same term, or the whole table when they are not
+        known.
+    */
     [[nodiscard]] cell::InstanceUpdate updateSince (std::uint64_t version) const;
-    /** Those of which updateSince() gives the changes only. */
+    /** Versions since which updateSince() can return the changes alone. */
     [[nodiscard]] const TableVersions& knownVersions() const { return m_known; }
 
     [[nodiscard]] bool hasTable() const { return m_version != 0; }
-    /** Of the leader that began the table, which later ones go on with. */
+    /** Term of the leader that created the table, which later leaders continue. */
     [[nodiscard]] base::Term term() const { return m_term; }
     [[nodiscard]] std::uint64_t version() const { return m_version; }
     [[nodiscard]] std::size_t size() const { return m_rows.size(); }
     [[nodiscard]] bool contains (const std::string& id) const { return m_rows.contains (id); }
-    /** Routers that have not applied this version or a later one get no lease any more: an earlier
-        table shows runners as ready whose leaving may have been acknowledged.
+    /** Routers that have not applied this version or a later one are granted no more leases: an
+        earlier table may show a runner as ready that has been acknowledged as leaving.
     */
     [[nodiscard]] std::uint64_t requiredVersion() const { return m_requiredVersion; }
 
 private:
-    friend class InstanceTable;  // Goes on with the rows and versions once this member leads.
+    friend class InstanceTable;  // Takes over the rows and versions when this member becomes
+                                 // leader.
 
     base::Term m_term = 0;
-    std::uint64_t m_version = 0;  ///< 0: nothing is held.
+    std::uint64_t m_version = 0;  ///< 0: no table received yet.
     TableVersions m_known;
     std::uint64_t m_requiredVersion = 0;  ///< Never above m_version.
     std::uint32_t m_routers = 1;
     std::vector<cell::ControllerEndpoint> m_controllers;
     std::map<std::string, cell::RoutableInstance> m_rows;
-    VersionIndex m_changed;  ///< Of the rows.
-    VersionIndex m_removed;  ///< Of rows that are gone.
+    VersionIndex m_changed;  ///< Versions of the last change of each row.
+    VersionIndex m_removed;  ///< Versions in which rows were removed.
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/InstanceRateLedger.cpp
+++ b/src/controller/InstanceRateLedger.cpp
@@ -10,34 +10,36 @@
 namespace
 {
 
-/// Any window of this length keeps to a runner's rate; shorter ones hold the burst besides.
+/// In any window of this length a runner's rate is not exceeded; shorter ones may include the
+/// burst.
 constexpr base::Duration kWindow = base::seconds (4);
-/// Permits that gather while nobody asks. With one, a request that comes a little late for its
-/// permit costs the runner the rest of an interval.
+/// Maximum number of unused permits of a runner. With only one, a request that arrives slightly
+/// after its permit became available would cost the runner the rest of an interval.
 constexpr double kBurst = 2;
-/// A request arrives at its runner within this time after it left its router, connections that
-/// have to be opened included.
-constexpr base::Duration kTravel = base::milliseconds (200);
-/// The way of a statement to the leader takes up to this long and is not counted in its age.
-constexpr base::Duration kStatementTravel = base::milliseconds (50);
-/// A router that was cut off for longer works with no controller any more (isolated_grace_ms).
-constexpr base::Duration kEndedKeptFor = base::seconds (30);
-/// For so long before it began a leader may not have heard what the one before was told: a leader
-/// is replaced within 0.6 s, and a router that finds it again reports within 0.5 s.
-constexpr base::Duration kElection = base::seconds (2);
-/// A router asks for a runner that the leader does not know as limited: its statement, or the end
-/// of the limit, is on its way.
-constexpr base::Duration kUnknownRetry = base::milliseconds (50);
+/// Maximum time from sending a request at its router to its arrival at the runner, including the
+/// time to open a connection.
+constexpr base::Duration kDeliveryDelay = base::milliseconds (200);
+/// Maximum delay of a reported rate on its way to the leader, which its age does not include.
+constexpr base::Duration kStatementDelay = base::milliseconds (50);
+/// A router that was disconnected for longer no longer uses any controller (isolated_grace_ms).
+constexpr base::Duration kEndedLifetime = base::seconds (30);
+/// Time before the start of a leader in which reports to the previous leader may have been lost: a
+/// leader is replaced within 0.6 s, and a router that reconnects reports within 0.5 s.
+constexpr base::Duration kElectionDuration = base::seconds (2);
+/// Retry delay for a router that requests permits for a runner without a limit at the leader: the
+/// report of the limit, or the update that ends it, is still on its way.
+constexpr base::Duration kUnknownRetryDelay = base::milliseconds (50);
 
 }  // namespace
 
 double InstanceRateLedger::grantedPerSecond (double stated) const
 {
-    // What arrives within a window was granted within one that is longer by the life of a permit
-    // and the way: 0.91 of the rate keep the window to the rate and the burst.
-    constexpr base::Duration kGrantWindow = kWindow + kPermitLife + kTravel;
+    // Requests that arrive within a window were granted within a window that is longer by the
+    // permit lifetime and the delivery delay. Granting 0.91 of the rate keeps the arrivals in a
+    // window within the rate and the burst.
+    constexpr base::Duration kGrantWindow = kWindow + kPermitLifetime + kDeliveryDelay;
     const double part = m_share * base::toSeconds (kWindow) / base::toSeconds (kGrantWindow);
-    // In a window the least rate is no more than the burst.
+    // At the minimum rate, a window holds no more permits than the burst.
     return std::max (stated * part, cell::kLeastRatePerSecond);
 }
 
@@ -76,7 +78,7 @@
     }
     else
     {
-        // Empty: routers have just sent what they liked.
+        // Starts empty, since routers have just sent requests without a limit.
         m_accounts[rate.instance] = { { rate.perSecond, 0, 0, 0, statedAt }, rate.startedAt, now };
     }
     ++m_version;
@@ -86,7 +88,7 @@
 
 void InstanceRateLedger::begin (const std::vector<cell::InstanceRate>& limited, base::TimePoint now)
 {
-    m_knownSince = now - kElection;
+    m_knownSince = now - kElectionDuration;
     for (const cell::InstanceRate& rate : limited)
         limit (rate, now - base::milliseconds (rate.ageMilliseconds), now);
 }
@@ -102,7 +104,7 @@
 void InstanceRateLedger::onStatement (const cell::InstanceRateStatement& statement,
                                       base::UnixMilliseconds startedAt, base::TimePoint now)
 {
-    // What an earlier incarnation said does not hold for this one.
+    // The rate of an earlier incarnation does not apply to this one.
     if (statement.startedAt != startedAt)
         return;
     const base::TimePoint madeAt = now - base::milliseconds (statement.ageMilliseconds);
@@ -116,13 +118,13 @@
     const auto found = m_accounts.find (statement.instance);
     if (found == m_accounts.end())
         return;
-    // Answers overtake one another. Only one to a request that was sent after the last answer with
-    // a rate came tells that the need is over; the other way round a limit would be lifted while
-    // the runner still states it.
-    if (madeAt <= found->second.account.statedAt + kStatementTravel)
+    // Answers may arrive out of order. Only the answer to a request that was sent after the last
+    // answer with a rate arrived shows that the limit has ended. Otherwise a limit would be lifted
+    // while the runner still reports it.
+    if (madeAt <= found->second.account.statedAt + kStatementDelay)
         return;
     m_accounts.erase (found);
-    std::erase_if (m_ended, [&] (const auto& item) { return now - item.second > kEndedKeptFor; });
+    std::erase_if (m_ended, [&] (const auto& item) { return now - item.second > kEndedLifetime; });
     m_ended[statement.instance] = madeAt;
     ++m_version;
     log::write (log::Event::kRunnerRateLifted, { { "runner", statement.instance } });
@@ -154,11 +156,11 @@
 {
     cell::QuotaAllowance allowance;
     allowance.account = need.account;
-    allowance.lifetimeMilliseconds = base::toMilliseconds (kPermitLife);
+    allowance.lifetimeMilliseconds = base::toMilliseconds (kPermitLifetime);
     const auto found = m_accounts.find (need.account);
     if (found == m_accounts.end())
     {
-        allowance.waitMilliseconds = base::toMilliseconds (kUnknownRetry);
+        allowance.waitMilliseconds = base::toMilliseconds (kUnknownRetryDelay);
         return allowance;
     }
     Entry& entry = found->second;
--- a/src/controller/InstanceRateLedger.h
+++ b/src/controller/InstanceRateLedger.h
@@ -1,13 +1,14 @@
 #pragma once
 
 /**
- * Which runners are limited to a rate that they state, and what of it is left, as the leader counts
- * it: one token bucket a runner, from which routers get permits for single requests.
+ * The leader's account of runners that limit their request rate: one token bucket for each such
+ * runner, from which routers get permits for single requests.
  *
- * A permit is used within a short time or lost. So what all routers together send a runner within
- * one window never exceeds what a slightly longer window grants, whoever is cut off, frozen, killed
- * or added, and nothing has to be given back. Buckets are not replicated: a new leader begins with
- * empty ones, after the permits of the one before have ended.
+ * A permit that is not used within a short time expires. The requests that all routers together
+ * send to a runner within a window therefore never exceed the permits granted within a slightly
+ * longer window, even when routers or controllers are disconnected, frozen, killed or added, and
+ * permits never have to be returned. Buckets are not replicated: a new leader begins with empty
+ * ones, after the permits of the previous leader have expired.
  */
 
 #include <cstdint>
@@ -22,50 +23,51 @@
 namespace fernlift::controller
 {
 
-/** A request for which a permit was granted leaves its router within this time after the permit was
-    asked for. A grant takes some 5 ms by way of two controllers; a busy router is some 50 ms late.
+/** A router sends a request within this time after it requested the permit, or not under that
+   permit. A grant takes about 5 ms through two controllers; a busy router is delayed by about 50
+   ms.
 */
-constexpr base::Duration kPermitLife = base::milliseconds (200);
+constexpr base::Duration kPermitLifetime = base::milliseconds (200);
 
 /** Pure: time is passed in. Threading: none; owned by one ControllerCore. */
 class InstanceRateLedger
 {
 public:
-    /** For `fernliftctl explain runner`. */
+    /** Counters and bucket of one runner, shown by `fernliftctl explain runner`. */
     struct Account
     {
-        double perSecond = 0;  ///< As stated.
-        double level = 0;      ///< Permits that may be granted now.
+        double perSecond = 0;  ///< Rate that the runner reported.
+        double level = 0;      ///< Permits available now.
         std::uint64_t granted = 0;
         std::uint64_t refused = 0;
-        base::TimePoint statedAt{};  ///< Last, by an answer of the runner.
+        base::TimePoint statedAt{};  ///< Time of the runner's last answer with a rate.
     };
 
-    /** Of a leader that begins, with what routers were told before. */
+    /** Starts the ledger of a new leader from the limits that routers were sent before. */
     void begin (const std::vector<cell::InstanceRate>& limited, base::TimePoint now);
-    /** Part of the cell's routers that ask for permits, from 0 to 1. The others, whose controllers
-       are of an earlier version, keep to their own shares of each rate.
+    /** Sets the share of the cell's routers that request permits, from 0 to 1. The others, whose
+        controllers run an earlier version, stay within their own shares of each rate.
     */
     void setShare (double share, base::TimePoint now);
-    /** Takes over what a runner stated, unless something newer is known. `startedAt` is that of the
-        incarnation in the table of runners.
+    /** Applies the rate that a runner reported, unless a later one is known. `startedAt` identifies
+        the incarnation in the table of runners.
     */
     void onStatement (const cell::InstanceRateStatement& statement,
                       base::UnixMilliseconds startedAt, base::TimePoint now);
-    /** Forgets the other runners: they are gone, or started again. */
+    /** Removes all other runners, which have been removed from the cell or restarted. */
     void keepOnly (const std::function<bool (const cell::InstanceRate& rate)>& isKept);
 
-    /** Grants what the buckets hold, and tells when the rest can be granted. */
+    /** Grants the permits that the buckets hold, and states when the rest can be granted. */
     [[nodiscard]] cell::QuotaGrant answer (const cell::QuotaRequest& request, base::TimePoint now);
 
-    /** Grows with each change of the limited runners; above 0. */
+    /** Increases with each change of the limited runners; starts at 1. */
     [[nodiscard]] std::uint64_t version() const { return m_version; }
     [[nodiscard]] std::vector<cell::InstanceRate> limited (base::TimePoint now) const;
     [[nodiscard]] std::size_t size() const { return m_accounts.size(); }
-    /** Permits for all runners, while this member leads. */
+    /** Number of permits granted for all runners since this member became leader. */
     [[nodiscard]] std::uint64_t granted() const { return m_granted; }
     [[nodiscard]] std::uint64_t refused() const { return m_refused; }
-    /** Null when the runner is not limited. */
+    /** Returns the account of a runner; null when the runner is not limited. */
     [[nodiscard]] const Account* find (const std::string& instance) const;
 
 private:
@@ -77,11 +79,11 @@
     };
 
     void limit (const cell::InstanceRate& rate, base::TimePoint statedAt, base::TimePoint now);
-    /** Whether a statement is of a time of which more is known: the runner has ceased since to
-       state a rate. A router that was cut off or stood still meanwhile has not heard of it.
+    /** Whether a reported rate is older than the end of the runner's limit. A router that was
+        disconnected or suspended at that time may still report such a rate.
     */
     [[nodiscard]] bool isOutdated (const std::string& instance, base::TimePoint statedAt) const;
-    /** Permits a second for a runner that states the rate. */
+    /** Returns the permits granted per second for a runner that reports the rate `stated`. */
     [[nodiscard]] double grantedPerSecond (double stated) const;
     void refill (Entry& entry, base::TimePoint now) const;
     [[nodiscard]] cell::QuotaAllowance allowanceFor (const cell::QuotaNeed& need,
@@ -91,9 +93,9 @@
     double m_share = 1;
     std::uint64_t m_granted = 0;
     std::uint64_t m_refused = 0;
-    base::TimePoint m_knownSince{};  ///< What was stated before is in `m_accounts` or over.
-    std::map<std::string, Entry> m_accounts;         ///< By instance.
-    std::map<std::string, base::TimePoint> m_ended;  ///< When a rate was known to be over.
+    base::TimePoint m_knownSince{};  ///< Limits reported earlier are in `m_accounts` or have ended.
+    std::map<std::string, Entry> m_accounts;         ///< Limited runners, by instance.
+    std::map<std::string, base::TimePoint> m_ended;  ///< Time at which each limit ended.
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/InstanceTable.cpp
+++ b/src/controller/InstanceTable.cpp
@@ -9,9 +9,9 @@
 namespace
 {
 
-/// Heartbeats of an instance that has just started have no higher sequence: it counts from 1, and
-/// the first ones may be lost or overtake each other.
-constexpr std::uint64_t kFirstSequences = 5;
+/// Highest heartbeat sequence of an instance that counts as just started: sequences start at 1, and
+/// the first heartbeats may be lost or arrive out of order.
+constexpr std::uint64_t kMaxFirstSequence = 5;
 
 }  // namespace
 
@@ -24,7 +24,7 @@
     m_changed = std::move (earlier.m_changed);
     m_removed = std::move (earlier.m_removed);
     m_known = earlier.m_known;
-    m_known.passTo (earlier.m_version, leader);
+    m_known.continueUnderLeader (earlier.m_version, leader);
     m_version = firstVersionOf (leader);
     for (const auto& [id, row] : m_rows)
         m_idsAt[row.instance.address].insert (id);
@@ -38,45 +38,46 @@
 
 bool InstanceTable::onHeartbeat (const InstanceHeartbeat& heartbeat, base::TimePoint now)
 {
-    Sighting& sighting = m_sightings[heartbeat.instance.id];
+    HeartbeatState& state = m_heartbeats[heartbeat.instance.id];
     const base::UnixMilliseconds startedAt = heartbeat.instance.startedAt;
-    if (cell::isEarlierIncarnation (startedAt, sighting.startedAt))
+    if (cell::isEarlierIncarnation (startedAt, state.startedAt))
         return false;
-    if (cell::isEarlierIncarnation (sighting.startedAt, startedAt))
-        sighting = Sighting{};
-    const bool isLate = sighting.isReported && heartbeat.sequence <= sighting.sequence;
+    if (cell::isEarlierIncarnation (state.startedAt, startedAt))
+        state = HeartbeatState{};
+    const bool isLate = state.isReported && heartbeat.sequence <= state.sequence;
     if (isLate)
         return false;
-    sighting.startedAt = std::max (sighting.startedAt, startedAt);
-    const bool isFirst = ! sighting.isReported;
+    state.startedAt = std::max (state.startedAt, startedAt);
+    const bool isFirst = ! state.isReported;
     if (isFirst)
-        noteSuccessor (heartbeat, now);
-    sighting.heardAt = now;
-    sighting.sequence = heartbeat.sequence;
-    sighting.isReported = true;
-    if (! sighting.isPlaced)
-        sighting.models = cell::inOrder (heartbeat.models);  // As placement shows them.
-    m_unrefreshed.insert (heartbeat.instance.id);
+        markPredecessorsUnreachable (heartbeat, now);
+    state.lastHeartbeatAt = now;
+    state.sequence = heartbeat.sequence;
+    state.isReported = true;
+    if (! state.isPlaced)
+        state.models = cell::inOrder (heartbeat.models);  // The order that placement uses.
+    m_pendingRefresh.insert (heartbeat.instance.id);
     return true;
 }
 
-void InstanceTable::onHeard (const cell::InstanceSighting& heard, base::TimePoint now)
+void InstanceTable::onHeard (const cell::InstanceSighting& relayed, base::TimePoint now)
 {
-    const auto found = m_sightings.find (heard.instance);
-    if (found == m_sightings.end())
+    const auto found = m_heartbeats.find (relayed.instance);
+    if (found == m_heartbeats.end())
         return;
-    Sighting& sighting = found->second;
-    // A later incarnation is told of with its holdings first.
-    const bool isOther = heard.startedAt != 0 && heard.startedAt != sighting.startedAt;
-    if (isOther || heard.sequence <= sighting.sequence)
+    HeartbeatState& state = found->second;
+    // The first relayed heartbeat of a later incarnation includes its held models.
+    const bool isOther = relayed.startedAt != 0 && relayed.startedAt != state.startedAt;
+    if (isOther || relayed.sequence <= state.sequence)
         return;
-    if (isSilent (sighting, now))
-        m_unrefreshed.insert (heard.instance);
-    sighting.heardAt = now;
-    sighting.sequence = heard.sequence;
+    if (isSilent (state, now))
+        m_pendingRefresh.insert (relayed.instance);
+    state.lastHeartbeatAt = now;
+    state.sequence = relayed.sequence;
 }
 
-void InstanceTable::noteSuccessor (const InstanceHeartbeat& heartbeat, base::TimePoint now)
+void InstanceTable::markPredecessorsUnreachable (const InstanceHeartbeat& heartbeat,
+                                                 base::TimePoint now)
 {
     for (const std::string& id : predecessorsOf (heartbeat.instance))
         onUnreachable (id, now);
@@ -95,68 +96,68 @@
 
 bool InstanceTable::isOfPredecessor (const InstanceHeartbeat& heartbeat, base::TimePoint now) const
 {
-    if (heartbeat.sequence <= kFirstSequences || m_rows.contains (heartbeat.instance.id))
+    if (heartbeat.sequence <= kMaxFirstSequence || m_rows.contains (heartbeat.instance.id))
         return false;
     return std::ranges::any_of (predecessorsOf (heartbeat.instance),
                                 [&] (const std::string& id)
                                 {
-                                    const auto found = m_sightings.find (id);
-                                    return found != m_sightings.end()
-                                           && now - found->second.heardAt < m_silence;
+                                    const auto found = m_heartbeats.find (id);
+                                    return found != m_heartbeats.end()
+                                           && now - found->second.lastHeartbeatAt < m_silence;
                                 });
 }
 
 void InstanceTable::onUnreachable (const std::string& id, base::TimePoint now)
 {
-    const auto found = m_sightings.find (id);
-    if (found == m_sightings.end())
+    const auto found = m_heartbeats.find (id);
+    if (found == m_heartbeats.end())
         return;
     found->second.unreachableAt = now;
-    m_unrefreshed.insert (id);
+    m_pendingRefresh.insert (id);
 }
 
 void InstanceTable::setModels (const std::string& id, std::vector<cell::HeldModel> models)
 {
-    const auto found = m_sightings.find (id);
-    if (found == m_sightings.end())
+    const auto found = m_heartbeats.find (id);
+    if (found == m_heartbeats.end())
         return;
     found->second.isReported = true;
     found->second.isPlaced = true;
     found->second.models = std::move (models);
-    m_unrefreshed.insert (id);
+    m_pendingRefresh.insert (id);
 }
 
-bool InstanceTable::isSilent (const Sighting& sighting, base::TimePoint now) const
+bool InstanceTable::isSilent (const HeartbeatState& state, base::TimePoint now) const
 {
-    return now - sighting.heardAt >= m_silence || sighting.unreachableAt > sighting.heardAt;
+    return now - state.lastHeartbeatAt >= m_silence || state.unreachableAt > state.lastHeartbeatAt;
 }
 
-InstanceTable::Sighting InstanceTable::firstSightingOf (const cell::ServiceInstance& instance,
-                                                        base::TimePoint now)
+InstanceTable::HeartbeatState InstanceTable::initialStateOf (const cell::ServiceInstance& instance,
+                                                             base::TimePoint now)
 {
     return { instance.startedAt, now, {}, 0, false, false, {} };
 }
 
-void InstanceTable::refreshChanged (const cell::ServiceInstances& agreed, base::TimePoint now)
+void InstanceTable::refreshChanged (const cell::ServiceInstances& replicated, base::TimePoint now)
 {
-    for (const std::string& id : std::exchange (m_unrefreshed, {}))
-        refreshRow (id, agreed, now);
+    for (const std::string& id : std::exchange (m_pendingRefresh, {}))
+        refreshRow (id, replicated, now);
 }
 
-void InstanceTable::refreshRow (const std::string& id, const cell::ServiceInstances& agreed,
+void InstanceTable::refreshRow (const std::string& id, const cell::ServiceInstances& replicated,
                                 base::TimePoint now)
 {
     const auto row = m_rows.find (id);
     const bool isPresent = row != m_rows.end();
-    const cell::ServiceInstance* instance = agreed.find (id);
+    const cell::ServiceInstance* instance = replicated.find (id);
     if (instance == nullptr)
     {
         if (isPresent)
             remove (row);
         return;
     }
-    const Sighting first = firstSightingOf (*instance, now);
-    Sighting& seen = m_sightings.try_emplace (id, first).first->second;
+    const HeartbeatState first = initialStateOf (*instance, now);
+    HeartbeatState& seen = m_heartbeats.try_emplace (id, first).first->second;
     if (cell::isEarlierIncarnation (seen.startedAt, instance->startedAt))
         seen = first;
     const bool isNowSilent = isSilent (seen, now);
@@ -164,26 +165,26 @@
         put (row, rowOf (*instance, seen, isNowSilent));
 }
 
-void InstanceTable::refresh (const cell::ServiceInstances& agreed, base::TimePoint now)
+void InstanceTable::refresh (const cell::ServiceInstances& replicated, base::TimePoint now)
 {
-    m_unrefreshed.clear();
-    // Both maps are walked along with the agreed table: looking each id up in them took longer than
-    // comparing what they hold.
+    m_pendingRefresh.clear();
+    // Iterates both maps in parallel with the replicated table: looking up each id took longer than
+    // comparing the entries.
     auto row = m_rows.begin();
-    auto sighting = m_sightings.begin();
-    for (const auto& [id, instance] : agreed.all())
+    auto state = m_heartbeats.begin();
+    for (const auto& [id, instance] : replicated.all())
     {
-        // First, since a row that is removed takes its sighting along.
-        while (sighting != m_sightings.end() && sighting->first < id)
-            ++sighting;
+        // Before removing rows, since remove() also erases the heartbeat state of the row.
+        while (state != m_heartbeats.end() && state->first < id)
+            ++state;
         while (row != m_rows.end() && row->first < id)
             row = remove (row);
-        const Sighting first = firstSightingOf (instance, now);
-        if (sighting == m_sightings.end() || sighting->first != id)
-            sighting = m_sightings.emplace_hint (sighting, id, first);
-        else if (cell::isEarlierIncarnation (sighting->second.startedAt, instance.startedAt))
-            sighting->second = first;
-        const Sighting& seen = sighting->second;
+        const HeartbeatState first = initialStateOf (instance, now);
+        if (state == m_heartbeats.end() || state->first != id)
+            state = m_heartbeats.emplace_hint (state, id, first);
+        else if (cell::isEarlierIncarnation (state->second.startedAt, instance.startedAt))
+            state->second = first;
+        const HeartbeatState& seen = state->second;
         const bool isNowSilent = isSilent (seen, now);
         const bool isPresent = row != m_rows.end() && row->first == id;
         if (! isPresent || ! isShownBy (row->second, instance, seen, isNowSilent))
@@ -195,47 +196,47 @@
 }
 
 cell::RoutableInstance InstanceTable::rowOf (const cell::ServiceInstance& instance,
-                                             const Sighting& sighting, bool isSilent)
+                                             const HeartbeatState& state, bool isSilent)
 {
     cell::RoutableInstance row{ instance, isSilent };
-    if (sighting.isReported)
+    if (state.isReported)
     {
         row.instance.isReported = true;
-        row.instance.models = sighting.models;
+        row.instance.models = state.models;
     }
     return row;
 }
 
-/// The same as comparing with rowOf(), without a copy of what each of 3,000 runners holds: with
-/// copies a look at all of them took a twentieth of a core, three times a second.
+/// Equivalent to a comparison with rowOf(), without copying the held models of each runner. With
+/// copies, checking 3,000 runners three times per second took 0.05 of a core.
 bool InstanceTable::isShownBy (const cell::RoutableInstance& row,
-                               const cell::ServiceInstance& instance, const Sighting& sighting,
+                               const cell::ServiceInstance& instance, const HeartbeatState& state,
                                bool isSilent)
 {
-    // Names each member, so that one that is added is not forgotten here.
+    // Names each member, so that an added member fails to compile until it is compared here.
     const auto& [id, service, address, zone, slots, isDraining, isReported, models, startedAt] =
         row.instance;
     return row.isSilent == isSilent && id == instance.id && isDraining == instance.isDraining
            && slots == instance.slots && service == instance.service && address == instance.address
            && zone == instance.zone && startedAt == instance.startedAt
-           && isReported == (sighting.isReported || instance.isReported)
-           && models == (sighting.isReported ? sighting.models : instance.models);
+           && isReported == (state.isReported || instance.isReported)
+           && models == (state.isReported ? state.models : instance.models);
 }
 
 InstanceTable::Rows::iterator InstanceTable::put (Rows::iterator at, cell::RoutableInstance row)
 {
     const std::string id = row.instance.id;
     m_idsAt[row.instance.address].insert (id);
-    m_changed.note (id, ++m_version);
+    m_changed.record (id, ++m_version);
     m_removed.forget (id);
     return m_rows.insert_or_assign (at, id, std::move (row));
 }
 
 InstanceTable::Rows::iterator InstanceTable::remove (Rows::iterator row)
 {
-    m_removed.note (row->first, ++m_version);
+    m_removed.record (row->first, ++m_version);
     m_changed.forget (row->first);
-    m_sightings.erase (row->first);
+    m_heartbeats.erase (row->first);
     std::set<std::string>& ids = m_idsAt[row->second.instance.address];
     ids.erase (row->first);
     if (ids.empty())
@@ -248,8 +249,8 @@
     std::vector<std::string> silent;
     for (const auto& [id, row] : m_rows)
     {
-        const auto sighting = m_sightings.find (id);
-        if (sighting != m_sightings.end() && now - sighting->second.heardAt >= limit)
+        const auto state = m_heartbeats.find (id);
+        if (state != m_heartbeats.end() && now - state->second.lastHeartbeatAt >= limit)
         {
             silent.push_back (id);
         }
--- a/src/controller/InstanceTable.h
+++ b/src/controller/InstanceTable.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The leader's view of registered runners: what the cell has agreed on, joined with what their
-/// heartbeats say, in versions that routers can follow.
+/// The leader's table of registered runners: the replicated table of the cell joined with the state
+/// reported in heartbeats. The table is versioned, so that routers can be sent changes only.
 
 #include <cstdint>
 #include <map>
@@ -24,45 +24,48 @@
 class InstanceTable
 {
 public:
-    /// An instance that was not heard for `silence` is told as silent to routers.
+    /// An instance without a heartbeat for `silence` is shown as silent to routers.
     InstanceTable (base::Term term, base::Duration silence)
         : m_term (term), m_silence (silence), m_version (firstVersionOf (term))
     {
         m_known.restart (m_version);
     }
 
-    /// Goes on with the table of an earlier leader, as this member was sent it; before anything
-    /// else is told. `leader` is the term of the new one.
+    /// Continues the table of an earlier leader from the relay copy that this member holds. Call it
+    /// before any other update. `leader` is the term of the new leader.
     void continueFrom (InstanceMirror&& earlier, base::Term leader);
-    /// Somebody holds a table begun by a later leader than this one: nobody goes on with what they
-    /// hold.
+    /// Discards the version history, so that all receivers get the whole table. Needed when a
+    /// receiver holds a table that was created by a later leader than this one.
     void beginAnew (base::Term term);
 
-    /// Notes a heartbeat; false when a later one, or one of a later incarnation, was noted before.
-    /// With the first one of a later incarnation all that was noted of the instance is forgotten.
+    /// Records a heartbeat. Returns false when one with a higher sequence or of a later incarnation
+    /// was recorded before. The first one of a later incarnation replaces all recorded state of the
+    /// instance.
     bool onHeartbeat (const InstanceHeartbeat& heartbeat, base::TimePoint now);
-    /// Other instances at the address of this one. An address belongs to the instance that
-    /// registered there last: those before it have ended.
+    /// Returns the other instances at the address of this one. An address belongs to the instance
+    /// that registered there last; the earlier ones have ended.
     [[nodiscard]] std::vector<std::string> predecessorsOf (
         const cell::ServiceInstance& instance) const;
-    /// Whether a heartbeat of an instance that is not in the table was sent before one that is
-    /// registered at the same address, and arrives late.
+    /// Whether a heartbeat is a late one of an instance that is not in the table any more and whose
+    /// address now belongs to another instance.
     [[nodiscard]] bool isOfPredecessor (const InstanceHeartbeat& heartbeat,
                                         base::TimePoint now) const;
-    /// The same as onHeartbeat for a heartbeat that told nothing new.
-    void onHeard (const cell::InstanceSighting& heard, base::TimePoint now);
-    /// A router could not reach the instance: it counts as silent until it is heard again.
+    /// Records a relayed heartbeat that does not change the held models.
+    void onHeard (const cell::InstanceSighting& relayed, base::TimePoint now);
+    /// Records that a router could not reach the instance: it counts as silent until its next
+    /// heartbeat.
     void onUnreachable (const std::string& id, base::TimePoint now);
-    /// Replaces what is known of an engine's models by a report or a finished order.
+    /// Replaces the models of an engine, which a report or a completed order has shown.
     void setModels (const std::string& id, std::vector<cell::HeldModel> models);
-    /// The agreed table has another entry for the instance, or none any more.
-    void onAgreed (const std::string& id) { m_unrefreshed.insert (id); }
-    /// Takes over the agreed table and the silence of each instance.
-    void refresh (const cell::ServiceInstances& agreed, base::TimePoint now);
-    /// The same for what was told of since the last time only; who fell silent is not noticed.
-    void refreshChanged (const cell::ServiceInstances& agreed, base::TimePoint now);
+    /// Records that the replicated table changed or removed the entry of the instance.
+    void onAgreed (const std::string& id) { m_pendingRefresh.insert (id); }
+    /// Updates all rows from the replicated table and the silence of each instance.
+    void refresh (const cell::ServiceInstances& replicated, base::TimePoint now);
+    /// Updates only the rows of instances with a heartbeat or change since the last refresh; does
+    /// not detect instances that became silent.
+    void refreshChanged (const cell::ServiceInstances& replicated, base::TimePoint now);
 
-    /// Instances that have been silent for longer than `limit`.
+    /// Returns the instances without a heartbeat for at least `limit`.
     [[nodiscard]] std::vector<std::string> silentFor (base::Duration limit,
                                                       base::TimePoint now) const;
     [[nodiscard]] const std::map<std::string, cell::RoutableInstance>& rows() const
@@ -70,20 +73,20 @@
         return m_rows;
     }
     [[nodiscard]] std::uint64_t version() const { return m_version; }
-    /// Of the leader that began the table; names it together with a version.
+    /// Term of the leader that created the table; identifies the table together with a version.
     [[nodiscard]] base::Term term() const { return m_term; }
-    /// Those of which updateSince() gives the changes.
+    /// Versions since which updateSince() can return the changes alone.
     [[nodiscard]] const TableVersions& knownVersions() const { return m_known; }
-    /// What changed since a version; the whole table when that is not known.
+    /// Returns the changes since a version, or the whole table when they are not known.
     [[nodiscard]] cell::InstanceUpdate updateSince (std::uint64_t version) const;
-    /// Calls `visit` with the id and row of each instance that changed after `version`; with null
-    /// for one that is gone.
+    /// Calls `visit` with the id and row of each instance that changed after `version`, or with
+    /// null in place of the row of a removed instance.
     template <class Visit>
     void visitSince (std::uint64_t version, const Visit& visit) const
     {
         visitBetween (version, m_version, visit);
     }
-    /// The same for those that changed no later than in `last`.
+    /// As visitSince(), for changes after `version` and up to version `last`.
     template <class Visit>
     void visitBetween (std::uint64_t version, std::uint64_t last, const Visit& visit) const
     {
@@ -92,53 +95,53 @@
         m_removed.visitBetween (version, last,
                                 [&] (const std::string& id) { visit (id, nullptr); });
     }
-    /// Version in which the `count`th row changed, or went, after `version`; the present one when
-    /// there are fewer.
+    /// Returns the version of the `count`th change or removal of a row after `version`, or the
+    /// current version when there are fewer.
     [[nodiscard]] std::uint64_t versionAfter (std::uint64_t version, std::size_t count) const;
 
 private:
-    struct Sighting
+    struct HeartbeatState
     {
-        base::UnixMilliseconds startedAt = 0;  ///< Of the incarnation; 0: it did not tell.
-        base::TimePoint heardAt{};
+        base::UnixMilliseconds startedAt = 0;  ///< Start of the incarnation; 0: not reported.
+        base::TimePoint lastHeartbeatAt{};
         base::TimePoint unreachableAt{};
         std::uint64_t sequence = 0;
         bool isReported = false;
-        bool isPlaced = false;  ///< The models were set by setModels(), which knows more.
+        bool isPlaced = false;  ///< Set by setModels(), which is more accurate.
         std::vector<cell::HeldModel> models;
     };
 
     using Rows = std::map<std::string, cell::RoutableInstance>;
 
-    [[nodiscard]] bool isSilent (const Sighting& sighting, base::TimePoint now) const;
-    /// What is known of an agreed instance that has not been heard; a new leader counts silence
-    /// from when it first looked.
-    [[nodiscard]] static Sighting firstSightingOf (const cell::ServiceInstance& instance,
-                                                   base::TimePoint now);
-    void refreshRow (const std::string& id, const cell::ServiceInstances& agreed,
+    [[nodiscard]] bool isSilent (const HeartbeatState& state, base::TimePoint now) const;
+    /// Returns the initial state of a replicated instance without a heartbeat so far. A new leader
+    /// counts its silence from `now`.
+    [[nodiscard]] static HeartbeatState initialStateOf (const cell::ServiceInstance& instance,
+                                                        base::TimePoint now);
+    void refreshRow (const std::string& id, const cell::ServiceInstances& replicated,
                      base::TimePoint now);
     [[nodiscard]] static cell::RoutableInstance rowOf (const cell::ServiceInstance& instance,
-                                                       const Sighting& sighting, bool isSilent);
+                                                       const HeartbeatState& state, bool isSilent);
     [[nodiscard]] static bool isShownBy (const cell::RoutableInstance& row,
                                          const cell::ServiceInstance& instance,
-                                         const Sighting& sighting, bool isSilent);
-    /// Adds or replaces a row, at or before `at`; where it is.
+                                         const HeartbeatState& state, bool isSilent);
+    /// Adds or replaces a row, with `at` as insertion hint; returns its position.
     Rows::iterator put (Rows::iterator at, cell::RoutableInstance row);
-    /// The row after the one that was removed.
+    /// Removes a row; returns the position after it.
     Rows::iterator remove (Rows::iterator row);
-    /// Another instance that is heard at the same address has taken the place of this one.
-    void noteSuccessor (const InstanceHeartbeat& heartbeat, base::TimePoint now);
+    /// Marks the earlier instances at the address of this one as unreachable.
+    void markPredecessorsUnreachable (const InstanceHeartbeat& heartbeat, base::TimePoint now);
 
     base::Term m_term;
     base::Duration m_silence;
     std::uint64_t m_version;
     TableVersions m_known;
-    std::map<std::string, Sighting> m_sightings;
+    std::map<std::string, HeartbeatState> m_heartbeats;
     Rows m_rows;
-    std::map<std::string, std::set<std::string>> m_idsAt;  ///< Of the rows, by address.
-    VersionIndex m_changed;                                ///< Of the rows.
-    VersionIndex m_removed;                                ///< Of rows that are gone.
-    std::set<std::string> m_unrefreshed;                   ///< Told of since the last refresh.
+    std::map<std::string, std::set<std::string>> m_idsAt;  ///< Ids of the rows, by address.
+    VersionIndex m_changed;                  ///< Versions of the last change of each row.
+    VersionIndex m_removed;                  ///< Versions in which rows were removed.
+    std::set<std::string> m_pendingRefresh;  ///< Instances changed since the last refresh.
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/InstanceTableTest.cpp
+++ b/src/controller/InstanceTableTest.cpp
@@ -25,104 +25,105 @@
 class InstanceTableTest : public ::testing::Test
 {
 protected:
-    void hear (const InstanceHeartbeat& heartbeat, base::TimePoint now)
+    void receive (const InstanceHeartbeat& heartbeat, base::TimePoint now)
     {
         m_table.onHeartbeat (heartbeat, now);
-        m_agreed.add (heartbeat.instance);
-        m_table.refresh (m_agreed, now);
+        m_replicated.add (heartbeat.instance);
+        m_table.refresh (m_replicated, now);
     }
 
     InstanceTable m_table{ 7, kSilence };
-    cell::ServiceInstances m_agreed;
+    cell::ServiceInstances m_replicated;
 };
 
-TEST_F (InstanceTableTest, ALateHeartbeatChangesNothing)
+TEST_F (InstanceTableTest, IgnoresALateHeartbeat)
 {
-    hear (heartbeatOf ("i-1", 5), kStart);
+    receive (heartbeatOf ("i-1", 5), kStart);
     EXPECT_FALSE (m_table.onHeartbeat (heartbeatOf ("i-1", 4), kStart));
-    m_table.refresh (m_agreed, kStart);
+    m_table.refresh (m_replicated, kStart);
     EXPECT_EQ (m_table.rows().at ("i-1").instance.models[0].model, "m5");
 }
 
-TEST_F (InstanceTableTest, AnInstanceThatIsNotHeardIsSilentUntilItIsHeard)
+TEST_F (InstanceTableTest, InstanceIsSilentUntilItsNextHeartbeat)
 {
-    hear (heartbeatOf ("i-1", 1), kStart);
-    m_table.refresh (m_agreed, kStart + kSilence);
+    receive (heartbeatOf ("i-1", 1), kStart);
+    m_table.refresh (m_replicated, kStart + kSilence);
     EXPECT_TRUE (m_table.rows().at ("i-1").isSilent);
-    hear (heartbeatOf ("i-1", 2), kStart + kSilence);
+    receive (heartbeatOf ("i-1", 2), kStart + kSilence);
     EXPECT_FALSE (m_table.rows().at ("i-1").isSilent);
 }
 
-TEST_F (InstanceTableTest, AnUnreachableInstanceIsSilentUntilItIsHeard)
+TEST_F (InstanceTableTest, UnreachableInstanceIsSilentUntilItsNextHeartbeat)
 {
-    hear (heartbeatOf ("i-1", 1), kStart);
+    receive (heartbeatOf ("i-1", 1), kStart);
     m_table.onUnreachable ("i-1", kStart + base::milliseconds (10));
-    m_table.refresh (m_agreed, kStart + base::milliseconds (10));
+    m_table.refresh (m_replicated, kStart + base::milliseconds (10));
     EXPECT_TRUE (m_table.rows().at ("i-1").isSilent);
-    hear (heartbeatOf ("i-1", 2), kStart + base::milliseconds (20));
+    receive (heartbeatOf ("i-1", 2), kStart + base::milliseconds (20));
     EXPECT_FALSE (m_table.rows().at ("i-1").isSilent);
 }
 
-TEST_F (InstanceTableTest, AnInstanceIsSilentOnceAnotherIsHeardAtItsAddress)
+TEST_F (InstanceTableTest, InstanceIsSilentOnceAnotherSendsHeartbeatsFromItsAddress)
 {
-    hear (heartbeatOf ("i-1", 1), kStart);
-    hear (heartbeatOf ("i-2", 1), kStart + base::milliseconds (10));
+    receive (heartbeatOf ("i-1", 1), kStart);
+    receive (heartbeatOf ("i-2", 1), kStart + base::milliseconds (10));
     EXPECT_TRUE (m_table.rows().at ("i-1").isSilent);
     EXPECT_FALSE (m_table.rows().at ("i-2").isSilent);
 }
 
 TEST_F (InstanceTableTest, AnAddressBelongsToTheInstanceThatRegisteredThereLast)
 {
-    hear (heartbeatOf ("i-1", 9), kStart);
-    hear (heartbeatOf ("i-3", 9, "10.0.0.3:80"), kStart);
+    receive (heartbeatOf ("i-1", 9), kStart);
+    receive (heartbeatOf ("i-3", 9, "10.0.0.3:80"), kStart);
     const InstanceHeartbeat next = heartbeatOf ("i-2", 1);
     EXPECT_FALSE (m_table.isOfPredecessor (next, kStart));
     EXPECT_EQ (m_table.predecessorsOf (next.instance), std::vector<std::string>{ "i-1" });
-    m_agreed.remove ("i-1", false);
-    hear (next, kStart);
+    m_replicated.remove ("i-1", false);
+    receive (next, kStart);
     EXPECT_TRUE (m_table.predecessorsOf (next.instance).empty());
 }
 
-TEST_F (InstanceTableTest, ALateHeartbeatOfAnEarlierIncarnationIsKnownAsSuch)
+TEST_F (InstanceTableTest, DetectsALateHeartbeatOfAPredecessor)
 {
-    hear (heartbeatOf ("i-2", 1), kStart);
+    receive (heartbeatOf ("i-2", 1), kStart);
     const InstanceHeartbeat late = heartbeatOf ("i-1", 9);
     EXPECT_TRUE (m_table.isOfPredecessor (late, kStart + base::seconds (1)));
     EXPECT_FALSE (m_table.isOfPredecessor (heartbeatOf ("i-4", 9, "10.0.0.4:80"), kStart));
-    // Nobody has been heard there for long: it may be the only one.
+    // No other instance at the address has sent a heartbeat recently, so this one may be the only
+    // one.
     EXPECT_FALSE (m_table.isOfPredecessor (late, kStart + kSilence));
 }
 
-TEST_F (InstanceTableTest, UpdatesHoldWhatChangedAndWhatIsGone)
+TEST_F (InstanceTableTest, UpdatesContainChangesAndRemovals)
 {
-    hear (heartbeatOf ("i-1", 1), kStart);
-    hear (heartbeatOf ("i-2", 1, "10.0.0.2:80"), kStart);
+    receive (heartbeatOf ("i-1", 1), kStart);
+    receive (heartbeatOf ("i-2", 1, "10.0.0.2:80"), kStart);
     const std::uint64_t version = m_table.version();
     EXPECT_EQ (m_table.updateSince (0).upserts.size(), 2U);
     EXPECT_TRUE (m_table.updateSince (version).upserts.empty());
-    m_agreed.remove ("i-1", true);
-    m_table.refresh (m_agreed, kStart);
+    m_replicated.remove ("i-1", true);
+    m_table.refresh (m_replicated, kStart);
     const cell::InstanceUpdate update = m_table.updateSince (version);
     EXPECT_EQ (update.term, 7U);
     EXPECT_TRUE (update.upserts.empty());
     EXPECT_EQ (update.removals, std::vector<std::string>{ "i-1" });
 }
 
-TEST_F (InstanceTableTest, AHeartbeatDoesNotOverwriteWhatPlacementKnows)
+TEST_F (InstanceTableTest, HeartbeatDoesNotOverwriteModelsSetByPlacement)
 {
-    hear (heartbeatOf ("i-1", 1), kStart);
+    receive (heartbeatOf ("i-1", 1), kStart);
     m_table.setModels ("i-1", { { "placed", 1, {} } });
-    hear (heartbeatOf ("i-1", 2), kStart);
+    receive (heartbeatOf ("i-1", 2), kStart);
     EXPECT_EQ (m_table.rows().at ("i-1").instance.models[0].model, "placed");
 }
 
-TEST_F (InstanceTableTest, ANewLeaderKnowsWhatWasAgreedBeforeItHearsAnything)
+TEST_F (InstanceTableTest, NewLeaderShowsReplicatedModelsBeforeTheFirstHeartbeat)
 {
     cell::ServiceInstance instance = heartbeatOf ("i-1", 1).instance;
     instance.isReported = true;
     instance.models = { { "agreed", 1, {} } };
-    m_agreed.add (instance);
-    m_table.refresh (m_agreed, kStart);
+    m_replicated.add (instance);
+    m_table.refresh (m_replicated, kStart);
     EXPECT_EQ (m_table.rows().at ("i-1").instance.models[0].model, "agreed");
     EXPECT_FALSE (m_table.rows().at ("i-1").isSilent);
 }
@@ -134,35 +135,35 @@
     return heartbeat;
 }
 
-TEST_F (InstanceTableTest, SequencesStartAnewWithEachIncarnation)
+TEST_F (InstanceTableTest, SequencesRestartWithEachIncarnation)
 {
-    hear (heartbeatOf (1000, 90), kStart);
+    receive (heartbeatOf (1000, 90), kStart);
     m_table.setModels ("i-1", { { "placed", 1, {} } });
     m_table.onUnreachable ("i-1", kStart + base::milliseconds (1));
-    hear (heartbeatOf (2000, 1), kStart + base::milliseconds (2));
+    receive (heartbeatOf (2000, 1), kStart + base::milliseconds (2));
     const cell::RoutableInstance& row = m_table.rows().at ("i-1");
     EXPECT_FALSE (row.isSilent);
     EXPECT_EQ (row.instance.startedAt, 2000);
     ASSERT_EQ (row.instance.models.size(), 1U);
     EXPECT_EQ (row.instance.models[0].model, "m1");
     EXPECT_FALSE (m_table.onHeartbeat (heartbeatOf (1000, 91), kStart));
-    m_table.refresh (m_agreed, kStart + base::milliseconds (3));
+    m_table.refresh (m_replicated, kStart + base::milliseconds (3));
     EXPECT_EQ (m_table.rows().at ("i-1").instance.models[0].model, "m1");
 }
 
-TEST_F (InstanceTableTest, AnEarlierIncarnationIsNoSignOfLife)
+TEST_F (InstanceTableTest, HeartbeatOfAnEarlierIncarnationDoesNotEndSilence)
 {
-    hear (heartbeatOf (2000, 1), kStart);
+    receive (heartbeatOf (2000, 1), kStart);
     cell::InstanceSighting late;
     late.instance = "i-1";
     late.sequence = 91;
     late.startedAt = 1000;
     m_table.onHeard (late, kStart + kSilence);
-    m_table.refresh (m_agreed, kStart + kSilence);
+    m_table.refresh (m_replicated, kStart + kSilence);
     EXPECT_TRUE (m_table.rows().at ("i-1").isSilent);
     late.startedAt = 2000;
     m_table.onHeard (late, kStart + kSilence);
-    m_table.refresh (m_agreed, kStart + kSilence);
+    m_table.refresh (m_replicated, kStart + kSilence);
     EXPECT_FALSE (m_table.rows().at ("i-1").isSilent);
 }
 
--- a/src/controller/RelayPartsTest.cpp
+++ b/src/controller/RelayPartsTest.cpp
@@ -1,4 +1,4 @@
-// InstanceMirror, EngineDemandSum and HeartbeatBatch.
+// Tests of InstanceMirror, EngineDemandSum and HeartbeatBatch.
 
 #include <gtest/gtest.h>
 
@@ -36,12 +36,12 @@
     return update;
 }
 
-TEST (InstanceMirror, TellsWhatChangedSinceAVersionOfTheLeader)
+TEST (InstanceMirror, ReturnsChangesSinceAVersionOfTheLeader)
 {
-    InstanceMirror mirror;
-    ASSERT_TRUE (mirror.apply (change (0, 4, { "a", "b" })));
-    ASSERT_TRUE (mirror.apply (change (4, 6, { "c" }, { "a" })));
-    const cell::InstanceUpdate since = mirror.updateSince (4);
+    InstanceMirror table;
+    ASSERT_TRUE (table.apply (change (0, 4, { "a", "b" })));
+    ASSERT_TRUE (table.apply (change (4, 6, { "c" }, { "a" })));
+    const cell::InstanceUpdate since = table.updateSince (4);
     EXPECT_EQ (since.fromVersion, 4U);
     EXPECT_EQ (since.toVersion, 6U);
     ASSERT_EQ (since.upserts.size(), 1U);
@@ -49,35 +49,35 @@
     EXPECT_EQ (since.removals, std::vector<std::string>{ "a" });
 }
 
-TEST (InstanceMirror, TellsTheWholeTableWhereChangesAreNotKnown)
+TEST (InstanceMirror, ReturnsTheWholeTableWhenChangesAreNotKnown)
 {
-    InstanceMirror mirror;
-    ASSERT_TRUE (mirror.apply (change (0, 4, { "a", "b" })));
-    const cell::InstanceUpdate whole = mirror.updateSince (3);
+    InstanceMirror table;
+    ASSERT_TRUE (table.apply (change (0, 4, { "a", "b" })));
+    const cell::InstanceUpdate whole = table.updateSince (3);
     EXPECT_EQ (whole.fromVersion, 0U);
     EXPECT_EQ (whole.upserts.size(), 2U);
 }
 
-TEST (InstanceMirror, AGapDoesNotFit)
+TEST (InstanceMirror, RejectsAnUpdateAfterAGap)
 {
-    InstanceMirror mirror;
-    ASSERT_TRUE (mirror.apply (change (0, 4, { "a" })));
-    EXPECT_FALSE (mirror.apply (change (5, 6, { "b" })));
-    EXPECT_EQ (mirror.version(), 4U);
+    InstanceMirror table;
+    ASSERT_TRUE (table.apply (change (0, 4, { "a" })));
+    EXPECT_FALSE (table.apply (change (5, 6, { "b" })));
+    EXPECT_EQ (table.version(), 4U);
 }
 
-TEST (InstanceMirror, RoutersMustHaveTheLastTableThatHadToBeConfirmed)
+TEST (InstanceMirror, RequiresTheLastVersionThatMustBeConfirmed)
 {
-    InstanceMirror mirror;
-    ASSERT_TRUE (mirror.apply (change (0, 4, { "a" })));
-    EXPECT_EQ (mirror.requiredVersion(), 0U);
+    InstanceMirror table;
+    ASSERT_TRUE (table.apply (change (0, 4, { "a" })));
+    EXPECT_EQ (table.requiredVersion(), 0U);
     cell::InstanceUpdate drain = change (4, 5, { "a" });
     drain.mustConfirm = true;
-    ASSERT_TRUE (mirror.apply (drain));
-    ASSERT_TRUE (mirror.apply (change (5, 9, { "b" })));
-    EXPECT_EQ (mirror.requiredVersion(), 5U);
-    EXPECT_TRUE (mirror.updateSince (4).mustConfirm);
-    EXPECT_FALSE (mirror.updateSince (5).mustConfirm);
+    ASSERT_TRUE (table.apply (drain));
+    ASSERT_TRUE (table.apply (change (5, 9, { "b" })));
+    EXPECT_EQ (table.requiredVersion(), 5U);
+    EXPECT_TRUE (table.updateSince (4).mustConfirm);
+    EXPECT_FALSE (table.updateSince (5).mustConfirm);
 }
 
 TEST (EngineDemandSum, AddsUpRoutersAndKeepsArrivals)
@@ -90,7 +90,7 @@
     EXPECT_EQ (due[0], (cell::EngineDemand{ "llm", "m", "", 1, 6, 8, 3, 1200 }));
 }
 
-TEST (EngineDemandSum, ARouterThatLeavesTakesItsDemandAlong)
+TEST (EngineDemandSum, RemovesTheDemandOfADisconnectedRouter)
 {
     EngineDemandSum sum;
     sum.onReport (1, { { "llm", "m", "", 0, 2, 0, 0 } });
@@ -102,7 +102,7 @@
     EXPECT_TRUE (sum.takeDue (at (600)).empty());
 }
 
-TEST (EngineDemandSum, ARequestThatBeginsToWaitDoesNotWaitForTheNextReport)
+TEST (EngineDemandSum, ReportsNewlyWaitingRequestsWithoutTheRegularDelay)
 {
     EngineDemandSum sum;
     sum.onReport (1, { { "llm", "m", "", 0, 2, 0, 0 } });
@@ -122,12 +122,13 @@
     return beat;
 }
 
-/// Of how many runners a new leader is told the holdings, each of which is heard every two seconds.
-std::size_t toldToNewLeader (std::size_t runners, int milliseconds)
+/// Returns the number of runners whose held models are sent to a new leader within the given time,
+/// with a heartbeat of each runner every two seconds.
+std::size_t holdingsSentToNewLeader (std::size_t runners, int milliseconds)
 {
     HeartbeatBatch batch;
-    std::size_t told = 0;
-    const auto hearAll = [&] (std::uint64_t sequence, int from)
+    std::size_t sent = 0;
+    const auto receiveAll = [&] (std::uint64_t sequence, int from)
     {
         constexpr int kInterval = 2000;
         for (int time = 0; time < kInterval; time += 10)
@@ -139,24 +140,24 @@
                 batch.add (beat, true, at (from + time));
             }
             for (const cell::InstanceSighting& sighting : batch.takeDue (at (from + time)))
-                told +=
+                sent +=
                     sighting.hasHoldings && from >= 10'000 && from + time < 10'000 + milliseconds;
         }
     };
-    hearAll (1, 0);
+    receiveAll (1, 0);
     batch.tellAll();
-    hearAll (2, 10'000);
-    return told;
+    receiveAll (2, 10'000);
+    return sent;
 }
 
-TEST (HeartbeatBatch, ANewLeaderIsToldOfAFewRunnersAtATime)
+TEST (HeartbeatBatch, SendsHeldModelsToANewLeaderAtALimitedRate)
 {
-    EXPECT_EQ (toldToNewLeader (40, 2000), 40U) << "in a small cell of all of them";
-    EXPECT_LE (toldToNewLeader (700, 1000), 250U);
-    EXPECT_GE (toldToNewLeader (700, 2000), 150U);
+    EXPECT_EQ (holdingsSentToNewLeader (40, 2000), 40U) << "a small cell sends all of them";
+    EXPECT_LE (holdingsSentToNewLeader (700, 1000), 250U);
+    EXPECT_GE (holdingsSentToNewLeader (700, 2000), 150U);
 }
 
-TEST (HeartbeatBatch, HoldingsAreToldAtOnceWhenTheyChangeAndElseOnlyThatItLives)
+TEST (HeartbeatBatch, SendsHeldModelsOnlyWhenTheyChange)
 {
     HeartbeatBatch batch;
     batch.add (heartbeat (1, "m1"), true, at (0));
@@ -170,14 +171,14 @@
     EXPECT_FALSE (second[0].hasHoldings);
     EXPECT_EQ (second[0].sequence, 2U);
     batch.add (heartbeat (3, "m2"), true, at (310));
-    // News of many within a moment goes out together.
+    // Changes within the urgent interval are sent together.
     EXPECT_TRUE (batch.takeDue (at (310)).empty());
     const auto third = batch.takeDue (at (325));
     ASSERT_EQ (third.size(), 1U);
     EXPECT_EQ (third[0].models[0].model, "m2");
 }
 
-TEST (HeartbeatBatch, AnInstanceThatTheCellDoesNotKnowIsToldWholeEachTime)
+TEST (HeartbeatBatch, SendsTheCompleteInstanceUntilTheCellHasRegisteredIt)
 {
     HeartbeatBatch batch;
     for (const std::uint64_t sequence : { 1U, 2U })
@@ -191,7 +192,7 @@
     }
 }
 
-TEST (HeartbeatBatch, HoldingsThatAreOnlyToldAgainDoNotHurry)
+TEST (HeartbeatBatch, RepeatedHeldModelsWaitForTheRegularInterval)
 {
     HeartbeatBatch batch;
     batch.add (heartbeat (1, "m1"), true, at (0));
@@ -205,27 +206,28 @@
     EXPECT_TRUE (due[0].hasHoldings);
 }
 
-TEST (HeartbeatBatch, RepeatsOfManyRunnersArePaced)
+TEST (HeartbeatBatch, LimitsTheRateOfRepeatsForManyRunners)
 {
     constexpr int kRunners = 400;
     constexpr int kSeconds = 24;
     HeartbeatBatch batch;
-    std::size_t told = 0;
-    // Each beats every 1.2 s; all are told at once in the first round.
+    std::size_t sent = 0;
+    // Each runner sends a heartbeat every 1.2 s; the first ones are all sent on as changes.
     for (int now = 0; now < kSeconds * 1000; now += 3)
     {
         InstanceHeartbeat beat = heartbeat (static_cast<std::uint64_t> (now / 1200 + 1), "m1");
         beat.instance.id = "i-" + std::to_string (now / 3 % kRunners);
         batch.add (beat, true, at (now));
         for (const cell::InstanceSighting& sighting : batch.takeDue (at (now)))
-            told += sighting.hasHoldings ? 1 : 0;
+            sent += sighting.hasHoldings ? 1 : 0;
     }
-    const std::size_t repeats = told - kRunners;
-    EXPECT_GE (repeats, kRunners) << "each is told again within 24 s";
-    EXPECT_LE (repeats, 60 * kSeconds) << "133 a second where each is repeated after 2.5 s";
+    const std::size_t repeats = sent - kRunners;
+    EXPECT_GE (repeats, kRunners) << "each runner is repeated within 24 s";
+    EXPECT_LE (repeats, 60 * kSeconds)
+        << "a fixed interval of 2.5 s would cause 133 repeats per second";
 }
 
-TEST (HeartbeatBatch, ALateHeartbeatDoesNotReplaceANewerOne)
+TEST (HeartbeatBatch, LateHeartbeatDoesNotReplaceANewerOne)
 {
     HeartbeatBatch batch;
     batch.add (heartbeat (5, "m2"), true, at (0));
@@ -236,7 +238,7 @@
     EXPECT_EQ (due[0].models[0].model, "m2");
 }
 
-TEST (HeartbeatBatch, ALaterIncarnationReplacesAnEarlierOneWhateverItsSequence)
+TEST (HeartbeatBatch, LaterIncarnationReplacesAnEarlierOneRegardlessOfSequence)
 {
     HeartbeatBatch batch;
     InstanceHeartbeat earlier = heartbeat (90, "m2");
--- a/src/controller/TableVersions.h
+++ b/src/controller/TableVersions.h
@@ -1,12 +1,13 @@
 #pragma once
 
 /**
- * Versions of the table of instances, which goes on when the leader changes.
+ * Versions of the table of instances, which is continued when the leader changes.
  *
- * A new leader takes over the table that it was sent as a controller that does not lead, with its
- * versions, so that routers and controllers go on with what they hold and get what changed. The
- * earlier leader may have sent later versions to others. Those never meet the versions of the new
- * one, since each leader counts from its term on, and who holds one of them needs the whole table.
+ * A new leader continues the relay copy of the table that it held before, with its versions, so
+ * that routers and controllers keep their tables and are sent changes only. The earlier leader may
+ * have sent later versions to others. Those never coincide with versions of the new leader, since
+ * each leader counts from a number that its term determines. A receiver that holds such a version
+ * needs the whole table.
  */
 
 #include <cstdint>
@@ -16,40 +17,42 @@
 namespace fernlift::controller
 {
 
-constexpr unsigned kBitsOfLeadersVersions = 32;
+constexpr unsigned kVersionBitsPerTerm = 32;
 
-/** The first version of the leader of that term. */
+/** Returns the first version of the leader of that term. */
 [[nodiscard]] constexpr std::uint64_t firstVersionOf (base::Term term)
 {
-    return term << kBitsOfLeadersVersions;
+    return term << kVersionBitsPerTerm;
 }
 
-/** Term of the leader that gave the version. */
-[[nodiscard]] constexpr base::Term leaderOf (std::uint64_t version)
+/** Returns the term of the leader that assigned the version. */
+[[nodiscard]] constexpr base::Term termOf (std::uint64_t version)
 {
-    return version >> kBitsOfLeadersVersions;
+    return version >> kVersionBitsPerTerm;
 }
 
-/** The versions from which a table has been followed without a gap up to the present one. Pure. */
+/** Set of the versions since which all changes up to the current version are known. Pure. */
 class TableVersions
 {
 public:
-    /** The whole table came, or begins, in this version. */
+    /** Starts with a whole table of this version. */
     void restart (std::uint64_t version)
     {
         m_first = version;
         m_gapBegin = m_gapEnd = 0;
     }
-    /** After `last` comes a version of another leader; what lies between is not known here. */
-    void passTo (std::uint64_t last, base::Term leader)
+    /** Continues with the versions of another leader after `last`. Versions between `last` and the
+        first one of the new leader are not known here.
+    */
+    void continueUnderLeader (std::uint64_t last, base::Term leader)
     {
-        // One gap is remembered: changes before an earlier one are not told any more.
+        // Only one gap is stored: versions before an earlier gap are dropped.
         if (m_gapEnd != 0)
             m_first = m_gapEnd;
         m_gapBegin = last;
         m_gapEnd = firstVersionOf (leader);
     }
-    /** Whether changes since this version are known; not for versions above the present one. */
+    /** Whether the changes since this version are known. Not for versions above the current one. */
     [[nodiscard]] bool contains (std::uint64_t version) const
     {
         const bool isInGap = m_gapBegin < version && version < m_gapEnd;
@@ -59,7 +62,7 @@
 private:
     std::uint64_t m_first = 1;
     std::uint64_t m_gapBegin = 0;
-    std::uint64_t m_gapEnd = 0;  ///< 0: there is none.
+    std::uint64_t m_gapEnd = 0;  ///< 0: no gap.
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/TableVersionsTest.cpp
+++ b/src/controller/TableVersionsTest.cpp
@@ -21,19 +21,20 @@
 {
     TableVersions versions;
     versions.restart (firstVersionOf (2));
-    versions.passTo (firstVersionOf (2) + 7, 4);
+    versions.continueUnderLeader (firstVersionOf (2) + 7, 4);
     EXPECT_TRUE (versions.contains (firstVersionOf (2) + 7));
     EXPECT_FALSE (versions.contains (firstVersionOf (2) + 8));
-    EXPECT_FALSE (versions.contains (firstVersionOf (3) + 1)) << "of a leader not heard of";
+    EXPECT_FALSE (versions.contains (firstVersionOf (3) + 1))
+        << "version of a leader in between, which sent nothing to this member";
     EXPECT_TRUE (versions.contains (firstVersionOf (4)));
 }
 
-TEST (TableVersionsTest, AfterTwoLeadersOnlyVersionsSinceTheFirstOfThemAreKnown)
+TEST (TableVersionsTest, AfterTwoChangesOfLeaderOnlyVersionsSinceTheFirstChangeAreKnown)
 {
     TableVersions versions;
     versions.restart (firstVersionOf (2));
-    versions.passTo (firstVersionOf (2) + 7, 4);
-    versions.passTo (firstVersionOf (4) + 3, 5);
+    versions.continueUnderLeader (firstVersionOf (2) + 7, 4);
+    versions.continueUnderLeader (firstVersionOf (4) + 3, 5);
     EXPECT_FALSE (versions.contains (firstVersionOf (2) + 7));
     EXPECT_TRUE (versions.contains (firstVersionOf (4) + 3));
     EXPECT_FALSE (versions.contains (firstVersionOf (4) + 4));
--- a/src/controller/VersionIndex.cpp
+++ b/src/controller/VersionIndex.cpp
@@ -3,7 +3,7 @@
 namespace fernlift::controller
 {
 
-void VersionIndex::note (const std::string& id, std::uint64_t version)
+void VersionIndex::record (const std::string& id, std::uint64_t version)
 {
     const auto [item, isNew] = m_versions.try_emplace (id, version);
     if (! isNew)
--- a/src/controller/VersionIndex.h
+++ b/src/controller/VersionIndex.h
@@ -1,10 +1,10 @@
 #pragma once
 
 /**
- * Ids in the order of the versions in which they last changed.
+ * Index of ids by the version in which they last changed.
  *
- * A table that goes out by its changes asks for those since a version; here that takes time in
- * proportion to their number, not to the rows of the table.
+ * A table that is sent as changes looks up the changes since a version. With this index, the lookup
+ * takes time in proportion to the number of changes and not to the number of rows.
  */
 
 #include <cstddef>
@@ -20,7 +20,7 @@
 namespace fernlift::controller
 {
 
-/** Pure. Threading: none. Moved, never copied: the order points to the ids. */
+/** Pure. Threading: none. Movable but not copyable: `m_order` refers to keys of `m_versions`. */
 class VersionIndex
 {
 public:
@@ -31,18 +31,18 @@
     VersionIndex& operator= (const VersionIndex&) = delete;
     ~VersionIndex() = default;
 
-    /** The id changed in this version, and not since. */
-    void note (const std::string& id, std::uint64_t version);
+    /** Records that the id last changed in this version. */
+    void record (const std::string& id, std::uint64_t version);
     void forget (const std::string& id);
     void clear();
 
-    /** Calls `visit` with the ids that changed after `version`, the earliest first. */
+    /** Calls `visit` with the ids that changed after `version`, in order of their versions. */
     template <class Visit>
     void visitSince (std::uint64_t version, const Visit& visit) const
     {
         visitBetween (version, std::numeric_limits<std::uint64_t>::max(), visit);
     }
-    /** The same for those that changed no later than in `last`. */
+    /** As visitSince(), for changes after `version` and up to version `last`. */
     template <class Visit>
     void visitBetween (std::uint64_t version, std::uint64_t last, const Visit& visit) const
     {
@@ -50,8 +50,9 @@
              item != m_order.end() && item->first <= last; ++item)
             visit (std::string (item->second));
     }
-    /** Version of the change that is the `count`th after `version`, from 1; none: there are fewer.
-     */
+    /** Returns the version of the `count`th change after `version`, counted from 1; none when there
+        are fewer.
+    */
     [[nodiscard]] std::optional<std::uint64_t> versionOfChange (std::uint64_t version,
                                                                 std::size_t count) const;
 
--- a/src/controller/VersionIndexTest.cpp
+++ b/src/controller/VersionIndexTest.cpp
@@ -16,23 +16,23 @@
     return ids;
 }
 
-TEST (VersionIndexTest, IdsComeInTheOrderOfTheirLastChange)
+TEST (VersionIndexTest, VisitsIdsInTheOrderOfTheirLastChange)
 {
     VersionIndex index;
-    index.note ("a", 1);
-    index.note ("b", 2);
-    index.note ("c", 2);
-    index.note ("a", 3);
+    index.record ("a", 1);
+    index.record ("b", 2);
+    index.record ("c", 2);
+    index.record ("a", 3);
     EXPECT_EQ (since (index, 0), (std::vector<std::string>{ "b", "c", "a" }));
     EXPECT_EQ (since (index, 2), std::vector<std::string>{ "a" });
     EXPECT_TRUE (since (index, 3).empty());
 }
 
-TEST (VersionIndexTest, WhatIsForgottenDoesNotCome)
+TEST (VersionIndexTest, DoesNotVisitForgottenIds)
 {
     VersionIndex index;
-    index.note ("a", 1);
-    index.note ("b", 2);
+    index.record ("a", 1);
+    index.record ("b", 2);
     index.forget ("a");
     index.forget ("unknown");
     EXPECT_EQ (since (index, 0), std::vector<std::string>{ "b" });
@@ -40,12 +40,12 @@
     EXPECT_TRUE (since (index, 0).empty());
 }
 
-TEST (VersionIndexTest, ChangesAreVisitedInPieces)
+TEST (VersionIndexTest, VisitsChangesInRanges)
 {
     VersionIndex index;
-    index.note ("a", 2);
-    index.note ("b", 4);
-    index.note ("c", 7);
+    index.record ("a", 2);
+    index.record ("b", 4);
+    index.record ("c", 7);
     EXPECT_EQ (index.versionOfChange (0, 2), 4U);
     EXPECT_EQ (index.versionOfChange (2, 2), 7U);
     EXPECT_FALSE (index.versionOfChange (4, 2));
