--- a/src/controller/ClaimBatcher.h
+++ b/src/controller/ClaimBatcher.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Gathers the claims and outcomes of all routers into few log entries (group commit).
+/// Combines the claims and outcomes of all routers into few log entries (group commit).
 
 #include <cstdint>
 #include <map>
@@ -17,32 +17,32 @@
 /// Identifies a connection of a router, as in ControllerCore.h.
 using ClaimSource = std::uint64_t;
 
-/// A reply that is due to a router.
+/// A reply to be sent to a router.
 struct DueClaimReply
 {
     ClaimSource source = 0;
     cell::ClaimReply reply;
 };
 
-/// Commands that wait while others are being committed are committed together next.
+/// Claims and outcomes that arrive while earlier batches are being committed form the next batch.
 class ClaimBatcher
 {
 public:
-    /// Batches that may be in the log, not yet committed, at the same time.
+    /// Maximum number of batches that are in the log and not yet committed.
     static constexpr std::size_t kMaximumBatchesInFlight = 4;
     static constexpr std::size_t kMaximumClaimsPerBatch = 2000;
-    /// Claims that may wait for a batch; further ones are refused.
+    /// Maximum number of claims that wait for a batch; further ones are refused.
     static constexpr std::size_t kMaximumWaitingClaims = 50'000;
 
-    /// Takes the claims, or returns the reply that refuses them because too many wait.
+    /// Queues the claims, or returns the reply that refuses them because too many are waiting.
     std::optional<cell::ClaimReply> add (ClaimSource source, const cell::ClaimRequest& request);
     void add (const cell::OutcomeReport& report);
 
-    /// The next batch of claims to propose, unless nothing waits or enough is in flight. `batch`
-    /// receives its number for onCommitted.
+    /// Returns the next batch of claims to propose, unless no claims wait or the maximum number of
+    /// batches is in flight. Stores the number of the batch, for onCommitted(), in `batch`.
     [[nodiscard]] std::optional<cell::ClaimKeys> takeClaims (std::uint64_t* batch);
     [[nodiscard]] std::optional<cell::RecordOutcomes> takeOutcomes();
-    /// Matches the answers of a committed batch to the requests in it.
+    /// Splits the answers of a committed batch into one reply for each request in it.
     [[nodiscard]] std::vector<DueClaimReply> onCommitted (std::uint64_t batch,
                                                           const cell::ClaimResult& result);
 
--- a/src/controller/ClaimBatcherTest.cpp
+++ b/src/controller/ClaimBatcherTest.cpp
@@ -23,7 +23,7 @@
     return request;
 }
 
-TEST (ClaimBatcherTest, OneEntryHoldsTheClaimsOfAllRouters)
+TEST (ClaimBatcherTest, CombinesClaimsOfAllRoutersIntoOneEntry)
 {
     ClaimBatcher batcher;
     EXPECT_FALSE (batcher.add (1, requestOf (10, 2)));
@@ -46,7 +46,7 @@
     EXPECT_TRUE (batcher.onCommitted (batch, result).empty());
 }
 
-TEST (ClaimBatcherTest, GathersWhileBatchesAreInFlight)
+TEST (ClaimBatcherTest, QueuesClaimsWhileTheMaximumNumberOfBatchesIsInFlight)
 {
     ClaimBatcher batcher;
     std::uint64_t batch = 0;
@@ -62,7 +62,7 @@
     EXPECT_EQ (batcher.takeClaims (&batch)->claims.size(), 2U);
 }
 
-TEST (ClaimBatcherTest, RefusesWhatItCannotHold)
+TEST (ClaimBatcherTest, RefusesClaimsWhenTheQueueIsFull)
 {
     ClaimBatcher batcher;
     batcher.add (1, requestOf (1, ClaimBatcher::kMaximumWaitingClaims));
--- a/src/controller/CreditShare.cpp
+++ b/src/controller/CreditShare.cpp
@@ -7,7 +7,8 @@
 namespace
 {
 
-/// Equal parts of the slots; the first ranks share what division leaves over. At least one.
+/// Returns an equal part of the slots, at least one. The first ranks get the remainder of the
+/// division.
 std::uint32_t partOf (std::uint32_t slots, std::uint32_t parts, std::uint32_t rank)
 {
     const std::uint32_t extra = rank < slots % parts ? 1 : 0;
--- a/src/controller/CreditShare.h
+++ b/src/controller/CreditShare.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Shares the slots of runners among the routers that ask for the targets on them.
+/// Divides the slots of runners among the routers that have demand for the targets on them.
 
 #include <cstdint>
 #include <map>
@@ -15,10 +15,11 @@
 namespace fernlift::controller
 {
 
-/// Who asks for what on each runner. A pair is one source together with one replica that it asks
-/// for; the pairs of a runner share its slots, so that their credits add up to the slots, or to one
-/// each when there are more pairs than slots. A source that asks for nothing on a runner holds one
-/// credit there, enough to begin with: it is counted as soon as it states its demand.
+/// Computes the credits of each source for each replica. A pair is one source and one replica for
+/// which it has demand. The pairs of a runner share its slots: their credits add up to the number
+/// of slots, or are one each when there are more pairs than slots. A source without demand on a
+/// runner holds one credit there, which lets it send its first request; it gets a share as soon as
+/// it reports its demand.
 class CreditShare
 {
 public:
@@ -42,7 +43,7 @@
     };
     struct Runner
     {
-        std::map<Pair, std::uint32_t> ranks;  ///< Of the asking pairs.
+        std::map<Pair, std::uint32_t> ranks;  ///< Rank of each pair with demand.
         std::uint32_t replicas = 0;
     };
 
--- a/src/controller/CreditShareTest.cpp
+++ b/src/controller/CreditShareTest.cpp
@@ -19,7 +19,7 @@
     return replica;
 }
 
-void ask (DemandTable& demands, DemandSource source, const std::string& target)
+void addDemand (DemandTable& demands, DemandSource source, const std::string& target)
 {
     cell::Demand demand;
     demand.target = target;
@@ -27,7 +27,7 @@
     demands.report (source, { { demand } }, base::TimePoint{});
 }
 
-RC_GTEST_PROP (CreditSharePropertyTest, CreditsOfAskersAddUpToTheSlots, ())
+RC_GTEST_PROP (CreditSharePropertyTest, CreditsOfSourcesWithDemandAddUpToTheSlots, ())
 {
     const auto slots = *rc::gen::inRange<std::uint32_t> (1, 40);
     const auto sources = *rc::gen::inRange<DemandSource> (1, 12);
@@ -46,7 +46,7 @@
         {
             if (! asks[source * targets.size() + target])
                 continue;
-            ask (demands, source, targets[target]);
+            addDemand (demands, source, targets[target]);
             ++pairs;
         }
     }
@@ -66,10 +66,10 @@
         RC_ASSERT (sum == std::max (slots, pairs));
 }
 
-TEST (CreditShareTest, OnlyAskerGetsEverySlot)
+TEST (CreditShareTest, OnlySourceWithDemandGetsEverySlot)
 {
     DemandTable demands;
-    ask (demands, 1, "a");
+    addDemand (demands, 1, "a");
     const CreditShare share ({ replicaOf ("a", "r", 8), replicaOf ("b", "r", 8) }, demands, 5);
     EXPECT_EQ (share.creditsFor (1, replicaOf ("a", "r", 8)), 8U);
     EXPECT_EQ (share.creditsFor (2, replicaOf ("a", "r", 8)), 1U);
@@ -78,8 +78,8 @@
 TEST (CreditShareTest, TargetsOnOneRunnerShareItsSlots)
 {
     DemandTable demands;
-    ask (demands, 1, "a");
-    ask (demands, 2, "b");
+    addDemand (demands, 1, "a");
+    addDemand (demands, 2, "b");
     const std::vector replicas = { replicaOf ("a", "r", 8), replicaOf ("b", "r", 8),
                                    replicaOf ("a", "s", 8) };
     const CreditShare share (replicas, demands, 2);
--- a/src/controller/DemandTable.cpp
+++ b/src/controller/DemandTable.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/// Routers send demand again while it lasts; an older statement no longer holds.
-constexpr base::Duration kStatementLifetime = base::seconds (30);
+/// Routers repeat their demand while it lasts; an older report is no longer valid.
+constexpr base::Duration kReportLifetime = base::seconds (30);
 
 void add (const cell::Demand& demand, placement::TargetDemand& total)
 {
@@ -36,82 +36,82 @@
     {
         if (demand.waiting == 0 && demand.running == 0)
         {
-            const auto found = m_statements.find (demand.target);
-            if (found == m_statements.end())
+            const auto found = m_demands.find (demand.target);
+            if (found == m_demands.end())
                 continue;
             found->second.erase (source);
             if (found->second.empty())
-                m_statements.erase (found);
+                m_demands.erase (found);
         }
-        else if (m_statements.size() < kMaximumTargets || m_statements.count (demand.target) != 0)
+        else if (m_demands.size() < kMaximumTargets || m_demands.count (demand.target) != 0)
         {
-            Statement& statement = m_statements[demand.target][source];
-            // Running requests are as urgent as they were while they waited.
-            const int formerUrgency = statement.demand.mostUrgent;
-            statement = Statement{ demand, now };
+            SourceDemand& sourceDemand = m_demands[demand.target][source];
+            // Running requests keep the urgency that they had while waiting.
+            const int formerUrgency = sourceDemand.demand.mostUrgent;
+            sourceDemand = SourceDemand{ demand, now };
             if (demand.waiting == 0)
-                statement.demand.mostUrgent = formerUrgency;
+                sourceDemand.demand.mostUrgent = formerUrgency;
         }
     }
 }
 
 void DemandTable::forget (DemandSource source)
 {
-    for (auto& [target, sources] : m_statements)
+    for (auto& [target, sources] : m_demands)
         sources.erase (source);
-    std::erase_if (m_statements, [] (const auto& entry) { return entry.second.empty(); });
+    std::erase_if (m_demands, [] (const auto& entry) { return entry.second.empty(); });
 }
 
 void DemandTable::expire (base::TimePoint now)
 {
-    for (auto& [target, sources] : m_statements)
+    for (auto& [target, sources] : m_demands)
     {
         std::erase_if (sources, [&] (const auto& entry)
-                       { return now - entry.second.statedAt > kStatementLifetime; });
+                       { return now - entry.second.reportedAt > kReportLifetime; });
     }
-    std::erase_if (m_statements, [] (const auto& entry) { return entry.second.empty(); });
+    std::erase_if (m_demands, [] (const auto& entry) { return entry.second.empty(); });
 }
 
 placement::TargetDemand DemandTable::total (const std::string& target) const
 {
     placement::TargetDemand total;
-    const auto found = m_statements.find (target);
-    if (found == m_statements.end())
+    const auto found = m_demands.find (target);
+    if (found == m_demands.end())
         return total;
-    for (const auto& [source, statement] : found->second)
-        add (statement.demand, total);
+    for (const auto& [source, sourceDemand] : found->second)
+        add (sourceDemand.demand, total);
     return total;
 }
 
 std::map<std::string, placement::TargetDemand> DemandTable::totals() const
 {
     std::map<std::string, placement::TargetDemand> totals;
-    for (const auto& [target, sources] : m_statements)
+    for (const auto& [target, sources] : m_demands)
         totals[target] = total (target);
     return totals;
 }
 
 std::uint32_t DemandTable::askers (const std::string& target) const
 {
-    const auto found = m_statements.find (target);
-    return found == m_statements.end() ? 0 : static_cast<std::uint32_t> (found->second.size());
+    const auto found = m_demands.find (target);
+    return found == m_demands.end() ? 0 : static_cast<std::uint32_t> (found->second.size());
 }
 
 std::vector<DemandSource> DemandTable::sourcesOf (const std::string& target) const
 {
     std::vector<DemandSource> sources;
-    const auto found = m_statements.find (target);
-    if (found == m_statements.end())
+    const auto found = m_demands.find (target);
+    if (found == m_demands.end())
         return sources;
-    for (const auto& [source, statement] : found->second)
+    for (const auto& [source, sourceDemand] : found->second)
         sources.push_back (source);
     return sources;
 }
 
 bool DemandTable::asks (DemandSource source, const std::string& target) const
 {
-    const auto found = m_statements.find (target);
-    return found != m_statements.end() && found->second.count (source) != 0;
+    const auto found = m_demands.find (target);
+    return found != m_demands.end() && found->second.count (source) != 0;
 }
 
 }  // namespace fernlift::controller
--- a/src/controller/DemandTable.h
+++ b/src/controller/DemandTable.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Requests that wait and run at the routers, added up by target.
+/// Waiting and running requests that the routers reported, added up by target.
 
 #include <cstdint>
 #include <map>
@@ -23,28 +23,29 @@
     /// Demand for further targets is ignored.
     static constexpr std::size_t kMaximumTargets = 20'000;
 
-    /// Takes a report; later reports of a source replace what it said of the same targets.
+    /// Applies a report. A later report of the same source replaces the demand for the targets that
+    /// it names.
     void report (DemandSource source, const cell::DemandReport& report, base::TimePoint now);
     void forget (DemandSource source);
-    /// Drops statements that were not renewed for long.
+    /// Removes demand that its source has not reported again for 30 s.
     void expire (base::TimePoint now);
 
-    /// Sum over all sources.
+    /// Returns the sum over all sources.
     [[nodiscard]] placement::TargetDemand total (const std::string& target) const;
     [[nodiscard]] std::map<std::string, placement::TargetDemand> totals() const;
-    /// Sources with waiting or running requests for a target.
+    /// Returns the number of sources with waiting or running requests for a target.
     [[nodiscard]] std::uint32_t askers (const std::string& target) const;
     [[nodiscard]] std::vector<DemandSource> sourcesOf (const std::string& target) const;
     [[nodiscard]] bool asks (DemandSource source, const std::string& target) const;
 
 private:
-    struct Statement
+    struct SourceDemand
     {
         cell::Demand demand;
-        base::TimePoint statedAt{};
+        base::TimePoint reportedAt{};
     };
 
-    std::map<std::string, std::map<DemandSource, Statement>> m_statements;
+    std::map<std::string, std::map<DemandSource, SourceDemand>> m_demands;
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/DemandTableTest.cpp
+++ b/src/controller/DemandTableTest.cpp
@@ -29,7 +29,7 @@
     base::TimePoint m_now{ base::seconds (1) };
 };
 
-TEST_F (DemandTableTest, AddsUpSourcesAndReplacesWhatEachSaid)
+TEST_F (DemandTableTest, AddsUpSourcesAndReplacesEarlierReports)
 {
     report (1, demandOf ("a", 3, 1, 5));
     report (2, demandOf ("a", 2, 0, 1));
@@ -41,7 +41,7 @@
     EXPECT_EQ (m_table.sourcesOf ("a"), (std::vector<DemandSource>{ 1, 2 }));
 }
 
-TEST_F (DemandTableTest, EndsWithAStatementOfNoneWithTheSourceOrWithTime)
+TEST_F (DemandTableTest, RemovesDemandOnEmptyReportRemovedSourceOrExpiry)
 {
     report (1, demandOf ("a", 1, 0));
     report (1, demandOf ("a", 0, 0));
@@ -55,7 +55,7 @@
     EXPECT_TRUE (m_table.totals().empty());
 }
 
-TEST_F (DemandTableTest, RunningRequestsKeepTheUrgencyTheyWaitedWith)
+TEST_F (DemandTableTest, RunningRequestsKeepTheirWaitingUrgency)
 {
     report (1, demandOf ("a", 1, 0, 0));
     report (1, demandOf ("a", 0, 1));
--- a/src/controller/LoadEstimates.cpp
+++ b/src/controller/LoadEstimates.cpp
@@ -11,14 +11,14 @@
 namespace
 {
 
-/// Loads whose pace is averaged.
+/// Number of latest loads from which the median is taken.
 constexpr std::size_t kLoadsConsidered = 9;
-/// A load that has overrun its expected time is given this share of its age again.
-constexpr int kOverrunShare = 2;
-/// An estimate is stated again when it moves by more than this, or by more than the share below.
-constexpr base::Duration kRestateAfter = base::milliseconds (250);
-/// One part in this many of the time that is left.
-constexpr int kRestateParts = 4;
+/// A load that exceeds its expected time is expected to take its age divided by this longer.
+constexpr int kOverrunDivisor = 2;
+/// An estimate is sent again when it changes by more than this and by more than the share below.
+constexpr base::Duration kMinResendChange = base::milliseconds (250);
+/// One part in this many of the remaining time.
+constexpr int kResendDivisor = 4;
 
 struct FinishedLoad
 {
@@ -40,7 +40,7 @@
     return loads;
 }
 
-/// Median milliseconds per megabyte of the latest loads of one kind.
+/// Returns the median milliseconds per megabyte of the latest loads of one kind.
 std::optional<double> medianPace (const cell::ReplicaTable& table, bool isAdapter)
 {
     std::vector<FinishedLoad> loads = finishedLoads (table, isAdapter);
@@ -56,7 +56,7 @@
     return loads[loads.size() / 2].millisecondsPerMegabyte;
 }
 
-std::optional<base::Duration> timeAt (std::optional<double> pace, engine::Megabytes memory)
+std::optional<base::Duration> loadDuration (std::optional<double> pace, engine::Megabytes memory)
 {
     if (! pace)
         return std::nullopt;
@@ -119,12 +119,12 @@
         if (! isAwaited)
             continue;
         const std::optional<base::Duration> expected =
-            timeAt (replica.isAdapter() ? adapterPace : modelPace, replica.memory);
+            loadDuration (replica.isAdapter() ? adapterPace : modelPace, replica.memory);
         if (! expected)
             continue;
         const base::Duration age =
             base::milliseconds (std::max<base::UnixMilliseconds> (cellTime - replica.decidedAt, 0));
-        const base::Duration left = *expected > age ? *expected - age : age / kOverrunShare;
+        const base::Duration left = *expected > age ? *expected - age : age / kOverrunDivisor;
         const auto [entry, isNew] =
             estimates.try_emplace (replica.target(), ReadyEstimate{ true, now + left });
         if (! isNew)
@@ -134,16 +134,16 @@
     return estimates;
 }
 
-ReadyEstimates keepStated (const ReadyEstimates& stated, ReadyEstimates fresh, base::TimePoint now)
+ReadyEstimates keepStated (const ReadyEstimates& sent, ReadyEstimates fresh, base::TimePoint now)
 {
     for (auto& [target, estimate] : fresh)
     {
-        const auto known = stated.find (target);
-        if (known == stated.end() || known->second.canBeServed != estimate.canBeServed)
+        const auto known = sent.find (target);
+        if (known == sent.end() || known->second.canBeServed != estimate.canBeServed)
             continue;
         const base::Duration moved = std::chrono::abs (estimate.readyAt - known->second.readyAt);
         const base::Duration left = estimate.readyAt - now;
-        const bool isSame = moved <= std::max (kRestateAfter, left / kRestateParts);
+        const bool isSame = moved <= std::max (kMinResendChange, left / kResendDivisor);
         if (isSame || ! estimate.canBeServed)
             estimate = known->second;
     }
--- a/src/controller/LoadEstimates.h
+++ b/src/controller/LoadEstimates.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// When targets that are being loaded will be ready, and which targets no runner can hold: what
-/// routers need in order to refuse early and to say when to come back.
+/// Estimates when targets that are being loaded will be ready, and finds targets that no runner can
+/// hold. Routers use both to refuse requests early and to state when to retry.
 
 #include <map>
 #include <string>
@@ -14,11 +14,11 @@
 namespace fernlift::controller
 {
 
-/// What the leader expects of one target without a ready replica.
+/// The leader's estimate for one target without a ready replica.
 struct ReadyEstimate
 {
     bool canBeServed = true;
-    base::TimePoint readyAt{};  ///< By the leader's monotonic clock.
+    base::TimePoint readyAt{};  ///< Time on the leader's monotonic clock.
 
     bool operator== (const ReadyEstimate&) const = default;
 };
@@ -26,21 +26,22 @@
 /// Estimates by target name.
 using ReadyEstimates = std::map<std::string, ReadyEstimate>;
 
-/// Estimates for every target that has a loading replica and no ready one, from the median pace by
-/// memory of the latest loads of the same kind (none before the first is ready), and for every
-/// model (with its adapters) that no known runner could hold even if it were empty. `cellTime` and
-/// `now` are the same moment on the clock of the replicated state and on the monotonic clock. No
-/// target is called unservable while no runner is known at all.
+/// Returns estimates for every target that has a loading replica and no ready one, and for every
+/// model (with its adapters) that no known runner could hold even if it were empty. The former
+/// follow from the median load time per megabyte of the latest loads of the same kind; there are
+/// none before the first such load is complete. `cellTime` and `now` are the same moment on the
+/// clock of the replicated state and on the monotonic clock. No target is reported as unservable
+/// while no runner is known.
 [[nodiscard]] ReadyEstimates estimateTargets (const cell::ReplicaTable& table,
                                               const config::Catalogue& catalogue,
                                               base::UnixMilliseconds cellTime, base::TimePoint now);
 
-/// `fresh` with every estimate that differs from `stated` by no more than routers care about
-/// replaced by the stated one, so that a countdown alone is never sent again.
-[[nodiscard]] ReadyEstimates keepStated (const ReadyEstimates& stated, ReadyEstimates fresh,
+/// Returns `fresh`, with each estimate that differs only insignificantly from the one in `sent`
+/// replaced by the latter, so that the passing of time alone causes no further update.
+[[nodiscard]] ReadyEstimates keepStated (const ReadyEstimates& sent, ReadyEstimates fresh,
                                          base::TimePoint now);
 
-/// The wire form; a time in the past becomes zero.
+/// Converts an estimate to its message; a time in the past becomes zero.
 [[nodiscard]] cell::TargetEstimate toMessage (const std::string& target,
                                               const ReadyEstimate& estimate, base::TimePoint now);
 
--- a/src/controller/LoadEstimatesTest.cpp
+++ b/src/controller/LoadEstimatesTest.cpp
@@ -63,14 +63,14 @@
     base::LogIndex m_index = 0;
 };
 
-TEST_F (LoadEstimatesTest, SaysNothingBeforeALoadWasMeasured)
+TEST_F (LoadEstimatesTest, NoEstimateBeforeTheFirstCompletedLoad)
 {
     addRunner (4 * kModelMemory);
     load ("first", kStart);
     EXPECT_TRUE (estimatesAt (kStart).empty());
 }
 
-TEST_F (LoadEstimatesTest, CountsDownFromThePaceOfEarlierLoads)
+TEST_F (LoadEstimatesTest, CountsDownFromTheDurationOfEarlierLoads)
 {
     addRunner (4 * kModelMemory);
     m_table.ready (load ("first", kStart), kStart + 8000);
@@ -109,17 +109,17 @@
     EXPECT_TRUE (estimatesAt (kStart).empty());
 }
 
-TEST_F (LoadEstimatesTest, CountdownAloneIsNotStatedAgain)
+TEST_F (LoadEstimatesTest, CountdownAloneIsNotSentAgain)
 {
-    const ReadyEstimates stated{ { "first", { true, kNow + base::seconds (8) } } };
+    const ReadyEstimates sent{ { "first", { true, kNow + base::seconds (8) } } };
     ReadyEstimates fresh{ { "first",
                             { true, kNow + base::seconds (8) + base::milliseconds (200) } } };
-    EXPECT_EQ (keepStated (stated, fresh, kNow), stated);
+    EXPECT_EQ (keepStated (sent, fresh, kNow), sent);
     fresh.at ("first").readyAt = kNow + base::seconds (20);
-    EXPECT_EQ (keepStated (stated, fresh, kNow), fresh);
+    EXPECT_EQ (keepStated (sent, fresh, kNow), fresh);
 }
 
-TEST_F (LoadEstimatesTest, RouterIsToldOnceAndOfAWithdrawal)
+TEST_F (LoadEstimatesTest, RouterIsSentEachEstimateOnceAndItsWithdrawal)
 {
     RouterSession session;
     const ReadyEstimates estimates{ { "first", { true, kNow + base::seconds (8) } } };
@@ -134,7 +134,7 @@
     EXPECT_EQ (withdrawal->estimates.front().readyInMilliseconds, 0);
 }
 
-TEST_F (LoadEstimatesTest, RoutersOfASharedTableAreToldOnceAndOfAWithdrawal)
+TEST_F (LoadEstimatesTest, RoutersOfASharedTableAreSentEachEstimateOnceAndItsWithdrawal)
 {
     RoutableTable table;
     const ReadyEstimates estimates{ { "first", { true, kNow + base::seconds (8) } } };
--- a/src/controller/QuotaRelay.cpp
+++ b/src/controller/QuotaRelay.cpp
@@ -7,18 +7,20 @@
 namespace
 {
 
-/// Of each limit. With less, an election of a leader holds up more; with more, less can follow
-/// traffic that moves to few routers. Tenants use 0.55 of their limits as a rule.
-constexpr double kPartOfRelays = 0.5;
-/// Of the debt, as that of one controller has to cover a large request of the smallest tenants.
-constexpr double kDebtOfRelays = 0.6;
-/// The leader gets no more than 200 requests a second from each controller. A router waits 2.5 ms
-/// longer on average, beside some 5 ms for the way.
+/// Share of each limit that all relays together grant. A smaller share delays more requests during
+/// an election; a larger one leaves less for traffic that moves to few routers. Tenants usually use
+/// 0.55 of their limits.
+constexpr double kRelayShareOfLimit = 0.5;
+/// Share of the debt. The debt of a single controller must cover a large request of the smallest
+/// tenants.
+constexpr double kRelayShareOfDebt = 0.6;
+/// Limits the leader's load to 200 requests per second from each controller. A router waits 2.5 ms
+/// longer on average, in addition to about 5 ms of transit time.
 constexpr base::Duration kRequestInterval = base::milliseconds (5);
-/// A router that was not answered by then has asked again (150 ms).
+/// A router repeats an unanswered request after 150 ms, so older ones are dropped.
 constexpr base::Duration kLongestWait = base::milliseconds (200);
 
-/// Units that may be used until `until`, added to those of an allowance that end no later.
+/// Adds units with the given lifetime to an allowance; all of its units get the shortest lifetime.
 void add (cell::QuotaAllowance& allowance, std::uint64_t units, base::Duration lifetime)
 {
     const std::int64_t left = std::max<std::int64_t> (base::toMilliseconds (lifetime), 0);
@@ -33,13 +35,13 @@
 quota::QuotaPart partOfRelay (std::size_t granters)
 {
     const auto controllers = static_cast<double> (std::max<std::size_t> (granters, 1));
-    return { kPartOfRelays / controllers, kDebtOfRelays / controllers };
+    return { kRelayShareOfLimit / controllers, kRelayShareOfDebt / controllers };
 }
 
 quota::QuotaPart partOfLeader (std::size_t granters)
 {
     const quota::QuotaPart relay = partOfRelay (granters);
-    return { 1 - kPartOfRelays + relay.limit, 1 - kDebtOfRelays + relay.debt };
+    return { 1 - kRelayShareOfLimit + relay.limit, 1 - kRelayShareOfDebt + relay.debt };
 }
 
 QuotaRelay::QuotaRelay (const quota::QuotaTolerance& tolerance)
@@ -58,19 +60,19 @@
                                                          const cell::QuotaRequest& request,
                                                          base::TimePoint now)
 {
-    Waiting waiting;
-    waiting.router = router;
-    waiting.since = now;
-    waiting.sequence = request.sequence;
+    PendingRequest pending;
+    pending.router = router;
+    pending.since = now;
+    pending.sequence = request.sequence;
     for (const cell::QuotaNeed& need : request.needs)
-        addNeed (waiting, need, now);
-    if (settle (waiting, now))
-        return Answer{ router, grantOf (waiting) };
-    m_waiting.push_back (std::move (waiting));
+        addNeed (pending, need, now);
+    if (resolve (pending, now))
+        return Answer{ router, grantOf (pending) };
+    m_pending.push_back (std::move (pending));
     return std::nullopt;
 }
 
-void QuotaRelay::addNeed (Waiting& waiting, const cell::QuotaNeed& need, base::TimePoint now)
+void QuotaRelay::addNeed (PendingRequest& pending, const cell::QuotaNeed& need, base::TimePoint now)
 {
     Part part;
     part.allowance.account = need.account;
@@ -81,22 +83,22 @@
         else
             part.claims.push_back ({ need.account, units, 0, {}, {} });
     }
-    waiting.parts.push_back (std::move (part));
+    pending.parts.push_back (std::move (part));
 }
 
-bool QuotaRelay::settle (Waiting& waiting, base::TimePoint now)
+bool QuotaRelay::resolve (PendingRequest& pending, base::TimePoint now)
 {
     bool isWhole = true;
-    for (Part& part : waiting.parts)
+    for (Part& part : pending.parts)
     {
         std::erase_if (part.claims,
-                       [&] (quota::QuotaClaim& claim) { return settleClaim (part, claim, now); });
+                       [&] (quota::QuotaClaim& claim) { return resolveClaim (part, claim, now); });
         isWhole = isWhole && part.claims.empty();
     }
     return isWhole;
 }
 
-bool QuotaRelay::settleClaim (Part& part, quota::QuotaClaim& claim, base::TimePoint now)
+bool QuotaRelay::resolveClaim (Part& part, quota::QuotaClaim& claim, base::TimePoint now)
 {
     const quota::QuotaAnswer answer = m_pool.take (claim, now);
     if (answer == quota::QuotaAnswer::kPending)
@@ -108,11 +110,11 @@
     return true;
 }
 
-cell::QuotaGrant QuotaRelay::grantOf (const Waiting& waiting)
+cell::QuotaGrant QuotaRelay::grantOf (const PendingRequest& pending)
 {
     cell::QuotaGrant grant;
-    grant.sequence = waiting.sequence;
-    for (const Part& part : waiting.parts)
+    grant.sequence = pending.sequence;
+    for (const Part& part : pending.parts)
         grant.allowances.push_back (part.allowance);
     return grant;
 }
@@ -121,50 +123,51 @@
                                                      base::TimePoint now)
 {
     m_pool.onGrant (grant);
-    dropOld (now);
+    dropExpired (now);
     std::vector<Answer> answers;
-    for (Waiting& waiting : m_waiting)
+    for (PendingRequest& pending : m_pending)
     {
-        if (! settle (waiting, now))
+        if (! resolve (pending, now))
             continue;
-        answers.push_back ({ waiting.router, grantOf (waiting) });
-        waiting.isAnswered = true;
+        answers.push_back ({ pending.router, grantOf (pending) });
+        pending.isAnswered = true;
     }
-    std::erase_if (m_waiting, [] (const Waiting& waiting) { return waiting.isAnswered; });
+    std::erase_if (m_pending, [] (const PendingRequest& pending) { return pending.isAnswered; });
     return answers;
 }
 
-void QuotaRelay::giveUp (Waiting& waiting)
+void QuotaRelay::giveUp (PendingRequest& pending)
 {
-    for (Part& part : waiting.parts)
+    for (Part& part : pending.parts)
     {
         for (quota::QuotaClaim& claim : part.claims)
             m_pool.giveUp (claim);
     }
 }
 
-void QuotaRelay::dropOld (base::TimePoint now)
+void QuotaRelay::dropExpired (base::TimePoint now)
 {
-    while (! m_waiting.empty() && now - m_waiting.front().since > kLongestWait)
+    while (! m_pending.empty() && now - m_pending.front().since > kLongestWait)
     {
-        giveUp (m_waiting.front());
-        m_waiting.pop_front();
+        giveUp (m_pending.front());
+        m_pending.pop_front();
     }
 }
 
 void QuotaRelay::onRouterGone (std::uint64_t router)
 {
-    for (Waiting& waiting : m_waiting)
+    for (PendingRequest& pending : m_pending)
     {
-        if (waiting.router == router)
-            giveUp (waiting);
+        if (pending.router == router)
+            giveUp (pending);
     }
-    std::erase_if (m_waiting, [&] (const Waiting& waiting) { return waiting.router == router; });
+    std::erase_if (m_pending,
+                   [&] (const PendingRequest& pending) { return pending.router == router; });
 }
 
 std::optional<cell::QuotaRequest> QuotaRelay::takeRequest (base::TimePoint now)
 {
-    dropOld (now);
+    dropExpired (now);
     return m_pool.takeRequest (now);
 }
 
--- a/src/controller/QuotaRelay.h
+++ b/src/controller/QuotaRelay.h
@@ -1,13 +1,13 @@
 #pragma once
 
 /**
- * Grants units of tenants' quotas to routers: from the part of every limit that is this
- * controller's own, and what that does not cover on behalf of the leader.
+ * Grants units of tenants' quotas to routers, first from this controller's own part of each limit,
+ * then from units that it requests from the leader.
  *
- * The controllers' own parts make up half of each limit. They need nobody else, so that lost
- * packets or the election of a leader hold up few requests; the leader's half follows the traffic
- * wherever it goes. Claims for the leader go out together, so that its work grows with the
- * controllers and not with the requests of callers.
+ * The controllers' own parts make up half of each limit. Granting from them needs no other process,
+ * so that lost packets or the election of a leader delay few requests. The leader's half is
+ * available wherever the traffic is. Claims for the leader are sent in batches, so that its work
+ * grows with the number of controllers and not with the number of callers' requests.
  */
 
 #include <cstdint>
@@ -25,18 +25,18 @@
 namespace fernlift::controller
 {
 
-/** What the parts of the limits that controllers grant depend on. */
+/** Inputs that determine the parts of the limits that controllers grant. */
 struct QuotaBasis
 {
-    std::uint64_t configuration = 0;  ///< Version in force; 0: none.
-    std::size_t granters = 0;         ///< Controllers.
+    std::uint64_t configuration = 0;  ///< Configuration version in force; 0: none.
+    std::size_t granters = 0;         ///< Number of controllers that grant parts.
 
     bool operator== (const QuotaBasis&) const = default;
 };
 
-/** What each of `granters` controllers grants without the leader. */
+/** Returns the part of each limit that every controller grants without the leader. */
 [[nodiscard]] quota::QuotaPart partOfRelay (std::size_t granters);
-/** What the leader grants: all that is not the other controllers'. */
+/** Returns the leader's part: everything that the other controllers do not grant. */
 [[nodiscard]] quota::QuotaPart partOfLeader (std::size_t granters);
 
 /** Pure: time is passed in. Threading: none; owned by one RouterRelay. */
@@ -45,37 +45,37 @@
 public:
     struct Answer
     {
-        std::uint64_t router = 0;  ///< Connection.
+        std::uint64_t router = 0;  ///< Connection of the router.
         cell::QuotaGrant grant;
     };
 
     explicit QuotaRelay (const quota::QuotaTolerance& tolerance);
 
-    /** The limits in force, and how many controllers grant parts of them. */
+    /** Sets the limits in force and the number of controllers that grant parts of them. */
     void setTenants (const std::vector<config::Tenant>& tenants, std::size_t granters,
                      base::TimePoint now);
 
-    /** The answer, when all can be granted now. */
+    /** Handles a router's request; returns the answer if everything can be granted now. */
     [[nodiscard]] std::optional<Answer> onRequest (std::uint64_t router,
                                                    const cell::QuotaRequest& request,
                                                    base::TimePoint now);
-    /** Answers that a grant of the leader allows. */
+    /** Applies a grant of the leader; returns the answers that it completes. */
     [[nodiscard]] std::vector<Answer> onGrant (const cell::QuotaGrant& grant, base::TimePoint now);
     void onRouterGone (std::uint64_t router);
     void onLeaderLost() { m_pool.onLinkLost(); }
 
-    /** The request to the leader that is due; sent at `now`. */
+    /** Returns the request to the leader that is due; it counts as sent at `now`. */
     [[nodiscard]] std::optional<cell::QuotaRequest> takeRequest (base::TimePoint now);
 
 private:
-    /** One need of a router's request. */
+    /** State of one need in a router's request. */
     struct Part
     {
-        std::vector<quota::QuotaClaim> claims;  ///< That wait for the leader.
-        cell::QuotaAllowance allowance;         ///< Of those that are settled.
+        std::vector<quota::QuotaClaim> claims;  ///< Claims that wait for the leader.
+        cell::QuotaAllowance allowance;         ///< Result of the resolved claims.
     };
-    /** A router's request of which some needs wait for the leader. */
-    struct Waiting
+    /** A router's request in which some needs wait for the leader. */
+    struct PendingRequest
     {
         std::uint64_t router = 0;
         base::TimePoint since{};
@@ -84,18 +84,18 @@
         bool isAnswered = false;
     };
 
-    /** Whether every need of the request is settled. */
-    bool settle (Waiting& waiting, base::TimePoint now);
-    void addNeed (Waiting& waiting, const cell::QuotaNeed& need, base::TimePoint now);
-    /** Whether the claim is granted or refused. */
-    bool settleClaim (Part& part, quota::QuotaClaim& claim, base::TimePoint now);
-    [[nodiscard]] static cell::QuotaGrant grantOf (const Waiting& waiting);
-    void dropOld (base::TimePoint now);
-    void giveUp (Waiting& waiting);
+    /** Resolves claims of the request; returns whether all of its needs are resolved. */
+    bool resolve (PendingRequest& pending, base::TimePoint now);
+    void addNeed (PendingRequest& pending, const cell::QuotaNeed& need, base::TimePoint now);
+    /** Resolves a claim; returns whether it is granted or refused. */
+    bool resolveClaim (Part& part, quota::QuotaClaim& claim, base::TimePoint now);
+    [[nodiscard]] static cell::QuotaGrant grantOf (const PendingRequest& pending);
+    void dropExpired (base::TimePoint now);
+    void giveUp (PendingRequest& pending);
 
     quota::QuotaLedger m_ownPart;
-    quota::QuotaPool m_pool;        ///< Of the leader's part.
-    std::deque<Waiting> m_waiting;  ///< In the order in which they came.
+    quota::QuotaPool m_pool;               ///< Units requested from the leader's part.
+    std::deque<PendingRequest> m_pending;  ///< In order of arrival.
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/RateRelay.cpp
+++ b/src/controller/RateRelay.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// A router gives up waiting for a permit before that.
+/// A router stops waiting for a permit before this time.
 constexpr base::Duration kLongestWait = base::milliseconds (200);
 
 }  // namespace
@@ -15,7 +15,7 @@
 void RateRelay::onLeaderLost()
 {
     m_leaderGrants.reset();
-    m_asked.clear();
+    m_pending.clear();
 }
 
 void RateRelay::onOtherMessage()
@@ -52,22 +52,22 @@
                                                   const cell::InstancePermitRequest& request,
                                                   base::TimePoint now)
 {
-    while (! m_asked.empty() && now - m_asked.begin()->second.at > kLongestWait)
-        m_asked.erase (m_asked.begin());
-    cell::InstancePermitRequest passed = request;
-    passed.claims.sequence = m_nextSequence++;
-    m_asked[passed.claims.sequence] = { router, request.claims.sequence, now };
-    return passed;
+    while (! m_pending.empty() && now - m_pending.begin()->second.at > kLongestWait)
+        m_pending.erase (m_pending.begin());
+    cell::InstancePermitRequest forwarded = request;
+    forwarded.claims.sequence = m_nextSequence++;
+    m_pending[forwarded.claims.sequence] = { router, request.claims.sequence, now };
+    return forwarded;
 }
 
 std::optional<RateRelay::Answer> RateRelay::onGrant (const cell::InstancePermitGrant& grant)
 {
-    const auto found = m_asked.find (grant.grant.sequence);
-    if (found == m_asked.end())
+    const auto found = m_pending.find (grant.grant.sequence);
+    if (found == m_pending.end())
         return std::nullopt;
     Answer answer{ found->second.router, grant };
     answer.grant.grant.sequence = found->second.sequence;
-    m_asked.erase (found);
+    m_pending.erase (found);
     return answer;
 }
 
--- a/src/controller/RateRelay.h
+++ b/src/controller/RateRelay.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * What a controller that does not lead keeps of limited runners: the leader's table for its
- * routers, and whose requests for permits are under way.
+ * State of rate-limited runners at a controller that does not lead: a relay copy of the leader's
+ * table for its routers, and the routers whose permit requests await the leader's answer.
  */
 
 #include <cstdint>
@@ -15,11 +15,11 @@
 namespace fernlift::controller
 {
 
-/** What routers were told of limited runners, by the leader or by a relay. */
+/** State of the updates on limited runners that a leader or relay sends to its routers. */
 struct RateNews
 {
-    std::uint64_t sentVersion = 1;  ///< Of the table that all were sent; the first one is empty.
-    base::TimePoint nextAt{};       ///< They hear of another one no earlier.
+    std::uint64_t sentVersion = 1;  ///< Table version last sent to all; version 1 is empty.
+    base::TimePoint nextAt{};       ///< Earliest time of the next update.
 };
 
 /** Pure: time is passed in. Threading: none; owned by one RouterRelay. */
@@ -28,48 +28,50 @@
 public:
     struct Answer
     {
-        std::uint64_t router = 0;  ///< Connection.
+        std::uint64_t router = 0;  ///< Connection of the router.
         cell::InstancePermitGrant grant;
     };
 
-    /** The connection to the leader has ended, or another one has begun: on a new one the leader
-        sends its table first, if it knows of rates.
+    /** Handles the end or replacement of the connection to the leader. On a new connection, a
+        leader that supports rates sends its table before any other message.
     */
     void onLeaderLost();
-    /** Something else came from the leader: without a table before it, it grants no permits. */
+    /** Handles another message of the leader. If no table came before it, the leader does not grant
+        permits.
+    */
     void onOtherMessage();
     void onUpdate (const cell::InstanceRateUpdate& update, base::TimePoint now);
 
-    /** Whether the leader reads reports and requests for permits. */
+    /** Whether the leader processes rate reports and permit requests. */
     [[nodiscard]] bool isLeaderGranting() const { return m_leaderGrants.value_or (false); }
-    /** What routers are told. */
+    /** Returns the table to send to routers. */
     [[nodiscard]] cell::InstanceRateUpdate table (base::TimePoint now) const;
-    /** Grows with each change of the table; above 0. */
+    /** Increases with each change of the table; starts at 1. */
     [[nodiscard]] std::uint64_t version() const { return m_version; }
-    /** Takes over what this member knew as leader. */
+    /** Sets the table that this member had as leader. */
     void adopt (cell::InstanceRateUpdate table, base::TimePoint now);
 
-    /** The request as it goes to the leader. */
+    /** Returns the request to forward to the leader. */
     [[nodiscard]] cell::InstancePermitRequest onRequest (std::uint64_t router,
                                                          const cell::InstancePermitRequest& request,
                                                          base::TimePoint now);
-    /** The answer for a router; none when it was given up. */
+    /** Returns the answer for a router; none when its request has timed out. */
     [[nodiscard]] std::optional<Answer> onGrant (const cell::InstancePermitGrant& grant);
 
 private:
-    struct Asked
+    struct PendingRequest
     {
         std::uint64_t router = 0;
-        std::uint64_t sequence = 0;  ///< Of the router.
+        std::uint64_t sequence = 0;  ///< Sequence of the router's request.
         base::TimePoint at{};
     };
 
     cell::InstanceRateUpdate m_table;
-    base::TimePoint m_tableAt{};  ///< When it came.
+    base::TimePoint m_tableAt{};  ///< Time at which the table arrived.
     std::uint64_t m_version = 1;
-    std::optional<bool> m_leaderGrants;  ///< None before it has told.
+    std::optional<bool> m_leaderGrants;  ///< None before the leader's first message.
     std::uint64_t m_nextSequence = 1;
-    std::map<std::uint64_t, Asked> m_asked;  ///< By the sequence towards the leader.
+    std::map<std::uint64_t, PendingRequest> m_pending;  ///< By sequence of the forwarded request.
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/RoutableTable.cpp
+++ b/src/controller/RoutableTable.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-/// Changes kept for routers that were not told at once.
+/// Number of changes kept for routers that are not sent each change at once.
 constexpr std::size_t kKeptChanges = 32;
 constexpr std::uint32_t kLoadStepDivisor = 4;
-constexpr std::uint32_t kSharersShrinkFactor = 4;
+constexpr std::uint32_t kShrinkDivisor = 4;
 
 cell::RoutableReplica keyFields (const cell::RoutableReplica& row)
 {
@@ -23,28 +23,28 @@
     return key;
 }
 
-bool differsInLoadOnly (const cell::RoutableReplica& told, cell::RoutableReplica row)
+bool differsInLoadOnly (const cell::RoutableReplica& sent, cell::RoutableReplica row)
 {
-    row.load = told.load;
-    return row == told;
+    row.load = sent.load;
+    return row == sent;
 }
 
 }  // namespace
 
-bool isLoadNews (std::uint32_t told, std::uint32_t load)
+bool isLoadNews (std::uint32_t sent, std::uint32_t load)
 {
-    if ((told == 0) != (load == 0))
+    if ((sent == 0) != (load == 0))
         return true;
-    const std::uint32_t difference = told > load ? told - load : load - told;
-    return difference > std::max (told / kLoadStepDivisor, 1U);
+    const std::uint32_t difference = sent > load ? sent - load : load - sent;
+    return difference > std::max (sent / kLoadStepDivisor, 1U);
 }
 
-std::uint32_t steadySharers (std::uint32_t told, std::uint32_t sharers)
+std::uint32_t steadySharers (std::uint32_t sent, std::uint32_t sharers)
 {
     const std::uint32_t wanted = std::bit_ceil (std::max (sharers, 1U));
-    if (told == 0 || sharers > told)
+    if (sent == 0 || sharers > sent)
         return wanted;
-    return sharers <= told / kSharersShrinkFactor ? wanted : told;
+    return sharers <= sent / kShrinkDivisor ? wanted : sent;
 }
 
 RoutableTable::Key RoutableTable::keyOf (const cell::RoutableReplica& row)
@@ -56,7 +56,7 @@
                              const ReadyEstimates& estimates, base::TimePoint now)
 {
     cell::ReplicaUpdate update;
-    settleLoads (rows);
+    stabilizeLoads (rows);
     collectRows (std::move (rows), update);
     collectEstimates (estimates, now, update);
     const bool isEmpty = update.upserts.empty() && update.removals.empty() && update.loads.empty()
@@ -71,19 +71,19 @@
     return true;
 }
 
-void RoutableTable::settleLoads (std::vector<cell::RoutableReplica>& rows)
+void RoutableTable::stabilizeLoads (std::vector<cell::RoutableReplica>& rows)
 {
     std::map<base::RunnerId, std::uint32_t> loads;
     for (cell::RoutableReplica& row : rows)
     {
-        auto settled = loads.find (row.runner);
-        if (settled == loads.end())
+        auto stable = loads.find (row.runner);
+        if (stable == loads.end())
         {
-            const auto told = m_loads.find (row.runner);
-            const bool isNews = told == m_loads.end() || isLoadNews (told->second, row.load);
-            settled = loads.emplace (row.runner, isNews ? row.load : told->second).first;
+            const auto sent = m_loads.find (row.runner);
+            const bool isSignificant = sent == m_loads.end() || isLoadNews (sent->second, row.load);
+            stable = loads.emplace (row.runner, isSignificant ? row.load : sent->second).first;
         }
-        row.load = settled->second;
+        row.load = stable->second;
     }
     m_loads = std::move (loads);
 }
@@ -96,12 +96,12 @@
     for (cell::RoutableReplica& row : rows)
     {
         const Key key = keyOf (row);
-        const auto told = m_rows.find (key);
-        if (told == m_rows.end() || ! differsInLoadOnly (told->second, row))
+        const auto sent = m_rows.find (key);
+        if (sent == m_rows.end() || ! differsInLoadOnly (sent->second, row))
         {
             update.upserts.push_back (row);
         }
-        else if (told->second.load != row.load)
+        else if (sent->second.load != row.load)
         {
             changedLoads[row.runner] = row.load;
         }
@@ -129,7 +129,7 @@
     }
     for (const auto& [target, estimate] : m_estimates)
     {
-        // Withdrawn: nothing more is known than that requests may wait.
+        // A withdrawn estimate: the target can be served, and no ready time is known.
         if (estimates.contains (target))
             continue;
         update.estimates.push_back (toMessage (target, ReadyEstimate{ true, now }, now));
@@ -165,7 +165,7 @@
         return {};
     if (! keepsChangesSince (version))
         return { whole (now) };
-    // Each change follows on the one before it.
+    // Versions of consecutive changes differ by one.
     const auto kept = static_cast<std::ptrdiff_t> (m_version - version);
     return { m_changes.end() - kept, m_changes.end() };
 }
--- a/src/controller/RoutableTable.h
+++ b/src/controller/RoutableTable.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// The replicas that routers may use, as the leader tells all of them: one table, one numbered
-/// sequence of changes, so that a change is worked out once for the cell and not once a router.
+/// Table of the replicas that routers may use, which the leader sends to all of them. All routers
+/// share one table and one numbered sequence of changes, so that a change is computed once for the
+/// cell and not once for each router.
 
 #include <cstdint>
 #include <deque>
@@ -18,19 +19,19 @@
 namespace fernlift::controller
 {
 
-/// Whether a runner's load differs enough from the one last told that routers should hear of it: a
-/// quarter and more than one request, or between idle and busy.
-[[nodiscard]] bool isLoadNews (std::uint32_t told, std::uint32_t load);
+/// Whether a runner's load differs enough from the one last sent to be sent to routers: by more
+/// than a quarter and more than one request, or between idle and busy.
+[[nodiscard]] bool isLoadNews (std::uint32_t sent, std::uint32_t load);
 
-/// Routers that share a target's replicas, in powers of two that change only when the number has
-/// grown past them or fallen to a quarter.
-[[nodiscard]] std::uint32_t steadySharers (std::uint32_t told, std::uint32_t sharers);
+/// Returns the number of routers that share a target's replicas, rounded up to a power of two. The
+/// result changes only when the number exceeds the last result or falls to a quarter of it.
+[[nodiscard]] std::uint32_t steadySharers (std::uint32_t sent, std::uint32_t sharers);
 
 class RoutableTable
 {
 public:
-    /// Takes the rows as they are now, with every runner's real load. Returns true when there is
-    /// something to tell.
+    /// Replaces all rows, each with the actual load of its runner. Returns whether there is a
+    /// change to send.
     bool replace (std::vector<cell::RoutableReplica> rows, const ReadyEstimates& estimates,
                   base::TimePoint now);
 
@@ -38,8 +39,8 @@
     [[nodiscard]] std::uint64_t version() const { return m_version; }
     /// False when a router with this version needs the whole table.
     [[nodiscard]] bool keepsChangesSince (std::uint64_t version) const;
-    /// Updates that bring a router which holds `version` up to date, in order; the whole table when
-    /// the changes since are no longer kept.
+    /// Returns the updates, in order, that bring a router from `version` up to date, or the whole
+    /// table when the changes since then are no longer kept.
     [[nodiscard]] std::vector<cell::ReplicaUpdate> updatesSince (std::uint64_t version,
                                                                  base::TimePoint now) const;
 
@@ -47,7 +48,7 @@
     using Key = std::tuple<base::ReplicaId, base::RunnerId, std::string>;
 
     static Key keyOf (const cell::RoutableReplica& row);
-    void settleLoads (std::vector<cell::RoutableReplica>& rows);
+    void stabilizeLoads (std::vector<cell::RoutableReplica>& rows);
     void collectRows (std::vector<cell::RoutableReplica> rows, cell::ReplicaUpdate& update);
     void collectEstimates (const ReadyEstimates& estimates, base::TimePoint now,
                            cell::ReplicaUpdate& update);
@@ -55,9 +56,9 @@
 
     std::uint64_t m_version = 0;
     std::map<Key, cell::RoutableReplica> m_rows;
-    std::map<base::RunnerId, std::uint32_t> m_loads;  ///< As last told.
+    std::map<base::RunnerId, std::uint32_t> m_loads;  ///< Loads last sent.
     ReadyEstimates m_estimates;
-    std::deque<cell::ReplicaUpdate> m_changes;  ///< The latest, oldest first.
+    std::deque<cell::ReplicaUpdate> m_changes;  ///< Latest changes, oldest first.
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/RoutableTableTest.cpp
+++ b/src/controller/RoutableTableTest.cpp
@@ -21,7 +21,7 @@
     return entry;
 }
 
-TEST (RoutableTableTest, SmallChangesOfLoadAreNoNews)
+TEST (RoutableTableTest, SmallChangesOfLoadAreInsignificant)
 {
     EXPECT_FALSE (isLoadNews (40, 50));
     EXPECT_TRUE (isLoadNews (40, 51));
@@ -31,7 +31,7 @@
     EXPECT_TRUE (isLoadNews (1, 0));
 }
 
-TEST (RoutableTableTest, SharersMoveInPowersOfTwoAndLateDown)
+TEST (RoutableTableTest, SharerCountIsAPowerOfTwoWithHysteresis)
 {
     EXPECT_EQ (steadySharers (0, 0), 1U);
     EXPECT_EQ (steadySharers (0, 5), 8U);
@@ -40,7 +40,7 @@
     EXPECT_EQ (steadySharers (8, 2), 2U);
 }
 
-TEST (RoutableTableTest, ALoadIsToldOncePerRunner)
+TEST (RoutableTableTest, SendsLoadOncePerRunner)
 {
     RoutableTable table;
     ASSERT_TRUE (
@@ -56,8 +56,8 @@
     EXPECT_EQ (updates[0].loads[0], (cell::RunnerLoad{ base::RunnerId ("r1"), 30 }));
 }
 
-/// Many small steps add up: the load told never stays far from the real one.
-TEST (RoutableTableTest, SlowDriftIsToldInTheEnd)
+/// Many small changes add up: the load sent stays close to the actual one.
+TEST (RoutableTableTest, SlowDriftIsEventuallySent)
 {
     RoutableTable table;
     table.replace ({ row (1, "r1", 10) }, {}, kNow);
@@ -68,7 +68,7 @@
     EXPECT_FALSE (isLoadNews (whole[0].upserts[0].load, 40));
 }
 
-TEST (RoutableTableTest, ARouterThatMissedSeveralChangesGetsThemInOrder)
+TEST (RoutableTableTest, SendsMissedChangesInOrder)
 {
     RoutableTable table;
     table.replace ({ row (1, "r1", 1) }, {}, kNow);
@@ -83,7 +83,7 @@
     EXPECT_TRUE (table.updatesSince (table.version(), kNow).empty());
 }
 
-TEST (RoutableTableTest, ARouterTooFarBehindGetsTheWholeTable)
+TEST (RoutableTableTest, SendsTheWholeTableToARouterTooFarBehind)
 {
     RoutableTable table;
     for (std::uint32_t replicas = 1; replicas <= 60; ++replicas)
@@ -105,16 +105,15 @@
     }
 }
 
-TEST (RoutableTableTest, AnEmptyTableIsToldToo)
+TEST (RoutableTableTest, SendsAnEmptyTable)
 {
     RoutableTable table;
     EXPECT_TRUE (table.replace ({}, {}, kNow));
     EXPECT_EQ (table.updatesSince (0, kNow).size(), 1U);
 }
 
-/// A router that lost its table says so with version 0; changes that go out all the time must not
-/// keep it waiting.
-TEST (RouterSessionTableTest, ALostTableIsSentAgainWhileChangesGoOut)
+/// A router without a table reports version 0. Continuous changes must not delay the whole table.
+TEST (RouterSessionTableTest, ResendsALostTableWhileChangesAreSent)
 {
     RouterSessions sessions (base::seconds (2));
     RouterSession& session = sessions.open (1, {}, kNow);
@@ -127,7 +126,7 @@
     EXPECT_EQ (session.tableVersion, 0U);
 }
 
-TEST (RouterSessionTableTest, ARequestSentBeforeTheTableArrivedAsksForNothing)
+TEST (RouterSessionTableTest, RequestSentBeforeTheTableArrivedCausesNoResend)
 {
     RouterSessions sessions (base::seconds (2));
     RouterSession& session = sessions.open (1, {}, kNow);
--- a/src/controller/RouterRelay.h
+++ b/src/controller/RouterRelay.h
@@ -1,12 +1,13 @@
 #pragma once
 
 /**
- * What a member that does not lead keeps to serve routers and runners on behalf of the leader.
+ * State of a member that does not lead and serves routers and runners on behalf of the leader.
  *
- * The leader sees one session in place of those of many routers. This member takes a lease from it
- * like a router, grants its routers leases that end no later than its own, and states to it the
- * least that any of them may serve by. So what the leader may acknowledge, and when, is the same as
- * if it served the routers itself; see docs/design/control-tree.md.
+ * The leader has one session with this member instead of one with each of its routers. This member
+ * is granted a lease like a router, grants its routers leases that end no later than its own, and
+ * reports to the leader the earliest versions that any of them may still use. The leader may
+ * therefore acknowledge changes under the same conditions as if it served the routers itself; see
+ * docs/design/control-tree.md.
  */
 
 #include <cstdint>
@@ -28,7 +29,9 @@
 namespace fernlift::controller
 {
 
-/** Lasts from one leadership of this member to the next. Its duties are in ControllerRelay.cpp. */
+/** Exists from the end of one leadership of this member to the next. ControllerRelay.cpp has the
+    operations on it.
+*/
 struct RouterRelay
 {
     RouterRelay (std::string relayId, std::uint64_t randomSeed, base::Duration routerLease,
@@ -42,35 +45,35 @@
     {
     }
 
-    /** Never used again once this object is gone: leases that it granted go on, and the leader goes
-        on to count them under this name.
+    /** Identifies this relay to the leader. Never reused after this object is destroyed: leases
+       that the relay granted remain valid, and the leader continues to count them under this id.
     */
     std::string id;
     base::Random random;
-    base::MemberId leader = 0;          ///< To which the session goes; 0: none.
-    cell::ControllerSession session;    ///< With the leader.
-    base::TimePoint leaderlessSince{};  ///< While the session is not connected.
-    RouterSessions sessions;            ///< Of routers.
-    /** Requests that came before there was a lease to pass on. */
+    base::MemberId leader = 0;          ///< Leader that the session is with; 0: none.
+    cell::ControllerSession session;    ///< Session with the leader.
+    base::TimePoint leaderlessSince{};  ///< Start of the time without a connected session.
+    RouterSessions sessions;            ///< Sessions of routers.
+    /** Lease requests that arrived before this member held a lease itself. */
     std::map<SessionId, cell::LeaseRequest> unanswered;
     InstanceMirror instances;
-    bool needsWholeTable = false;   ///< A change came that does not fit.
-    InstanceLoadSum loadSum;        ///< Of its routers, for the leader.
-    InstanceLoadTable loads;        ///< Of all routers, from the leader.
-    base::TimePoint nextLoadsAt{};  ///< Routers hear of loads no earlier.
-    RateRelay rates;                ///< Of runners that state one.
+    bool needsWholeTable = false;   ///< An update did not follow on the held version.
+    InstanceLoadSum loadSum;        ///< Sum over its routers, for the leader.
+    InstanceLoadTable loads;        ///< Loads over all routers, from the leader.
+    base::TimePoint nextLoadsAt{};  ///< Earliest time of the next loads for routers.
+    RateRelay rates;                ///< Runners that limit their request rate.
     RateNews rateNews;
     EngineDemandSum demands;
     HeartbeatBatch heartbeats;
     QuotaRelay quotas;
-    QuotaBasis quotaBasis;                    ///< Of what `quotas` counts.
-    bool hasRunners = false;                  ///< Some send their heartbeats here.
-    PacedWork instanceTable;                  ///< Routers may have to hear of instances.
-    PacedWork wholeTable;                     ///< Some have to be sent all of them.
-    PacedWork configurationSend;              ///< Routers may have to be sent the configuration.
-    std::uint64_t announcedVersion = 0;       ///< Configuration that routers were to be sent last.
-    std::uint64_t statedVersion = 0;          ///< Configuration last stated to the leader.
-    std::uint64_t statedInstanceVersion = 0;  ///< The same for the table of instances.
+    QuotaBasis quotaBasis;               ///< Inputs of the limits in `quotas`.
+    bool hasRunners = false;             ///< Some runners send their heartbeats here.
+    PacedWork instanceTable;             ///< Sends instance changes to routers.
+    PacedWork wholeTable;                ///< Sends whole instance tables to routers.
+    PacedWork configurationSend;         ///< Sends the configuration to routers.
+    std::uint64_t announcedVersion = 0;  ///< Configuration version last announced to routers.
+    std::uint64_t statedVersion = 0;     ///< Configuration version last reported to the leader.
+    std::uint64_t statedInstanceVersion = 0;  ///< Instance table version last reported to it.
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/RouterSessions.cpp
+++ b/src/controller/RouterSessions.cpp
@@ -8,21 +8,22 @@
 namespace
 {
 
-/// A table or configuration that a router does not confirm for this long is sent again. Connections
-/// lose nothing: this is for a router that was too slow, and must not make that worse.
+/// A table or configuration that a router does not confirm for this time is sent again. Connections
+/// are reliable, so this only affects a router that is too slow; a shorter time would add to its
+/// load.
 constexpr base::Duration kConfirmationTimeout = base::seconds (2);
-/// A router's clock may run this much slower than the leader's: one part in this many.
+/// A router's clock may be slower than the leader's by one part in this many.
 constexpr int kClockDriftParts = 100;
 
-/// The newest version, up to `newest`, that holds at a router which stated `stated`.
-std::uint64_t lowestInUse (std::uint64_t stated, const cell::ConfigurationLeases& leases,
+/// Returns the earliest version, up to `newest`, that a router with the version `reported` may use.
+std::uint64_t lowestInUse (std::uint64_t reported, const cell::ConfigurationLeases& leases,
                            std::uint64_t newest, base::TimePoint now)
 {
-    const bool mayServeEarlier = stated < newest && leases.isHeldBelow (newest, now);
-    return mayServeEarlier ? stated : newest;
+    const bool mayServeEarlier = reported < newest && leases.isHeldBelow (newest, now);
+    return mayServeEarlier ? reported : newest;
 }
 
-/// What a router's clock may take for `duration`, by this one.
+/// Returns the longest time on this clock in which a router's clock measures `duration`.
 base::Duration withDrift (base::Duration duration)
 {
     return duration + duration / kClockDriftParts;
@@ -70,7 +71,7 @@
     }
     for (const auto& [target, estimate] : session.estimates)
     {
-        // Withdrawn: nothing more is known than that requests may wait.
+        // A withdrawn estimate: the target can be served, and no ready time is known.
         if (estimates.count (target) == 0)
         {
             update.estimates.push_back (toMessage (target, ReadyEstimate{ true, now }, now));
@@ -120,7 +121,8 @@
                                      base::TimePoint now)
 {
     close (id);
-    std::erase_if (m_departed, [&] (const auto& item) { return item.second.leases.isOver (now); });
+    std::erase_if (m_disconnected,
+                   [&] (const auto& item) { return item.second.leases.isOver (now); });
     cell::ConfigurationLeases leases = supersede (hello.router);
     RouterSession& session = m_sessions[id];
     session.leases = std::move (leases);
@@ -142,19 +144,19 @@
     const RouterSession& session = found->second;
     if (! session.isSuperseded)
     {
-        m_departed[session.router] = { session.configurationVersion, session.statedInstanceVersion,
-                                       session.leases };
+        m_disconnected[session.router] = { session.configurationVersion,
+                                           session.statedInstanceVersion, session.leases };
     }
     m_sessions.erase (found);
 }
 
-/// A router has one connection: what it states on a new one goes before what is known of the
-/// others. The leases that it was granted on those go on.
+/// A router has one connection: its reports on a new one replace those on earlier ones. Leases
+/// granted on earlier connections remain valid.
 cell::ConfigurationLeases RouterSessions::supersede (const base::RouterId& router)
 {
     cell::ConfigurationLeases leases;
-    if (const auto departed = m_departed.extract (router))
-        leases = std::move (departed.mapped().leases);
+    if (const auto disconnected = m_disconnected.extract (router))
+        leases = std::move (disconnected.mapped().leases);
     for (auto& [id, session] : m_sessions)
     {
         if (session.router != router || std::exchange (session.isSuperseded, true))
@@ -195,10 +197,10 @@
     }
     const bool isBehind = request.replicaTableVersion != session.tableVersion
                           && now - session.tableSentAt > kConfirmationTimeout;
-    // A router without a table asks for it however often changes go out.
-    const bool asksForWhole =
+    // A router without a table needs the whole table, even while changes are sent all the time.
+    const bool needsWholeTable =
         request.replicaTableVersion == 0 && now - session.wholeTableSentAt > kConfirmationTimeout;
-    if (isBehind || asksForWhole)
+    if (isBehind || needsWholeTable)
         session.forgetTable();
 }
 
@@ -206,10 +208,10 @@
                                          const cell::ConfigurationIdentity& inForce,
                                          base::TimePoint now) const
 {
-    // A relay has it from the log.
+    // A relay gets the configuration from the log.
     if (session.isRelay)
         return false;
-    // A router's configuration never goes back, whatever it claims to have.
+    // Configurations never go back, so a router that reports a later version is sent nothing.
     const bool isBehind = session.configurationVersion < inForce.version;
     const bool isUnderWay = session.sentVersion > session.configurationVersion
                             && now - session.configurationSentAt <= kConfirmationTimeout;
@@ -222,13 +224,13 @@
 {
     const base::Duration granted = std::min (length, m_leaseDuration);
     session.leases.extend (inForce.version, now + withDrift (granted), now);
-    // A router that is behind counts as serving what it stated for one lease more, for example
-    // under one of an earlier leader; asking again does not prolong that, or it could hold up a
-    // change for ever.
+    // A router that is behind may use the version that it reported for one more lease, for example
+    // under a lease of an earlier leader. Further requests do not extend this, since they could
+    // otherwise delay a change without limit.
     const bool isBehind = session.configurationVersion < inForce.version;
-    if (isBehind && ! session.isCountedBehind)
+    if (isBehind && ! session.wasBehindAtLastGrant)
         session.leases.extend (session.configurationVersion, now + longestLease(), now);
-    session.isCountedBehind = isBehind;
+    session.wasBehindAtLastGrant = isBehind;
     cell::LeaseGrant grant;
     grant.sequence = request.sequence;
     grant.configurationVersion = inForce.version;
@@ -242,7 +244,7 @@
 std::uint64_t RouterSessions::confirmedVersion (std::uint64_t newest, base::TimePoint leaderSince,
                                                 base::TimePoint now) const
 {
-    // Routers that have not come to this leader may hold leases of the one before.
+    // Routers that have not connected to this leader may hold leases of the previous one.
     if (now < leaderSince + longestLease())
         return 0;
     std::uint64_t confirmed = newest;
@@ -253,10 +255,10 @@
         confirmed = std::min (
             confirmed, lowestInUse (session.configurationVersion, session.leases, newest, now));
     }
-    for (const auto& [router, departed] : m_departed)
+    for (const auto& [router, disconnected] : m_disconnected)
     {
-        confirmed =
-            std::min (confirmed, lowestInUse (departed.version, departed.leases, newest, now));
+        confirmed = std::min (confirmed,
+                              lowestInUse (disconnected.version, disconnected.leases, newest, now));
     }
     return confirmed;
 }
@@ -272,20 +274,20 @@
 {
     if (now < leaderSince + longestLease())
         return false;
-    const bool isStated = std::ranges::all_of (
+    const bool isReported = std::ranges::all_of (
         m_sessions,
         [&] (const auto& item)
         {
             const RouterSession& session = item.second;
             return session.isSuperseded || session.statedInstanceVersion >= version;
         });
-    return isStated
-           && std::ranges::all_of (m_departed,
+    return isReported
+           && std::ranges::all_of (m_disconnected,
                                    [&] (const auto& item)
                                    {
-                                       const Departed& departed = item.second;
-                                       return departed.instanceVersion >= version
-                                              || departed.leases.isOver (now);
+                                       const DisconnectedRouter& disconnected = item.second;
+                                       return disconnected.instanceVersion >= version
+                                              || disconnected.leases.isOver (now);
                                    });
 }
 
@@ -312,10 +314,10 @@
         if (! session.isSuperseded && ! session.leases.isOver (now))
             confirmed = std::min (confirmed, session.statedInstanceVersion);
     }
-    for (const auto& [router, departed] : m_departed)
+    for (const auto& [router, disconnected] : m_disconnected)
     {
-        if (! departed.leases.isOver (now))
-            confirmed = std::min (confirmed, departed.instanceVersion);
+        if (! disconnected.leases.isOver (now))
+            confirmed = std::min (confirmed, disconnected.instanceVersion);
     }
     return confirmed;
 }
@@ -324,8 +326,8 @@
 {
     for (auto& [id, session] : m_sessions)
         session.instanceVersion = session.statedInstanceVersion = session.heldInstanceVersion = 0;
-    for (auto& [router, departed] : m_departed)
-        departed.instanceVersion = 0;
+    for (auto& [router, disconnected] : m_disconnected)
+        disconnected.instanceVersion = 0;
 }
 
 std::uint32_t RouterSessions::countRouters() const
--- a/src/controller/RouterSessions.h
+++ b/src/controller/RouterSessions.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The routers connected to a leader: what each has in force, until when its lease may run, and
-/// which replica table it was sent.
+/// Sessions of the routers connected to a leader: the configuration that each has in force, the end
+/// of its leases, and the tables that it was sent.
 
 #include <cstdint>
 #include <map>
@@ -29,47 +29,49 @@
     base::RouterId router;
     base::ZoneName zone;
     std::string address;
-    std::uint64_t configurationVersion = 0;  ///< In force there, as last stated.
+    std::uint64_t configurationVersion = 0;  ///< Version in force there, as last reported.
     std::string configurationDigest;
-    std::uint64_t sentVersion = 0;  ///< Configuration last sent or stated.
+    std::uint64_t sentVersion = 0;  ///< Configuration version last sent or reported.
     base::TimePoint configurationSentAt{};
-    bool needsWholeConfiguration = false;  ///< It was sent a change that did not fit.
-    cell::ConfigurationLeases leases;      ///< Granted to it here, with allowance for its clock.
-    bool isCountedBehind = false;          ///< Its last grant named a later version than it stated.
-    bool isRelay = false;       ///< A controller that serves routers on behalf of this one.
-    std::uint32_t routers = 1;  ///< Served by a relay; 1 for a router.
-    bool isSuperseded = false;  ///< The router has come on another connection; this one is dead.
+    bool needsWholeConfiguration = false;  ///< Reported that a change did not fit its version.
+    cell::ConfigurationLeases leases;   ///< Leases granted to it, with allowance for clock drift.
+    bool wasBehindAtLastGrant = false;  ///< The last grant named a later version than reported.
+    bool isRelay = false;               ///< Controller that serves routers on behalf of this one.
+    std::uint32_t routers = 1;          ///< Number of routers behind a relay; 1 for a router.
+    bool isSuperseded = false;  ///< The router has connected again; this connection is dead.
     base::TimePoint heardAt{};
 
-    /// Version of the replica table that the router has once it has read everything sent; 0: none.
+    /// Version of the replica table that the router has after all sent updates; 0: none.
     std::uint64_t tableVersion = 0;
     base::TimePoint tableSentAt{};
     base::TimePoint wholeTableSentAt{};
-    bool isTableShared = false;  ///< The version is one of the table that all routers share.
+    bool isTableShared = false;  ///< `tableVersion` refers to the table shared by all routers.
 
-    /// Digests of requests that it reported, and when it did last; it waits to be shown what became
-    /// of them. Kept for some seconds: of an instance that leaves nothing is ever noted.
+    /// Digests of suspect requests that the router reported, with the time of the last report; the
+    /// router waits to be sent the outcome. Kept for some seconds only, since no outcome is ever
+    /// recorded for an instance that is leaving.
     std::map<std::string, base::TimePoint> reportedSuspects;
-    base::LogIndex suspectVersion = 0;  ///< Of the table of suspects last sent; 0: none.
-    std::uint64_t instanceVersion = 0;  ///< Of the instances last sent; 0: none.
+    base::LogIndex suspectVersion = 0;  ///< Version of the suspect table last sent; 0: none.
+    std::uint64_t instanceVersion = 0;  ///< Version of the instance table last sent; 0: none.
     base::TimePoint instancesSentAt{};
-    std::uint64_t statedInstanceVersion = 0;  ///< Applied there, as last stated; of this term.
-    std::uint64_t loadVersion = 0;            ///< Of the loads of instances last sent; 0: none.
-    std::uint32_t features = 0;               ///< Of cell::RouterFeature.
-    /// The same of a relay itself; its routers may be behind. Of a router: what it stated.
+    std::uint64_t statedInstanceVersion = 0;  ///< Instance table reported in this term.
+    std::uint64_t loadVersion = 0;            ///< Version of the instance loads last sent; 0: none.
+    std::uint32_t features = 0;               ///< Bits of cell::RouterFeature.
+    /// Version of the instance table that a relay holds itself, while its routers may be behind;
+    /// for a router, the version that it reported.
     std::uint64_t heldInstanceVersion = 0;
 
-    // While not shared: the table as the router has it once it has read everything sent.
+    // Used while the table is not shared: the table that the router has after all sent updates.
     using ReplicaKey = std::tuple<base::ReplicaId, base::RunnerId, std::string>;
     std::map<ReplicaKey, cell::RoutableReplica> table;
     ReadyEstimates estimates;
 
-    /// The next update will hold the whole table.
+    /// Discards the sent table, so that the next update contains the whole table.
     void forgetTable();
 };
 
-/// Difference between what a session was sent and what it should have; none when equal. The session
-/// is taken as having it. For tables that are not shared.
+/// Returns the difference between the table that a session was sent and the given one, or none when
+/// they are equal, and records the given table as sent. Only for tables that are not shared.
 [[nodiscard]] std::optional<cell::ReplicaUpdate> updateTable (
     RouterSession& session, std::vector<cell::RoutableReplica> replicas,
     const ReadyEstimates& estimates, base::TimePoint now);
@@ -85,54 +87,55 @@
     [[nodiscard]] std::map<SessionId, RouterSession>& sessions() { return m_sessions; }
     [[nodiscard]] const std::map<SessionId, RouterSession>& sessions() const { return m_sessions; }
 
-    /// Notes a lease request.
+    /// Records the versions that a lease request reports.
     void onLeaseRequest (RouterSession& session, const cell::LeaseRequest& request, base::Term term,
                          base::TimePoint now);
-    /// Whether the router should be sent the configuration: it is behind, and nothing is on its
-    /// way. One at a time goes to a router, so that a slow one skips versions instead of queueing
-    /// them.
+    /// Whether to send the configuration to the router: it is behind, and no configuration is on
+    /// the way to it. Only one is on the way at a time, so that a slow router skips versions
+    /// instead of queueing them.
     [[nodiscard]] bool needsConfiguration (const RouterSession& session,
                                            const cell::ConfigurationIdentity& inForce,
                                            base::TimePoint now) const;
-    /// The grant that answers the request, for `length` from now or the usual length if that is
-    /// shorter. The caller must hold the leader's lease, or one that ends no sooner.
+    /// Returns the grant that answers the request, for `length` from now but at most the configured
+    /// lease duration. The caller must hold the leader's lease, or a lease that ends no earlier
+    /// than the granted one.
     [[nodiscard]] cell::LeaseGrant grant (RouterSession& session, const cell::LeaseRequest& request,
                                           const cell::ConfigurationIdentity& inForce,
                                           base::Term term, base::Duration length,
                                           base::TimePoint now) const;
 
-    /// The newest version, up to `newest`, below which no router can admit requests: each connected
-    /// one stated it or a later one, and leases of the others on earlier ones, also those of
-    /// earlier leaders, have run out. 0: nothing is known yet.
+    /// Returns the newest version, up to `newest`, below which no router can admit requests: each
+    /// connected router reported it or a later one, and all leases of other routers on earlier
+    /// versions, including those granted by earlier leaders, have expired. 0: not known yet.
     [[nodiscard]] std::uint64_t confirmedVersion (std::uint64_t newest, base::TimePoint leaderSince,
                                                   base::TimePoint now) const;
     [[nodiscard]] bool isInForceEverywhere (const cell::ConfigurationIdentity& inForce,
                                             base::TimePoint leaderSince, base::TimePoint now) const;
 
-    /// Whether no router may send by an earlier table of instances than this version of the
-    /// leader's term: all state it, and leases of those that left, also of earlier leaders, have
-    /// run out.
+    /// Whether no router can use an earlier table of instances than this version of the leader's
+    /// term: all connected routers reported it, and the leases of disconnected ones, including
+    /// those granted by earlier leaders, have expired.
     [[nodiscard]] bool isInstanceTableEverywhere (std::uint64_t version,
                                                   base::TimePoint leaderSince,
                                                   base::TimePoint now) const;
-    /// The newest version, up to `newest`, of the table of instances that every router states,
-    /// apart from those whose leases are over.
+    /// Returns the newest version, up to `newest`, of the table of instances that all routers have
+    /// reported, except those whose leases have expired.
     [[nodiscard]] std::uint64_t confirmedInstanceVersion (std::uint64_t newest,
                                                           base::TimePoint now) const;
-    /// Another leader numbers its tables anew: nobody has stated any of them yet.
+    /// Resets all reported instance versions after a change of leader, whose versions differ.
     void forgetInstanceVersions();
-    /// Routers that are connected, also by way of relays.
+    /// Returns the number of connected routers, including those behind relays.
     [[nodiscard]] std::uint32_t countRouters() const;
-    /// No lease granted now runs longer, by the leader's clock.
+    /// Maximum duration, on the leader's clock, of a lease granted now.
     [[nodiscard]] base::Duration longestLease() const;
-    /// Fills in which connected routers have not confirmed the late version.
+    /// Fills in the connected routers that have not confirmed the late version.
     void describeBehind (ConfigurationLate& late) const;
 
 private:
-    /// What a router that is no longer connected may still serve under.
-    struct Departed
+    /// Versions and leases that a disconnected router may still use.
+    struct DisconnectedRouter
     {
-        std::uint64_t version = 0;  ///< In force there, as last stated.
+        std::uint64_t version = 0;  ///< Configuration in force there, as last reported.
         std::uint64_t instanceVersion = 0;
         cell::ConfigurationLeases leases;
     };
@@ -141,7 +144,8 @@
 
     base::Duration m_leaseDuration;
     std::map<SessionId, RouterSession> m_sessions;
-    std::map<base::RouterId, Departed> m_departed;  ///< Until they come back or their leases end.
+    /// Disconnected routers, until they reconnect or their leases expire.
+    std::map<base::RouterId, DisconnectedRouter> m_disconnected;
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/RouterSessionsTest.cpp
+++ b/src/controller/RouterSessionsTest.cpp
@@ -12,14 +12,14 @@
 class RouterSessionsTest : public ::testing::Test
 {
 protected:
-    /// A router of its own for each session unless it is named.
+    /// Opens a session, by default for a router that no other session has.
     RouterSession& open (SessionId id, const std::string& router = "")
     {
         cell::RouterHello hello;
         hello.router = base::RouterId (router.empty() ? "r" + std::to_string (id) : router);
         return m_sessions.open (id, hello, m_now);
     }
-    /// A lease request of a router that has `version` in force, and the grant.
+    /// Handles a lease request of a router that has `version` in force, and grants it.
     void renew (RouterSession& session, std::uint64_t version)
     {
         cell::LeaseRequest request;
@@ -39,7 +39,7 @@
     RouterSessions m_sessions{ kLease };
 };
 
-TEST_F (RouterSessionsTest, InForceOnceEveryRouterSaysSo)
+TEST_F (RouterSessionsTest, InForceOnceEveryRouterReportsIt)
 {
     RouterSession& first = open (1);
     RouterSession& second = open (2);
@@ -50,11 +50,11 @@
     EXPECT_TRUE (isEverywhere());
 }
 
-TEST_F (RouterSessionsTest, SilentOrDepartedRouterCountsUntilItsLeaseIsOver)
+TEST_F (RouterSessionsTest, SilentOrDisconnectedRouterCountsUntilItsLeaseExpires)
 {
     renew (open (1), 1);
     m_now += kLease;
-    EXPECT_FALSE (isEverywhere()) << "its clock may be slow";
+    EXPECT_FALSE (isEverywhere()) << "the clock of the router may be slow";
     m_now += kLease / 50;
     EXPECT_TRUE (isEverywhere());
     renew (open (2), 1);
@@ -77,16 +77,17 @@
     renew (open (1, "a"), 1);
     m_inForce = { 3, "3", 0, 2 };
     open (2, "a");
-    EXPECT_FALSE (isEverywhere()) << "it may serve under version 2 for the rest of the lease";
+    EXPECT_FALSE (isEverywhere()) << "the router may use version 2 until its lease expires";
     m_sessions.close (1);
     EXPECT_FALSE (isEverywhere());
     m_sessions.close (2);
     EXPECT_FALSE (isEverywhere());
     renew (open (3, "a"), 3);
-    EXPECT_TRUE (isEverywhere()) << "it states the newest one on its newest connection";
+    EXPECT_TRUE (isEverywhere())
+        << "the router reported the newest version on its newest connection";
 }
 
-TEST_F (RouterSessionsTest, ALeaseOnTheNewestVersionDoesNotLetARouterServeUnderEarlierOnes)
+TEST_F (RouterSessionsTest, RequestsOfARouterThatIsBehindDoNotExtendItsEarlierVersion)
 {
     RouterSession& session = open (1);
     renew (session, 1);  // Granted for version 2, which is in force.
@@ -95,13 +96,13 @@
     while (m_now < grantedAt + kLease + kLease / 50)
     {
         EXPECT_FALSE (isEverywhere());
-        renew (session, 1);  // It does not get on, but its leases are on version 3 now.
+        renew (session, 1);  // Still reports version 1, but its leases are for version 3 now.
         m_now += base::milliseconds (100);
     }
     EXPECT_TRUE (isEverywhere());
 }
 
-TEST_F (RouterSessionsTest, AnEarlierVersionIsConfirmedBeforeTheNewestIs)
+TEST_F (RouterSessionsTest, ConfirmsEarlierVersionsBeforeTheNewest)
 {
     RouterSession& first = open (1);
     RouterSession& second = open (2);
@@ -114,7 +115,7 @@
     EXPECT_EQ (m_sessions.confirmedVersion (5, m_leaderSince, m_now), 3U);
 }
 
-TEST_F (RouterSessionsTest, OneConfigurationAtATimeGoesToARouter)
+TEST_F (RouterSessionsTest, SendsARouterOneConfigurationAtATime)
 {
     RouterSession& session = open (1);
     renew (session, 1);
@@ -122,14 +123,16 @@
     session.sentVersion = 2;
     session.configurationSentAt = m_now;
     m_inForce = { 5, "5", 0, 2 };
-    EXPECT_FALSE (m_sessions.needsConfiguration (session, m_inForce, m_now)) << "2 is under way";
+    EXPECT_FALSE (m_sessions.needsConfiguration (session, m_inForce, m_now))
+        << "version 2 is on the way";
     renew (session, 1);
     EXPECT_FALSE (m_sessions.needsConfiguration (session, m_inForce, m_now));
     renew (session, 2);
-    EXPECT_TRUE (m_sessions.needsConfiguration (session, m_inForce, m_now)) << "it skips to 5";
+    EXPECT_TRUE (m_sessions.needsConfiguration (session, m_inForce, m_now))
+        << "the router skips to version 5";
 }
 
-TEST_F (RouterSessionsTest, AChangeThatDidNotFitIsFollowedByTheWholeAtOnce)
+TEST_F (RouterSessionsTest, SendsTheWholeConfigurationAtOnceAfterAChangeThatDidNotFit)
 {
     RouterSession& session = open (1);
     renew (session, 1);
@@ -143,14 +146,14 @@
     EXPECT_TRUE (session.needsWholeConfiguration);
 }
 
-TEST_F (RouterSessionsTest, ARouterAheadOfThisLeaderIsSentNothing)
+TEST_F (RouterSessionsTest, SendsNothingToARouterWithALaterVersion)
 {
     RouterSession& session = open (1);
     renew (session, 3);
     EXPECT_FALSE (m_sessions.needsConfiguration (session, m_inForce, m_now));
 }
 
-TEST_F (RouterSessionsTest, TableIsSentWholeAgainWhenItWasLost)
+TEST_F (RouterSessionsTest, ResendsTheWholeTableWhenItWasLost)
 {
     RouterSession& session = open (1);
     cell::RoutableReplica replica;
@@ -163,7 +166,7 @@
     replica.load = 8;
     EXPECT_EQ (updateTable (session, { replica }, {}, m_now)->fromVersion, first->toVersion);
     m_now += base::seconds (3);
-    renew (session, 2);  // States table version 0.
+    renew (session, 2);  // Reports table version 0.
     const auto whole = updateTable (session, { replica }, {}, m_now);
     ASSERT_TRUE (whole);
     EXPECT_EQ (whole->fromVersion, 0U);
