--- a/src/controller/ControlTraffic.cpp
+++ b/src/controller/ControlTraffic.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-// In the order of the alternatives of each variant.
+// Message names in the order of the alternatives of each variant.
 constexpr std::array<std::string_view, std::variant_size_v<consensus::Payload>> kMemberKinds{
     "vote_request",   "vote_reply",     "append_request",     "append_reply",
     "snapshot_chunk", "snapshot_reply", "transfer_leadership"
@@ -25,7 +25,10 @@
                     "suspect_hint",         "instance_load_update", "instance_rate_update",
                     "instance_permit_grant" };
 
-std::string_view nameOf (Direction direction) { return direction == Direction::kIn ? "in" : "out"; }
+std::string_view toString (Direction direction)
+{
+    return direction == Direction::kIn ? "in" : "out";
+}
 
 }  // namespace
 
@@ -67,7 +70,7 @@
     text.append ("# TYPE ").append (name).append (" counter\n");
     for (const auto& [key, totals] : m_totals)
     {
-        text.append (name).append ("{direction=\"").append (nameOf (key.first));
+        text.append (name).append ("{direction=\"").append (toString (key.first));
         text.append ("\",kind=\"").append (key.second).append ("\"} ");
         text.append (std::to_string (totals.*value)).append ("\n");
     }
--- a/src/controller/ControlTraffic.h
+++ b/src/controller/ControlTraffic.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Bytes and messages of control that this controller exchanged, by kind of message.
+/// Counts the control messages that this controller sent and received, and their bytes, by kind of
+/// message.
 
 #include <cstdint>
 #include <map>
@@ -19,18 +20,19 @@
     kOut
 };
 
-/// Name of a message in metrics, for example "append_request".
+/// Returns the name of a message in metrics, for example "append_request".
 [[nodiscard]] std::string_view kindOf (const consensus::Payload& payload);
 [[nodiscard]] std::string_view kindOf (const cell::RouterToController& message);
 [[nodiscard]] std::string_view kindOf (const cell::ControllerToRouter& message);
 
-/// Counters for /metrics.
+/// Counters of control messages for /metrics.
 class ControlTraffic
 {
 public:
     /// Counts one message of `bytes` bytes, frame header excluded.
     void record (Direction direction, std::string_view kind, std::size_t bytes);
-    /// Families fernlift_control_messages_total and fernlift_control_bytes_total.
+    /// Returns the metric families fernlift_control_messages_total and
+    /// fernlift_control_bytes_total.
     [[nodiscard]] std::string metricsText() const;
 
 private:
--- a/src/controller/EngineClient.cpp
+++ b/src/controller/EngineClient.cpp
@@ -7,7 +7,7 @@
 namespace fernlift::controller
 {
 
-/// One call. Ends itself once, then is dropped from the event loop.
+/// One call. Calls its handler once; the client then deletes it from the event loop.
 class EngineClient::Call final : public http::AnswerListener
 {
 public:
@@ -72,8 +72,7 @@
         [this, number, onEnd = std::move (onEnd)] (const http::AnswerHead* head,
                                                    const std::string& body)
         {
-            // The call is still on the stack: it goes once control is
-            // back in the event loop.
+            // The call is still on the stack, so it is deleted from the event loop.
             QTimer::singleShot (0, &m_context, [this, number] { m_calls.erase (number); });
             onEnd (head, body);
         });
--- a/src/controller/EngineClient.h
+++ b/src/controller/EngineClient.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Sends orders and report calls to engines of registered services, each on a connection of its own
-/// and never twice.
+/// Sends orders and report requests to engines of registered services. Each call uses its own
+/// connection and is never repeated.
 
 #include <QTimer>
 #include <functional>
@@ -20,7 +20,7 @@
 class EngineClient
 {
 public:
-    /// Told of a report that could not be read: whose and why.
+    /// Called for a report that cannot be parsed, with the instance and the reason.
     using Unreadable = std::function<void (std::string_view instance, std::string_view reason)>;
 
     EngineClient (std::shared_ptr<const EngineCodec> codec, base::Duration timeout,
@@ -29,7 +29,7 @@
 
     void sendOrder (const std::string& address, const engine::ServiceOrder& order,
                     std::function<void (engine::OrderOutcome outcome)> onAnswer);
-    /// `onReport` is called with null when there is no proper report.
+    /// Calls `onReport` with null when the call fails or the report cannot be parsed.
     void pollReport (const std::string& instance, const std::string& address,
                      std::function<void (const engine::ServiceReport* report)> onReport);
 
--- a/src/controller/EngineClientTest.cpp
+++ b/src/controller/EngineClientTest.cpp
@@ -37,11 +37,11 @@
     }
 };
 
-/// A port that takes one connection and then answers no attempt to connect.
-class DarkPort
+/// Port with a full accept queue, which does not answer further connection attempts.
+class UnresponsivePort
 {
 public:
-    DarkPort() : m_listener (::socket (AF_INET, SOCK_STREAM, 0))
+    UnresponsivePort() : m_listener (::socket (AF_INET, SOCK_STREAM, 0))
     {
         sockaddr_in address{};
         address.sin_family = AF_INET;
@@ -57,7 +57,7 @@
             ::connect (filler, reinterpret_cast<sockaddr*> (&address), sizeof address);
         }
     }
-    ~DarkPort()
+    ~UnresponsivePort()
     {
         for (const int filler : m_fillers)
             ::close (filler);
@@ -71,10 +71,10 @@
     int m_fillers[3] = { -1, -1, -1 };
 };
 
-TEST (EngineClientTest, ACallThatIsNotAnsweredEndsOnceAsUnknown)
+TEST (EngineClientTest, UnansweredCallEndsExactlyOnceAsUnknown)
 {
     http::test::application();
-    const DarkPort port;
+    const UnresponsivePort port;
     EngineClient client (std::make_shared<TestCodec>(), base::milliseconds (30),
                          [] (std::string_view, std::string_view) {});
     int unknown = 0;
--- a/src/controller/EngineCodec.h
+++ b/src/controller/EngineCodec.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Translation between the typed messages to engines of registered services and their bytes.
+/// Conversion between the typed messages to engines of registered services and their wire format.
 
 #include <string>
 
@@ -11,7 +11,7 @@
 namespace fernlift::controller
 {
 
-/// One protocol of engines. Stateless.
+/// A protocol between controllers and engines. Stateless.
 class EngineCodec
 {
 public:
@@ -20,12 +20,12 @@
     EngineCodec (const EngineCodec&) = delete;
     EngineCodec& operator= (const EngineCodec&) = delete;
 
-    /// A whole HTTP request that carries the order to the engine at `address`.
+    /// Returns a complete HTTP request that carries the order to the engine at `address`.
     [[nodiscard]] virtual std::string orderRequest (const engine::ServiceOrder& order,
                                                     const std::string& address) const = 0;
     [[nodiscard]] virtual engine::OrderOutcome orderOutcome (
         const http::AnswerHead& head) const = 0;
-    /// A whole HTTP request for the report of an instance.
+    /// Returns a complete HTTP request for the report of an instance.
     [[nodiscard]] virtual std::string reportRequest (const std::string& instance,
                                                      const std::string& address) const = 0;
     /// Fails with kInvalidRequest.
--- a/src/controller/OrderNotes.cpp
+++ b/src/controller/OrderNotes.cpp
@@ -7,8 +7,8 @@
 namespace
 {
 
-/// Notes older than this concern no pause and no rate.
-constexpr base::Duration kNoteLife = base::seconds (60);
+/// Older records affect neither the delay between orders nor the load rate limit.
+constexpr base::Duration kRecordLifetime = base::seconds (60);
 
 }  // namespace
 
@@ -20,8 +20,9 @@
         if (order.isFromStore)
             m_storeLoads.push_back (now);
     }
-    std::erase_if (m_orderedAt, [&] (const auto& item) { return now - item.second > kNoteLife; });
-    while (! m_storeLoads.empty() && now - m_storeLoads.front() > kNoteLife)
+    std::erase_if (m_orderedAt,
+                   [&] (const auto& item) { return now - item.second > kRecordLifetime; });
+    while (! m_storeLoads.empty() && now - m_storeLoads.front() > kRecordLifetime)
         m_storeLoads.pop_front();
 }
 
--- a/src/controller/OrderNotes.h
+++ b/src/controller/OrderNotes.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// When this member learnt of each leader's orders to registered engines. A new leader may order an
-/// engine only once the last order that an earlier one may have sent there is long enough ago.
+/// Times at which this member applied the log entries that record orders of leaders to registered
+/// engines. A new leader may send an engine an order only when the last order that an earlier
+/// leader may have sent there is long enough ago.
 
 #include <deque>
 #include <map>
@@ -16,17 +17,17 @@
 class OrderNotes
 {
 public:
-    /// Nothing is known of orders before `now`.
+    /// Starts without information on orders before `now`.
     explicit OrderNotes (base::TimePoint now) : m_knownFrom (now) {}
 
-    /// A committed note was applied. Orders leave at that time or shortly after.
+    /// Records the orders of an applied log entry. They are sent at that time or shortly after.
     void onNote (const cell::NoteOrders& note, base::TimePoint now);
-    /// The state was replaced: what was noted meanwhile is not known.
+    /// Discards all records after the state was replaced by a snapshot, which skips log entries.
     void forget (base::TimePoint now);
 
-    /// Latest time at which an order to the instance may have been noted.
+    /// Returns the latest time at which an order to the instance may have been recorded.
     [[nodiscard]] base::TimePoint orderedAt (const std::string& instance) const;
-    /// Times of loads from the weight store that were noted lately, oldest first.
+    /// Times of recent loads from the weight store, oldest first.
     [[nodiscard]] const std::deque<base::TimePoint>& storeLoads() const { return m_storeLoads; }
     [[nodiscard]] base::TimePoint knownFrom() const { return m_knownFrom; }
 
--- a/src/controller/OrderNotesTest.cpp
+++ b/src/controller/OrderNotesTest.cpp
@@ -8,37 +8,37 @@
 {
 
 constexpr base::TimePoint kStart{ base::seconds (100) };
-constexpr base::TimePoint kNoted{ base::seconds (110) };
+constexpr base::TimePoint kRecordedAt{ base::seconds (110) };
 
-cell::NoteOrders noteOf (const std::string& instance, bool isFromStore)
+cell::NoteOrders recordOf (const std::string& instance, bool isFromStore)
 {
-    cell::NoteOrders note;
-    note.orders.push_back ({ instance, isFromStore });
-    return note;
+    cell::NoteOrders command;
+    command.orders.push_back ({ instance, isFromStore });
+    return command;
 }
 
-TEST (OrderNotesTest, WhatIsNotKnownCountsAsOrderedJustBefore)
+TEST (OrderNotesTest, AssumesAnOrderAtTheStart)
 {
-    const OrderNotes notes (kStart);
-    EXPECT_EQ (notes.orderedAt ("i-1"), kStart);
+    const OrderNotes history (kStart);
+    EXPECT_EQ (history.orderedAt ("i-1"), kStart);
 }
 
-TEST (OrderNotesTest, ANoteCountsForItsInstanceOnly)
+TEST (OrderNotesTest, RecordAppliesToItsInstanceOnly)
 {
-    OrderNotes notes (kStart);
-    notes.onNote (noteOf ("i-1", true), kNoted);
-    EXPECT_EQ (notes.orderedAt ("i-1"), kNoted);
-    EXPECT_EQ (notes.orderedAt ("i-2"), kStart);
-    EXPECT_EQ (notes.storeLoads().size(), 1U);
+    OrderNotes history (kStart);
+    history.onNote (recordOf ("i-1", true), kRecordedAt);
+    EXPECT_EQ (history.orderedAt ("i-1"), kRecordedAt);
+    EXPECT_EQ (history.orderedAt ("i-2"), kStart);
+    EXPECT_EQ (history.storeLoads().size(), 1U);
 }
 
-TEST (OrderNotesTest, ASnapshotMakesEverythingBeforeItUnknown)
+TEST (OrderNotesTest, SnapshotDiscardsEarlierRecords)
 {
-    OrderNotes notes (kStart);
-    notes.onNote (noteOf ("i-1", false), kNoted);
-    notes.forget (kNoted + base::seconds (5));
-    EXPECT_EQ (notes.orderedAt ("i-1"), kNoted + base::seconds (5));
-    EXPECT_EQ (notes.orderedAt ("i-2"), kNoted + base::seconds (5));
+    OrderNotes history (kStart);
+    history.onNote (recordOf ("i-1", false), kRecordedAt);
+    history.forget (kRecordedAt + base::seconds (5));
+    EXPECT_EQ (history.orderedAt ("i-1"), kRecordedAt + base::seconds (5));
+    EXPECT_EQ (history.orderedAt ("i-2"), kRecordedAt + base::seconds (5));
 }
 
 }  // namespace
--- a/src/controller/OrderQueue.cpp
+++ b/src/controller/OrderQueue.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr base::Duration kRetryPause = base::milliseconds (200);
+constexpr base::Duration kRetryDelay = base::milliseconds (200);
 
 }  // namespace
 
@@ -40,7 +40,7 @@
 
 void OrderQueue::addStray (const base::RunnerId& runner, const engine::Order& order)
 {
-    m_queues[runner].strays[order.fence] = order;
+    m_queues[runner].orphans[order.fence] = order;
 }
 
 bool OrderQueue::hasStray (const base::RunnerId& runner, base::ReplicaId replica) const
@@ -48,8 +48,8 @@
     const auto found = m_queues.find (runner);
     if (found == m_queues.end())
         return false;
-    const auto& strays = found->second.strays;
-    return std::any_of (strays.begin(), strays.end(),
+    const auto& orphans = found->second.orphans;
+    return std::any_of (orphans.begin(), orphans.end(),
                         [&] (const auto& entry) { return entry.second.replica == replica; });
 }
 
@@ -58,7 +58,7 @@
 {
     Queue& queue = m_queues[runner];
     pruneAnswered (queue, runner, table);
-    pruneStrays (queue, runner, table);
+    pruneOrphans (queue, runner, table);
     std::optional<engine::Order> order = firstUnanswered (queue, runner, table);
     if (! order)
     {
@@ -90,9 +90,9 @@
         if (! first || order->fence < first->fence)
             first = std::move (order);
     }
-    if (! queue.strays.empty() && (! first || queue.strays.begin()->first < first->fence))
+    if (! queue.orphans.empty() && (! first || queue.orphans.begin()->first < first->fence))
     {
-        first = queue.strays.begin()->second;
+        first = queue.orphans.begin()->second;
     }
     return first;
 }
@@ -110,11 +110,11 @@
     queue.answered = std::move (current);
 }
 
-void OrderQueue::pruneStrays (Queue& queue, const base::RunnerId& runner,
-                              const cell::ReplicaTable& table)
+void OrderQueue::pruneOrphans (Queue& queue, const base::RunnerId& runner,
+                               const cell::ReplicaTable& table)
 {
     const cell::Runner* known = table.findRunner (runner);
-    std::erase_if (queue.strays, [&] (const auto& entry)
+    std::erase_if (queue.orphans, [&] (const auto& entry)
                    { return known == nullptr || entry.second.incarnation != known->incarnation; });
 }
 
@@ -127,7 +127,7 @@
     if (m_fault == cell::PlantedFault::kOrderWithoutFence)
         fence = queue.sentFence;
     queue.answered.insert (fence);
-    queue.strays.erase (fence);
+    queue.orphans.erase (fence);
     if (queue.sentFence == fence)
         queue.sentFence = 0;
 }
@@ -140,7 +140,7 @@
     const bool isCurrent =
         found->second.sentFence == fence || m_fault == cell::PlantedFault::kOrderWithoutFence;
     if (isCurrent)
-        found->second.resendAt = now + kRetryPause;
+        found->second.resendAt = now + kRetryDelay;
 }
 
 std::vector<base::RunnerId> OrderQueue::waitingRunners() const
--- a/src/controller/OrderQueue.h
+++ b/src/controller/OrderQueue.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Fenced orders to runners: one at a time to each, in fence order, sent again until answered.
-/// What to order follows from the replicated state, so a new leader goes on where the last stopped.
+/// Queues fenced orders to runners: one at a time to each runner, in fence order, sent again until
+/// answered. The orders follow from the replicated state, so that a new leader continues where the
+/// last one stopped.
 
 #include <map>
 #include <optional>
@@ -17,7 +18,7 @@
 namespace fernlift::controller
 {
 
-/// The order that a replica's last decision calls for; none for a ready replica.
+/// Returns the order that the last decision on a replica requires; none for a ready replica.
 [[nodiscard]] std::optional<engine::Order> orderFor (const cell::Replica& replica);
 
 class OrderQueue
@@ -28,39 +29,40 @@
     {
     }
 
-    /// Adds an unload of a replica that the state does not know.
+    /// Adds an order to unload an orphaned replica, one that is not in the replicated state.
     void addStray (const base::RunnerId& runner, const engine::Order& order);
 
     [[nodiscard]] bool hasStray (const base::RunnerId& runner, base::ReplicaId replica) const;
 
-    /// The order to send to a runner now, if any; it is then taken as sent.
+    /// Returns the order to send to a runner now, if any, and marks it as sent.
     [[nodiscard]] std::optional<engine::Order> next (const base::RunnerId& runner,
                                                      const cell::ReplicaTable& table,
                                                      base::TimePoint now);
-    /// The runner answered for good; the order is not sent again.
+    /// Records the final answer of a runner; the order is not sent again.
     void onAnswered (const base::RunnerId& runner, base::Fence fence);
-    /// No answer, or one that asks to try again: sent again after a pause.
+    /// Schedules the order to be sent again after a delay: it was not answered, or the runner asked
+    /// for a retry.
     void onFailed (const base::RunnerId& runner, base::Fence fence, base::TimePoint now);
-    /// Runners with an order to send again or a pause to wait for.
+    /// Returns the runners with an order that is not answered yet or waits to be sent again.
     [[nodiscard]] std::vector<base::RunnerId> waitingRunners() const;
     void forget (const base::RunnerId& runner) { m_queues.erase (runner); }
 
 private:
     struct Queue
     {
-        base::Fence sentFence = 0;   ///< Fence of the decision last sent; 0: none unanswered.
+        base::Fence sentFence = 0;   ///< Fence of the unanswered order; 0: none.
         base::TimePoint resendAt{};  ///< When the unanswered order is sent again.
         std::set<base::Fence> answered;
-        std::map<base::Fence, engine::Order> strays;
+        std::map<base::Fence, engine::Order> orphans;
     };
 
     std::optional<engine::Order> firstUnanswered (const Queue& queue, const base::RunnerId& runner,
                                                   const cell::ReplicaTable& table) const;
     static void pruneAnswered (Queue& queue, const base::RunnerId& runner,
                                const cell::ReplicaTable& table);
-    /// A restarted runner no longer holds what its former incarnation did.
-    static void pruneStrays (Queue& queue, const base::RunnerId& runner,
-                             const cell::ReplicaTable& table);
+    /// Removes the orphans of earlier incarnations, which a restarted runner no longer holds.
+    static void pruneOrphans (Queue& queue, const base::RunnerId& runner,
+                              const cell::ReplicaTable& table);
 
     base::Duration m_orderTimeout;
     cell::PlantedFault m_fault;
--- a/src/controller/OrderQueueTest.cpp
+++ b/src/controller/OrderQueueTest.cpp
@@ -97,7 +97,7 @@
     EXPECT_EQ (order->replica, replica);
 }
 
-TEST_F (OrderQueueTest, NewLeaderSendsWhatTheLastOneDid)
+TEST_F (OrderQueueTest, NewLeaderSendsTheSameOrder)
 {
     load ("a");
     const auto sent = next();
@@ -105,23 +105,23 @@
     EXPECT_EQ (ofNewLeader.next (kRunner, m_state.replicas(), m_now), sent);
 }
 
-TEST_F (OrderQueueTest, StrayOfFormerIncarnationHoldsNothingUp)
+TEST_F (OrderQueueTest, OrphanOfAnEarlierIncarnationDoesNotBlockOrders)
 {
-    engine::Order stray;
-    stray.kind = engine::OrderKind::kUnloadModel;
-    stray.fence = ++m_index;
-    stray.incarnation = 1;
-    stray.replica = 99;
-    m_orders.addStray (kRunner, stray);
-    EXPECT_EQ (next(), stray);
+    engine::Order orphan;
+    orphan.kind = engine::OrderKind::kUnloadModel;
+    orphan.fence = ++m_index;
+    orphan.incarnation = 1;
+    orphan.replica = 99;
+    m_orders.addStray (kRunner, orphan);
+    EXPECT_EQ (next(), orphan);
     observe (2);
-    m_orders.onFailed (kRunner, stray.fence, m_now);
+    m_orders.onFailed (kRunner, orphan.fence, m_now);
     m_now += kTimeout;
     const base::ReplicaId replica = load ("a", 2);
     const auto order = next();
     ASSERT_TRUE (order);
     EXPECT_EQ (order->replica, replica);
-    EXPECT_FALSE (m_orders.hasStray (kRunner, stray.replica));
+    EXPECT_FALSE (m_orders.hasStray (kRunner, orphan.replica));
 }
 
 }  // namespace
--- a/src/controller/PacedWork.h
+++ b/src/controller/PacedWork.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * Work that many events ask for and that is worth doing once for all of them, at a bounded rate.
+ * Runs work that many events request once for all of them, at a bounded rate.
  *
- * The leader recomputes the table of runners and the placement of models after every heartbeat,
- * report and demand. Each run costs time in proportion to the size of the cell, so that a large
- * cell must do it less often than events arrive: otherwise it has no time left for them.
+ * The leader recomputes the table of runners and the placement of models after heartbeats, reports
+ * and demand. Each run takes time in proportion to the size of the cell, so that in a large cell it
+ * must run less often than events arrive; otherwise no time is left to handle the events.
  */
 
 #include "base/Time.h"
@@ -13,18 +13,19 @@
 namespace fernlift::controller
 {
 
-/** Asked for at any time; due at once when it was not done lately, else once the interval is over.
+/** Tracks a request for the work. It is due at once when the last run is at least one interval ago,
+    otherwise at the end of that interval.
 
     Pure: time is passed in. Threading: none; owned by one ControllerCore.
 */
 class PacedWork
 {
 public:
-    /** Asks for the work; several requests before it is done count as one. */
+    /** Requests a run; several requests before the run count as one. */
     void request() { m_isRequested = true; }
 
-    /** Whether it is to be done now. When true, the request is taken and the next run is due after
-        `interval` at the earliest.
+    /** Returns whether the work is due now. If so, clears the request and delays the next run by at
+        least `interval`.
     */
     [[nodiscard]] bool takeDue (base::TimePoint now, base::Duration interval)
     {
@@ -36,8 +37,8 @@
     }
 
 private:
-    bool m_isRequested = true;      ///< A new leader has everything still to do.
-    base::TimePoint m_notBefore{};  ///< Never further ahead than one interval after the last run.
+    bool m_isRequested = true;      ///< The first run is always due.
+    base::TimePoint m_notBefore{};  ///< At most one interval after the last run.
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/PacedWorkTest.cpp
+++ b/src/controller/PacedWorkTest.cpp
@@ -16,14 +16,14 @@
     return base::TimePoint{} + base::seconds (100) + base::milliseconds (milliseconds);
 }
 
-TEST (PacedWork, isDueAtOnceTheFirstTime)
+TEST (PacedWork, firstRunIsDueAtOnce)
 {
     PacedWork work;
     EXPECT_TRUE (work.takeDue (at (0), kInterval));
-    EXPECT_FALSE (work.takeDue (at (100), kInterval)) << "nobody asked again";
+    EXPECT_FALSE (work.takeDue (at (100), kInterval)) << "no run was requested again";
 }
 
-TEST (PacedWork, manyRequestsWithinAnIntervalAreOneRun)
+TEST (PacedWork, requestsWithinAnIntervalAreMergedIntoOneRun)
 {
     PacedWork work;
     int runs = 0;
@@ -45,7 +45,7 @@
     EXPECT_TRUE (work.takeDue (at (30), kInterval));
 }
 
-TEST (PacedWork, aRequestAfterAPauseIsDueAtOnce)
+TEST (PacedWork, aRequestAfterTheIntervalIsDueAtOnce)
 {
     PacedWork work;
     ASSERT_TRUE (work.takeDue (at (0), kInterval));
--- a/src/controller/RunnerClient.cpp
+++ b/src/controller/RunnerClient.cpp
@@ -17,7 +17,7 @@
                                [] (const base::Error&) { return base::SocketAddress(); });
 }
 
-/// Parses with `parser` and hands the value to `onValue`; false when it cannot be parsed.
+/// Parses with `parser` and passes the value to `onValue`; returns false when parsing fails.
 template <class Value>
 bool parseInto (base::Result<Value> (*parser) (std::string_view), const std::string& body,
                 const std::function<void (const Value&)>& onValue)
--- a/src/controller/RunnerClient.h
+++ b/src/controller/RunnerClient.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Calls of the leader to runners and to the platform's machine list.
+/// HTTP client of the leader for runners and the platform's machine list.
 
 #include <functional>
 #include <string>
@@ -14,14 +14,14 @@
 namespace fernlift::controller
 {
 
-/// Sends orders and polls over HTTP. Exactly one of the handlers is called for each call, later and
-/// on the thread of the event loop.
+/// Sends orders and polls over HTTP. Exactly one of the two handlers is called for each call,
+/// asynchronously on the thread of the event loop.
 class RunnerClient
 {
 public:
     using FailureHandler = std::function<void()>;
 
-    /// `traffic` must outlive the client. Calls give up after `timeout`.
+    /// `traffic` must outlive the client. Calls fail after `timeout`.
     RunnerClient (base::Duration timeout, ControlTraffic* traffic);
 
     void sendOrder (const std::string& address, const engine::Order& order,
--- a/src/controller/RunnerPollingTest.cpp
+++ b/src/controller/RunnerPollingTest.cpp
@@ -22,7 +22,8 @@
     return list;
 }
 
-/// Polls in `length` of runners that answer at once and hold a replica in `phase`.
+/// Returns the number of polls in `length` for runners that answer at once and hold a replica in
+/// `phase`.
 std::size_t pollsIn (int runners, engine::ReplicaPhase phase, base::Duration length)
 {
     RunnerWatch watch (kInterval, kNow);
@@ -47,20 +48,20 @@
     EXPECT_EQ (pollsIn (24, engine::ReplicaPhase::kReady, base::seconds (10)), 24U * 40);
 }
 
-TEST (RunnerPollingTest, ManySteadyRunnersShareARate)
+TEST (RunnerPollingTest, PollsOfManyUnchangedRunnersShareARateLimit)
 {
     const std::size_t polls = pollsIn (800, engine::ReplicaPhase::kReady, base::seconds (10));
     EXPECT_LE (polls, 8000U);
     EXPECT_GE (polls, 7500U);
 }
 
-TEST (RunnerPollingTest, RunnersWithALoadUnderWayKeepTheInterval)
+TEST (RunnerPollingTest, RunnersWithALoadInProgressArePolledAtTheReportInterval)
 {
     EXPECT_EQ (pollsIn (300, engine::ReplicaPhase::kLoading, base::seconds (10)), 300U * 40);
 }
 
-/// With more polls due than can begin, each runner has its turn.
-TEST (RunnerPollingTest, PollsBeginAFewAtOnceAndInTurn)
+/// When more polls are due than may start in one step, each runner gets its turn.
+TEST (RunnerPollingTest, LimitsPollsPerStepAndPollsInTurn)
 {
     RunnerWatch watch (kInterval, kNow);
     watch.onMachineList (listOf (734));
@@ -78,7 +79,7 @@
     EXPECT_EQ (polled.size(), 734U);
 }
 
-TEST (RunnerPollingTest, ASteadyRunnerOfManyStaysResponsiveBetweenPolls)
+TEST (RunnerPollingTest, UnchangedRunnerStaysResponsiveBetweenRarePolls)
 {
     RunnerWatch watch (kInterval, kNow);
     watch.onMachineList (listOf (1600));
@@ -88,7 +89,7 @@
     EXPECT_FALSE (watch.isResponsive (runner, kNow + base::milliseconds (3750)));
 }
 
-TEST (RunnerPollingTest, OfFewRunnersASilentOneIsFoundSoon)
+TEST (RunnerPollingTest, DetectsASilentRunnerSoonInASmallCell)
 {
     RunnerWatch watch (kInterval, kNow);
     watch.onMachineList (listOf (24));
--- a/src/controller/RunnerSpeeds.cpp
+++ b/src/controller/RunnerSpeeds.cpp
@@ -11,66 +11,66 @@
 namespace
 {
 
-/// Slow moments last some tenths of a second: figures that are closer together tell of the same
-/// one.
-constexpr base::Duration kStatedApart = base::milliseconds (700);
+/// Temporary slowdowns last some tenths of a second: reports that are closer together are likely to
+/// describe the same one.
+constexpr base::Duration kMinReportSpacing = base::milliseconds (700);
 constexpr std::size_t kMostStated = 16;
-/// Of the stated figures in order: slow moments only lengthen work, and come for a small share of
-/// the time.
-constexpr double kUsualShare = 0.25;
-/// With fewer the shortest may be long by chance.
+/// Quantile of the reported work times that is used as nominal: temporary slowdowns only lengthen
+/// work, and take a small share of the time.
+constexpr double kNominalQuantile = 0.25;
+/// With fewer samples the shortest one may be long by chance.
 constexpr std::size_t kLeastSamples = 4;
 constexpr std::size_t kMostSamples = 32;
-/// Of the pauses in order: prompts that are read beside a stream lengthen many of its pauses, up to
-/// several times; nothing shortens more than a few.
-constexpr double kUndelayedShare = 0.25;
-/// A difference below this changes no choice.
+/// Quantile of the pauses that is used as undelayed: prompts processed concurrently with a stream
+/// lengthen many of its pauses, up to several times; only few pauses are shortened.
+constexpr double kUndelayedQuantile = 0.25;
+/// A smaller relative difference does not affect routing.
 constexpr double kNegligibleShare = 0.05;
 constexpr base::Duration kShortestInterval = base::milliseconds (500);
-/// The leader looks at every runner and at each model there.
-constexpr base::Duration kIntervalForRunner = std::chrono::microseconds (500);
+/// An estimation visits every runner and each of its models.
+constexpr base::Duration kIntervalPerRunner = std::chrono::microseconds (500);
 
-// Of logarithms of pauses, as variances: one sample of a pair; what samples of a pair share beside
-// model and runner; runners of one service.
+// Variances of logarithms of pauses: of one sample of a pair; of the deviation common to all
+// samples of a pair beside model and runner; of the runners of one service.
 constexpr double kSampleVariance = 0.3 * 0.3;
 constexpr double kPairVariance = 0.04 * 0.04;
 constexpr double kRunnerVariance = 0.4 * 0.4;
-/// Of runners that state how long work takes: pauses of 60 such runners, of which some took 0.55
-/// and some 1.2 times as long, were the same within 0.02 once divided by the figure.
-constexpr double kStatingRunnerVariance = 0.1 * 0.1;
-/// A pause may be a hundredth longer for each request at the runner, more or less.
+/// Variance of runners that report their work time: for 60 such runners, with work times of 0.55
+/// and of 1.2 of nominal, the pauses divided by the reported time agreed within 0.02.
+constexpr double kReportingRunnerVariance = 0.1 * 0.1;
+/// Variance of the lengthening of a pause by each request at the runner, which is about 0.01 of it.
 constexpr double kLoadVariance = 0.02 * 0.02;
 constexpr int kRounds = 30;
 
 }  // namespace
 
-RunnerSpeeds::Known& RunnerSpeeds::knownOf (const Runner& runner)
+RunnerSpeeds::RunnerState& RunnerSpeeds::stateOf (const Runner& runner)
 {
-    Known& known = m_known[runner.id];
-    known.service = runner.service;
+    RunnerState& state = m_runners[runner.id];
+    state.service = runner.service;
     m_estimating.request();
-    return known;
+    return state;
 }
 
 void RunnerSpeeds::onStated (const Runner& runner, std::uint32_t percent, base::TimePoint now)
 {
-    Known& known = knownOf (runner);
-    if (! known.stated.empty() && now - known.statedAt < kStatedApart)
+    RunnerState& state = stateOf (runner);
+    if (! state.reported.empty() && now - state.reportedAt < kMinReportSpacing)
     {
-        known.stated.back() = std::min (known.stated.back(), percent);
+        state.reported.back() = std::min (state.reported.back(), percent);
         return;
     }
-    known.statedAt = now;
-    known.stated.push_back (percent);
-    if (known.stated.size() > kMostStated)
-        known.stated.pop_front();
+    state.reportedAt = now;
+    state.reported.push_back (percent);
+    if (state.reported.size() > kMostStated)
+        state.reported.pop_front();
 }
 
 void RunnerSpeeds::onPauses (const Runner& runner, const Pauses& pauses, std::uint32_t inFlight)
 {
     if (pauses.count == 0 || pauses.microseconds == 0)
         return;
-    std::deque<Sample>& samples = knownOf (runner).samples[pauses.model];
+    std::deque<Sample>& samples = stateOf (runner).samples[pauses.model];
     const double mean = static_cast<double> (pauses.microseconds) / pauses.count;
     samples.push_back ({ std::log (mean), static_cast<double> (inFlight) });
     if (samples.size() > kMostSamples)
@@ -79,12 +79,12 @@
 
 void RunnerSpeeds::setEarlier (const Runner& runner, std::uint32_t percent)
 {
-    knownOf (runner).earlierPercent = percent;
+    stateOf (runner).inheritedPercent = percent;
 }
 
 void RunnerSpeeds::keepOnly (const std::function<bool (const std::string&)>& isKept)
 {
-    std::erase_if (m_known, [&] (const auto& item) { return ! isKept (item.first); });
+    std::erase_if (m_runners, [&] (const auto& item) { return ! isKept (item.first); });
 }
 
 RunnerSpeeds::Observation RunnerSpeeds::observationOf (const std::deque<Sample>& samples)
@@ -92,7 +92,7 @@
     std::vector<Sample> shortest (samples.begin(), samples.end());
     std::ranges::sort (shortest, {}, &Sample::pause);
     const auto count = static_cast<double> (samples.size());
-    shortest.resize (1 + static_cast<std::size_t> (kUndelayedShare * (count - 1)));
+    shortest.resize (1 + static_cast<std::size_t> (kUndelayedQuantile * (count - 1)));
     Observation observation;
     observation.pause = shortest.back().pause;
     for (const Sample& sample : shortest)
@@ -101,7 +101,7 @@
     return observation;
 }
 
-void RunnerSpeeds::estimate (const std::vector<Known*>& runners)
+void RunnerSpeeds::estimate (const std::vector<RunnerState*>& runners)
 {
     std::map<std::string, std::size_t> models;
     std::set<std::size_t> measured;
@@ -124,8 +124,8 @@
     std::vector<double> speeds (runners.size());
     std::vector<double> pauses (models.size());
     double perRequest = 0;
-    // Each of the three is fitted to what the others leave; runners and load are drawn to zero as
-    // far as little is known, models are not.
+    // Alternately fits models, runners and load to the residuals of the other two. Runners and load
+    // have a prior with mean zero, which dominates while there is little data; models have none.
     for (int round = 0; round < kRounds; ++round)
     {
         std::vector<std::pair<double, double>> ofModel (models.size());
@@ -150,33 +150,33 @@
         for (std::size_t runner = 0; runner < runners.size(); ++runner)
         {
             const double variance =
-                runners[runner]->stated.empty() ? kRunnerVariance : kStatingRunnerVariance;
+                runners[runner]->reported.empty() ? kRunnerVariance : kReportingRunnerVariance;
             speeds[runner] = ofRunner[runner].first / (ofRunner[runner].second + 1 / variance);
         }
         perRequest = std::max (0.0, ofLoad.first / ofLoad.second);
     }
-    // Against the mean of those that were measured.
+    // Normalizes to the mean speed of the measured runners.
     double sum = 0;
     for (const std::size_t runner : measured)
         sum += std::exp (speeds[runner]);
     const double mean = std::log (sum / static_cast<double> (measured.size()));
     for (const std::size_t runner : measured)
-        runners[runner]->paceSpeed = speeds[runner] - mean;
+        runners[runner]->logSpeed = speeds[runner] - mean;
 }
 
-std::uint32_t RunnerSpeeds::percentOf (const Known& known)
+std::uint32_t RunnerSpeeds::percentOf (const RunnerState& state)
 {
-    const bool isMeasured = ! known.stated.empty() || known.paceSpeed != 0;
-    if (! isMeasured && known.earlierPercent != 0)
-        return known.earlierPercent;
-    double percent = cell::kUsualPercent * std::exp (known.paceSpeed);
-    if (! known.stated.empty())
+    const bool isMeasured = ! state.reported.empty() || state.logSpeed != 0;
+    if (! isMeasured && state.inheritedPercent != 0)
+        return state.inheritedPercent;
+    double percent = cell::kUsualPercent * std::exp (state.logSpeed);
+    if (! state.reported.empty())
     {
-        std::vector<std::uint32_t> stated (known.stated.begin(), known.stated.end());
-        std::ranges::sort (stated);
-        const auto usual =
-            static_cast<std::size_t> (kUsualShare * static_cast<double> (stated.size() - 1));
-        percent *= cell::kUsualPercent / std::max<double> (stated[usual], 1);
+        std::vector<std::uint32_t> reported (state.reported.begin(), state.reported.end());
+        std::ranges::sort (reported);
+        const auto nominal =
+            static_cast<std::size_t> (kNominalQuantile * static_cast<double> (reported.size() - 1));
+        percent *= cell::kUsualPercent / std::max<double> (reported[nominal], 1);
     }
     return static_cast<std::uint32_t> (
         std::lround (std::clamp<double> (percent, cell::kLeastPercent, cell::kMostPercent)));
@@ -184,29 +184,29 @@
 
 std::uint32_t RunnerSpeeds::speedOf (const std::string& instance) const
 {
-    const auto found = m_known.find (instance);
-    return found == m_known.end() ? Known{}.toldPercent : found->second.toldPercent;
+    const auto found = m_runners.find (instance);
+    return found == m_runners.end() ? RunnerState{}.sentPercent : found->second.sentPercent;
 }
 
 std::vector<RunnerSpeeds::Speed> RunnerSpeeds::takeChanged (base::TimePoint now)
 {
     const base::Duration interval = std::max<base::Duration> (
-        kShortestInterval, static_cast<std::int64_t> (m_known.size()) * kIntervalForRunner);
+        kShortestInterval, static_cast<std::int64_t> (m_runners.size()) * kIntervalPerRunner);
     if (! m_estimating.takeDue (now, interval))
         return {};
-    std::map<std::string, std::vector<Known*>> services;
-    for (auto& [instance, known] : m_known)
-        services[known.service].push_back (&known);
+    std::map<std::string, std::vector<RunnerState*>> services;
+    for (auto& [instance, state] : m_runners)
+        services[state.service].push_back (&state);
     for (const auto& [service, runners] : services)
         estimate (runners);
     std::vector<Speed> changed;
-    for (auto& [instance, known] : m_known)
+    for (auto& [instance, state] : m_runners)
     {
-        const std::uint32_t percent = percentOf (known);
-        const double difference = std::abs (static_cast<double> (percent) - known.toldPercent);
-        if (difference < kNegligibleShare * known.toldPercent)
+        const std::uint32_t percent = percentOf (state);
+        const double difference = std::abs (static_cast<double> (percent) - state.sentPercent);
+        if (difference < kNegligibleShare * state.sentPercent)
             continue;
-        known.toldPercent = percent;
+        state.sentPercent = percent;
         changed.push_back ({ instance, percent });
     }
     return changed;
--- a/src/controller/RunnerSpeeds.h
+++ b/src/controller/RunnerSpeeds.h
@@ -1,13 +1,13 @@
 #pragma once
 
 /**
- * How much work each runner does in the same time, learned from what routers saw.
+ * Estimates the relative speed of each runner from observations of routers.
  *
- * Runners that state how long work takes on their machine tell it themselves, apart from the slow
- * moments that they state too: the usual figure counts. What such figures don't explain shows in
- * the pauses between events of streams. A pause depends on the model and on the runner, and neither
- * is known: both are estimated together, in logarithms, from all pairs that were seen, with the
- * number of requests at the runner, which lengthens pauses as well.
+ * Some runners report how long work takes on their machine. Such reports include temporary
+ * slowdowns, so the typical figure is used. Differences that the reports do not explain show in the
+ * pauses between events of streams. A pause depends on the model, on the runner and on the number
+ * of requests at the runner. The influence of all three is estimated together, on logarithms, from
+ * all observed pairs of runner and model.
  */
 
 #include <cstdint>
@@ -36,7 +36,7 @@
     {
         std::string model;
         std::uint32_t count = 0;
-        std::uint64_t microseconds = 0;  ///< Together, each divided by the figure stated last.
+        std::uint64_t microseconds = 0;  ///< Sum, each divided by the work time reported last.
     };
     struct Speed
     {
@@ -44,53 +44,55 @@
         std::uint32_t percent = 100;
     };
 
-    /** The runner stated how long work takes on its machine: 100 is the usual of its service. */
+    /** Records how long work takes on the runner's machine; 100 is nominal for its service. */
     void onStated (const Runner& runner, std::uint32_t percent, base::TimePoint now);
-    /** Pauses that ended lately, with so many requests at the runner. */
+    /** Records recent pauses, observed with `inFlight` requests at the runner. */
     void onPauses (const Runner& runner, const Pauses& pauses, std::uint32_t inFlight);
-    /** What an earlier leader had learned: holds until the runner is measured here. */
+    /** Sets the estimate of an earlier leader, which applies until this leader has its own. */
     void setEarlier (const Runner& runner, std::uint32_t percent);
-    /** Forgets the other runners: they are gone, or started again. */
+    /** Removes all other runners, which have been removed from the cell or restarted. */
     void keepOnly (const std::function<bool (const std::string& instance)>& isKept);
 
-    /** As told last; 100 where nothing is known. */
+    /** Returns the speed last returned by takeChanged(); 100 for an unknown runner. */
     [[nodiscard]] std::uint32_t speedOf (const std::string& instance) const;
-    /** Speeds that differ much from what was told, at some interval; 100 where nothing is known. */
+    /** Returns the speeds that differ significantly from the last returned ones, at limited
+        intervals. A runner without data has 100.
+    */
     [[nodiscard]] std::vector<Speed> takeChanged (base::TimePoint now);
 
 private:
     struct Sample
     {
-        double pause = 0;  ///< Logarithm.
+        double pause = 0;  ///< Logarithm of the mean pause.
         double inFlight = 0;
     };
-    struct Known
+    struct RunnerState
     {
         std::string service;
-        std::deque<std::uint32_t> stated;  ///< The latest, some time apart.
-        base::TimePoint statedAt{};
-        std::map<std::string, std::deque<Sample>> samples;  ///< The latest, by model.
-        double paceSpeed = 0;              ///< Logarithm; of what stated figures don't explain.
-        std::uint32_t earlierPercent = 0;  ///< 0: an earlier leader told nothing.
-        std::uint32_t toldPercent = 100;
+        std::deque<std::uint32_t> reported;  ///< Latest reports, at least 700 ms apart.
+        base::TimePoint reportedAt{};
+        std::map<std::string, std::deque<Sample>> samples;  ///< Latest samples, by model.
+        double logSpeed = 0;  ///< Logarithm of the speed that reports do not explain.
+        std::uint32_t inheritedPercent = 0;  ///< Estimate of an earlier leader; 0: none.
+        std::uint32_t sentPercent = 100;
     };
-    /** A runner and a model that were seen together. */
+    /** Samples of one pair of runner and model. */
     struct Observation
     {
         std::size_t runner = 0;
         std::size_t model = 0;
-        double pause = 0;  ///< Logarithm.
+        double pause = 0;  ///< Logarithm of the undelayed pause.
         double inFlight = 0;
         double weight = 0;
     };
 
-    Known& knownOf (const Runner& runner);
-    /** Estimates the pace speeds of the runners of one service. */
-    static void estimate (const std::vector<Known*>& runners);
+    RunnerState& stateOf (const Runner& runner);
+    /** Estimates `logSpeed` of the runners of one service. */
+    static void estimate (const std::vector<RunnerState*>& runners);
     [[nodiscard]] static Observation observationOf (const std::deque<Sample>& samples);
-    [[nodiscard]] static std::uint32_t percentOf (const Known& known);
+    [[nodiscard]] static std::uint32_t percentOf (const RunnerState& state);
 
-    std::map<std::string, Known> m_known;
+    std::map<std::string, RunnerState> m_runners;
     PacedWork m_estimating;
 };
 
--- a/src/controller/RunnerSpeedsTest.cpp
+++ b/src/controller/RunnerSpeedsTest.cpp
@@ -12,19 +12,20 @@
 
 using base::milliseconds;
 
-/// Runners of a service that differ in speed, with streams of several models, under load and in
-/// noise; what routers would report of them.
-class RunnersPlay
+/// Simulates the reports of routers on runners of one service that differ in speed, with streams of
+/// several models, load and noise.
+class SimulatedRunners
 {
 public:
     struct Options
     {
-        bool statesFigures = true;  ///< Runners state how long work takes on their machines.
+        bool reportWorkTime = true;  ///< Runners report how long work takes on their machines.
         std::size_t models = 20;
         std::size_t runners = 60;
     };
 
-    RunnersPlay (std::uint64_t seed, const Options& options) : m_options (options), m_random (seed)
+    SimulatedRunners (std::uint64_t seed, const Options& options)
+        : m_options (options), m_random (seed)
     {
         for (std::size_t model = 0; model < options.models; ++model)
             m_paces.push_back (model % 3 == 0 ? 0.35 : 1);
@@ -53,11 +54,12 @@
                 step (runner, speeds);
             for (const RunnerSpeeds::Speed& speed : speeds.takeChanged (m_now))
 
-                m_told[speed.instance] = speed.percent;
+                m_sent[speed.instance] = speed.percent;
         }
     }
 
-    /// The largest error of a speed, as a share; against the mean where runners state nothing.
+    /// Returns the largest relative error of a speed. Without reported work times, true speeds are
+    /// relative to their mean.
     [[nodiscard]] double largestError() const
     {
         double mean = 0;
@@ -66,10 +68,10 @@
         double largest = 0;
         for (const Runner& runner : m_runners)
         {
-            const double truth = 1 / runner.timeFactor / (m_options.statesFigures ? 1 : mean);
-            const auto told = m_told.find (runner.runner.id);
-            const double known = told == m_told.end() ? 1 : told->second / 100.0;
-            largest = std::max (largest, std::abs (known / truth - 1));
+            const double truth = 1 / runner.timeFactor / (m_options.reportWorkTime ? 1 : mean);
+            const auto sent = m_sent.find (runner.runner.id);
+            const double estimate = sent == m_sent.end() ? 1 : sent->second / 100.0;
+            largest = std::max (largest, std::abs (estimate / truth - 1));
         }
         return largest;
     }
@@ -79,30 +81,31 @@
     {
         RunnerSpeeds::Runner runner;
         double timeFactor = 1;
-        std::int64_t load = 1;  ///< Requests there, in the mean.
-        bool isSlow = false;    ///< For the moment.
+        std::int64_t load = 1;  ///< Mean number of requests at the runner.
+        bool isSlow = false;    ///< Temporarily slowed down.
         std::vector<std::size_t> models;
     };
 
     void step (Runner& runner, RunnerSpeeds& speeds)
     {
-        // A sixth of all 600 ms are slow, and the pauses that the old figure corrects are wrong.
+        // About 0.15 of the time, in periods of 600 ms on average, the runner is slow. Pauses
+        // divided by a work time reported before such a period began or ended are wrong.
         if (m_random.chance (1.0 / 6))
             runner.isSlow = m_random.chance (0.15);
         if (! m_random.chance (0.3))
             return;
         const double factor = runner.timeFactor * (runner.isSlow ? 2.5 : 1);
-        if (m_options.statesFigures)
+        if (m_options.reportWorkTime)
             speeds.onStated (runner.runner, static_cast<std::uint32_t> (std::lround (100 * factor)),
                              m_now);
         const std::size_t model = runner.models[static_cast<std::size_t> (
             m_random.uniformInteger (0, static_cast<std::int64_t> (runner.models.size()) - 1))];
         const auto inFlight = m_random.uniformInteger (runner.load / 2, runner.load * 3 / 2);
-        // Each request at the runner lengthens a step a little, a prompt that is read much.
+        // Each request at the runner lengthens a step slightly, a prompt in prefill considerably.
         double pause = 26'700 * m_paces[model] * (1 + 0.01 * static_cast<double> (inFlight));
         if (m_random.chance (std::min (0.45, 0.03 * static_cast<double> (inFlight))))
             pause *= 1 + 4 * m_random.uniformReal();
-        if (! m_options.statesFigures)
+        if (! m_options.reportWorkTime)
             pause *= factor;
         else if (m_random.chance (0.05))
             pause *= m_random.chance (0.5) ? 2.5 : 0.4;
@@ -117,32 +120,32 @@
     base::TimePoint m_now{ base::seconds (100) };
     std::vector<double> m_paces;
     std::vector<Runner> m_runners;
-    std::map<std::string, std::uint32_t> m_told;
+    std::map<std::string, std::uint32_t> m_sent;
 };
 
-TEST (RunnerSpeeds, AreFoundUnderLoadAndNoiseWhereRunnersStateThem)
+TEST (RunnerSpeeds, AreEstimatedUnderLoadAndNoiseFromReportedWorkTimes)
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed)
     {
         RunnerSpeeds speeds;
-        RunnersPlay play (seed, {});
-        play.run (speeds, base::seconds (20));
-        EXPECT_LE (play.largestError(), 0.1) << "seed " << seed;
+        SimulatedRunners simulation (seed, {});
+        simulation.run (speeds, base::seconds (20));
+        EXPECT_LE (simulation.largestError(), 0.1) << "seed " << seed;
     }
 }
 
-TEST (RunnerSpeeds, AreFoundUnderLoadAndNoiseFromPausesAlone)
+TEST (RunnerSpeeds, AreEstimatedUnderLoadAndNoiseFromPausesAlone)
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed)
     {
         RunnerSpeeds speeds;
-        RunnersPlay play (seed, { false, 20, 60 });
-        play.run (speeds, base::seconds (60));
-        EXPECT_LE (play.largestError(), 0.1) << "seed " << seed;
+        SimulatedRunners simulation (seed, { false, 20, 60 });
+        simulation.run (speeds, base::seconds (60));
+        EXPECT_LE (simulation.largestError(), 0.1) << "seed " << seed;
     }
 }
 
-TEST (RunnerSpeeds, NothingIsSaidOfARunnerWhoseModelsNobodyElseHolds)
+TEST (RunnerSpeeds, NoEstimateForARunnerThatSharesNoModel)
 {
     RunnerSpeeds speeds;
     for (int count = 0; count < 50; ++count)
@@ -153,7 +156,7 @@
     EXPECT_TRUE (speeds.takeChanged (base::TimePoint{} + base::seconds (9)).empty());
 }
 
-TEST (RunnerSpeeds, AFigureThatIsTheUsualOfARunnerIsItsSpeed)
+TEST (RunnerSpeeds, TypicalReportedWorkTimeDeterminesTheSpeed)
 {
     RunnerSpeeds speeds;
     const base::TimePoint start = base::TimePoint{} + base::seconds (9);
@@ -165,7 +168,7 @@
     EXPECT_TRUE (speeds.takeChanged (start + base::seconds (1)).empty());
 }
 
-TEST (RunnerSpeeds, ARunnerThatIsForgottenIsUnknown)
+TEST (RunnerSpeeds, RemovedRunnerStartsWithoutAnEstimate)
 {
     RunnerSpeeds speeds;
     const base::TimePoint start = base::TimePoint{} + base::seconds (9);
@@ -176,7 +179,7 @@
     EXPECT_TRUE (speeds.takeChanged (start + base::seconds (2)).empty());
 }
 
-TEST (RunnerSpeeds, WhatAnEarlierLeaderLearnedHoldsUntilTheRunnerIsMeasured)
+TEST (RunnerSpeeds, InheritedSpeedAppliesUntilTheRunnerIsMeasured)
 {
     RunnerSpeeds speeds;
     const base::TimePoint start = base::TimePoint{} + base::seconds (9);
--- a/src/controller/RunnerWatch.h
+++ b/src/controller/RunnerWatch.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What a leader sees of the runners: the machine list, their reports and signs that one leaves.
-/// Lost with leadership; nothing here is a promise.
+/// Observations of runners at the leader: the machine list, reports, and notices that a runner is
+/// leaving. They are not replicated and are lost with leadership.
 
 #include <cstdint>
 #include <map>
@@ -18,61 +18,66 @@
 namespace fernlift::controller
 {
 
-/// One runner as last seen.
+/// Latest observations of one runner.
 struct RunnerSight
 {
     std::optional<engine::Machine> listed;  ///< Latest entry of the machine list.
     std::optional<engine::Report> report;   ///< Latest report.
     base::TimePoint reportedAt{};
-    std::map<std::string, engine::CheckpointPlace> checkpoints;  ///< Of the latest report.
-    std::set<base::Incarnation> leavingIncarnations;  ///< Said to be leaving by any sign.
-    std::uint32_t omissions = 0;  ///< Successive machine lists without it, and no report since.
-    bool isPolled = false;        ///< A poll is on its way.
+    std::map<std::string, engine::CheckpointPlace>
+        checkpoints;                                  ///< Checkpoints of the latest report.
+    std::set<base::Incarnation> leavingIncarnations;  ///< Incarnations known to be leaving.
+    std::uint32_t omissions = 0;  ///< Consecutive machine lists without it, since its last report.
+    bool isPolled = false;        ///< A poll has not been answered yet.
     base::TimePoint nextPollAt{};
 };
 
 class RunnerWatch
 {
 public:
-    /// Successive machine lists that must omit a silent runner before it counts as gone.
-    static constexpr std::uint32_t kOmissionsUntilGone = 3;
+    /// Consecutive machine lists that must omit a silent runner before it counts as removed.
+    static constexpr std::uint32_t kMaxOmissions = 3;
 
     RunnerWatch (base::Duration reportInterval, base::TimePoint now)
         : m_reportInterval (reportInterval), m_startedAt (now)
     {
     }
 
-    /// Makes the runners of the replicated state known, so that they are polled before the first
-    /// machine list arrives.
+    /// Adds the runners of the replicated state, so that they are polled before the first machine
+    /// list arrives.
     void addKnown (const std::map<base::RunnerId, cell::Runner>& runners);
 
-    /// An empty list is ignored. Returns the runners that count as gone.
+    /// Applies a machine list and returns the runners that count as removed. Ignores an empty list.
     std::vector<base::RunnerId> onMachineList (const engine::MachineList& list);
     void onReport (const base::RunnerId& runner, const engine::Report& report, base::TimePoint now);
     void onReportFailed (const base::RunnerId& runner, base::TimePoint now);
     void onLeavingSign (const base::RunnerId& runner, base::Incarnation incarnation);
     void forget (const base::RunnerId& runner);
 
-    /// Runners to poll now, a bounded number in turn; marks them as polled.
+    /// Returns the runners to poll now, a bounded number in turn, and marks them as polled.
     [[nodiscard]] std::vector<base::RunnerId> takeDuePolls (base::TimePoint now);
     void pollSoon (const base::RunnerId& runner, base::TimePoint now);
 
     [[nodiscard]] const RunnerSight* find (const base::RunnerId& runner) const;
-    [[nodiscard]] const std::map<base::RunnerId, RunnerSight>& sights() const { return m_sights; }
-    /// False once several reports in a row are missing.
+    [[nodiscard]] const std::map<base::RunnerId, RunnerSight>& sights() const
+    {
+        return m_observations;
+    }
+    /// Returns false when several consecutive reports are missing.
     [[nodiscard]] bool isResponsive (const base::RunnerId& runner, base::TimePoint now) const;
-    /// True when the list, the report or a router said that this incarnation leaves.
-    [[nodiscard]] static bool isLeaving (const RunnerSight& sight, base::Incarnation incarnation);
+    /// Returns whether the machine list, the report or a router showed this incarnation as leaving.
+    [[nodiscard]] static bool isLeaving (const RunnerSight& observation,
+                                         base::Incarnation incarnation);
 
 private:
-    /// Interval of the polls of a runner on which nothing changes; grows with the number of
+    /// Returns the poll interval of a runner without changes, which grows with the number of
     /// runners.
     [[nodiscard]] base::Duration steadyInterval() const;
 
     base::Duration m_reportInterval;
     base::TimePoint m_startedAt;
     base::RunnerId m_lastPolled;  ///< The next poll goes to a runner after this one.
-    std::map<base::RunnerId, RunnerSight> m_sights;
+    std::map<base::RunnerId, RunnerSight> m_observations;
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/RunnerWatchTest.cpp
+++ b/src/controller/RunnerWatchTest.cpp
@@ -26,7 +26,7 @@
 {
 protected:
     RunnerWatchTest() { m_watch.onMachineList (listOf ({ "r1", "r2" })); }
-    std::size_t goneAfterList() { return m_watch.onMachineList (listOf ({ "r2" })).size(); }
+    std::size_t removedAfterList() { return m_watch.onMachineList (listOf ({ "r2" })).size(); }
     void report (base::Incarnation incarnation, bool isLeaving = false)
     {
         engine::Report report;
@@ -40,17 +40,17 @@
     RunnerWatch m_watch{ kInterval, m_now };
 };
 
-TEST_F (RunnerWatchTest, GoneOnlyAfterThreeListsWithoutItAndNoReport)
+TEST_F (RunnerWatchTest, RemovedOnlyAfterThreeListsWithoutItAndNoReport)
 {
-    EXPECT_EQ (goneAfterList(), 0U);
-    EXPECT_EQ (goneAfterList(), 0U);
+    EXPECT_EQ (removedAfterList(), 0U);
+    EXPECT_EQ (removedAfterList(), 0U);
     report (1);
-    EXPECT_EQ (goneAfterList(), 0U);
-    EXPECT_EQ (goneAfterList(), 0U);
-    EXPECT_EQ (goneAfterList(), 1U);
+    EXPECT_EQ (removedAfterList(), 0U);
+    EXPECT_EQ (removedAfterList(), 0U);
+    EXPECT_EQ (removedAfterList(), 1U);
 }
 
-TEST_F (RunnerWatchTest, EmptyListProvesNothing)
+TEST_F (RunnerWatchTest, EmptyListIsIgnored)
 {
     for (int number = 0; number < 10; ++number)
     {
@@ -58,14 +58,14 @@
     }
 }
 
-TEST_F (RunnerWatchTest, FirstOfThreeSignsOfLeavingCounts)
+TEST_F (RunnerWatchTest, AnyNoticeMarksTheRunnerAsLeaving)
 {
     report (7);
     EXPECT_FALSE (RunnerWatch::isLeaving (*m_watch.find (kRunner), 7));
     m_watch.onLeavingSign (kRunner, 7);
     EXPECT_TRUE (RunnerWatch::isLeaving (*m_watch.find (kRunner), 7));
     EXPECT_FALSE (RunnerWatch::isLeaving (*m_watch.find (kRunner), 8))
-        << "a sign names an incarnation";
+        << "a notice applies to one incarnation";
     report (8, true);
     EXPECT_TRUE (RunnerWatch::isLeaving (*m_watch.find (kRunner), 8));
     engine::MachineList list = listOf ({ "r1", "r2" });
--- a/src/controller/SnapshotSchedule.h
+++ b/src/controller/SnapshotSchedule.h
@@ -1,32 +1,32 @@
 #pragma once
 
-/// When a member takes a snapshot of its state and compacts its log.
+/// Decides when a member takes a snapshot of its state and compacts its log.
 
 #include <cstddef>
 
 namespace fernlift::controller
 {
 
-/// A snapshot is due after a number of entries, or once the log is so long that a restart would
-/// take long to read and apply it. A large state is written out whole each time, which holds up the
-/// member: it is due only once the log since the last snapshot is several times as large, so that
-/// the cost of each log byte stays bounded.
+/// A snapshot is due after a number of entries, or when the log is so long that a restart would
+/// take long to read and apply it. A snapshot writes the whole state, which blocks the member for a
+/// large state: it is then due only when the log since the last snapshot is several times as large,
+/// so that the snapshot cost per log byte stays bounded.
 class SnapshotSchedule
 {
 public:
-    /// States up to this size are cheap to write.
+    /// Maximum size of a snapshot that is cheap to write.
     static constexpr std::size_t kSmallSnapshotBytes = 1024UL * 1024;
-    /// A log of this size is slow to apply on a small machine.
+    /// Size from which a log is slow to apply on a small machine.
     static constexpr std::size_t kLongLogBytes = 256UL * 1024;
-    /// Log bytes for each byte of the last snapshot that make a log long.
+    /// Minimum ratio of log size to the last snapshot when the log is due by its size.
     static constexpr std::size_t kLongLogToSnapshot = 2;
-    /// Log bytes for each byte of the last large snapshot.
+    /// Minimum ratio of log size to a large last snapshot when the log is due by its entries.
     static constexpr std::size_t kLogToSnapshot = 4;
 
     explicit SnapshotSchedule (std::size_t entriesBetween) : m_entriesBetween (entriesBetween) {}
 
     void onEntry (std::size_t bytes);
-    /// A snapshot of `bytes` was taken, installed or recovered.
+    /// Records that a snapshot of `bytes` was taken, installed or recovered.
     void onSnapshot (std::size_t bytes);
     [[nodiscard]] bool isDue() const;
 
--- a/src/controller/SnapshotScheduleTest.cpp
+++ b/src/controller/SnapshotScheduleTest.cpp
@@ -33,7 +33,7 @@
     EXPECT_TRUE (schedule.isDue());
 }
 
-TEST (SnapshotScheduleTest, ALongLogIsDueBeforeItsEntriesAreMany)
+TEST (SnapshotScheduleTest, LongLogIsDueBeforeTheNumberOfEntries)
 {
     SnapshotSchedule schedule (1000);
     schedule.onSnapshot (10);
--- a/src/controller/StorageThread.h
+++ b/src/controller/StorageThread.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The one thread that writes a controller's data folder.
+/// Thread that writes a controller's data folder; nothing else writes it.
 
 #include <QObject>
 #include <condition_variable>
@@ -20,31 +20,32 @@
 namespace fernlift::controller
 {
 
-/// What the thread has done so far.
+/// Counters of the thread since its start.
 struct StorageWork
 {
-    std::uint64_t requests = 0;      ///< Writes asked for by consensus.
-    std::uint64_t syncs = 0;         ///< Calls of Storage::write, each one sync.
+    std::uint64_t requests = 0;      ///< Writes requested by consensus.
+    std::uint64_t syncs = 0;         ///< Calls of Storage::write; each syncs once.
     std::uint64_t microseconds = 0;  ///< Time spent in Storage::write.
 };
 
-/// Carries out writes in the order of their submission. Everything that waits when the disk is free
-/// goes into one `Storage::write`, and so into one sync. After a failure nothing more is written.
+/// Performs writes in the order of their submission. All requests that are waiting when the disk
+/// becomes free are combined into one `Storage::write` and thus one sync. After a failure nothing
+/// more is written.
 class StorageThread
 {
 public:
-    /// Run on the thread of `context`.
+    /// Called on the thread of `context`.
     struct Handlers
     {
-        /// Every write up to `sequence` is synced.
+        /// All writes up to `sequence` are synced.
         std::function<void (std::uint64_t sequence)> onPersisted;
-        /// The disk failed for good; called once.
+        /// A write failed; no further writes follow. Called once.
         std::function<void (const base::Error& error)> onFailed;
     };
 
     /// `context` must outlive the object; its thread must run an event loop.
     StorageThread (std::unique_ptr<storage::Storage> storage, QObject* context, Handlers handlers);
-    /// Finishes the writes that wait, then ends the thread.
+    /// Completes all submitted writes, then ends the thread.
     ~StorageThread();
     StorageThread (const StorageThread&) = delete;
     StorageThread& operator= (const StorageThread&) = delete;
@@ -54,12 +55,13 @@
 
 private:
     void run();
-    /// Waits for requests and takes all of them; empty once the thread should end.
+    /// Waits for requests and removes all of them; returns an empty list when the thread should
+    /// end.
     std::vector<consensus::PersistRequest> takeWaiting();
-    /// Writes `requests` with one sync; false when the disk failed.
+    /// Writes `requests` with one sync; returns false on failure.
     bool write (const std::vector<consensus::PersistRequest>& requests);
 
-    /// Tells the owner's thread how the writes up to `sequence` ended.
+    /// Reports the result of the writes up to `sequence` on the thread of the context.
     void report (std::optional<base::Error> failure, std::uint64_t sequence);
 
     std::unique_ptr<storage::Storage> m_storage;
@@ -70,7 +72,7 @@
     std::deque<consensus::PersistRequest> m_waiting;
     bool m_isStopping = false;
     StorageWork m_work;
-    std::thread m_thread;  ///< Last member: starts when all others exist.
+    std::thread m_thread;  ///< Last member, so that it starts after all others exist.
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/StorageThreadTest.cpp
+++ b/src/controller/StorageThreadTest.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Storage whose writes wait for a permit.
+/// Disk whose writes block until the test releases a permit for each.
 struct SlowDisk
 {
     std::counting_semaphore<> permits{ 0 };
@@ -71,7 +71,7 @@
     std::unique_ptr<StorageThread> m_thread;
 };
 
-TEST_F (StorageThreadTest, writesEverythingThatWaitsWithOneSync)
+TEST_F (StorageThreadTest, writesAllWaitingRequestsWithOneSync)
 {
     submit (1);
     ASSERT_TRUE (runUntil ([&] { return m_disk.writesBegun == 1; }));
@@ -102,7 +102,7 @@
     EXPECT_EQ (m_failures.size(), 1U);
 }
 
-TEST_F (StorageThreadTest, finishesWaitingWritesBeforeItEnds)
+TEST_F (StorageThreadTest, completesWaitingWritesBeforeTheThreadEnds)
 {
     m_disk.permits.release (kManyPermits);
     for (std::uint64_t sequence = 1; sequence <= 5; ++sequence)
