--- a/src/quarantine/RunnerFate.h
+++ b/src/quarantine/RunnerFate.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What became of a runner that broke off an answer.
+/// Result of probing a runner whose answer was interrupted.
 
 #include <cstdint>
 #include <string_view>
@@ -10,12 +10,12 @@
 
 enum class RunnerFate : std::uint8_t
 {
-    kGone,     ///< Nothing listens at its address.
-    kAlive,    ///< It takes connections.
-    kUnknown,  ///< No answer came in time: it may be cut off.
+    kGone,     ///< Nothing listens at the runner's address.
+    kAlive,    ///< The runner accepts connections.
+    kUnknown,  ///< The probe timed out: the runner may be partitioned from this router.
 };
 
-/** For logs, for example "gone". */
+/** Returns the text used in logs, for example "gone". */
 [[nodiscard]] constexpr std::string_view nameOf (RunnerFate fate)
 {
     switch (fate)
--- a/src/quarantine/SuspectRequests.cpp
+++ b/src/quarantine/SuspectRequests.cpp
@@ -10,22 +10,25 @@
 namespace
 {
 
-/// What was told and does not show in the table by then is told again: a commit takes some 20 ms,
-/// the election of a leader up to 0.6 s.
-constexpr base::Duration kRetellAfter = base::milliseconds (500);
-/// Within this a runner that has ended is back under another id, or its silence was noticed.
+/// A report that the table does not contain after this interval is sent again: a commit takes some
+/// 20 ms, the election of a leader up to 0.6 s.
+constexpr base::Duration kResendInterval = base::milliseconds (500);
+/// Within this time a crashed runner is registered again under another id, or its missing
+/// heartbeats were detected.
 constexpr base::Duration kProofLifetime = base::seconds (10);
-/// What no controller took by then is given up: other routers are long past it.
-constexpr base::Duration kTellingLifetime = base::seconds (60);
-constexpr base::Duration kAcquittalLifetime = base::seconds (1);
+/// A crash that no controller accepted within this time is dropped: by then it is of no use to the
+/// other routers.
+constexpr base::Duration kReportLifetime = base::seconds (60);
+constexpr base::Duration kClearanceLifetime = base::seconds (1);
 
-/// The cell keeps suspects as long, and tells of no change of those that are not shared.
+/// Lifetime of suspects that are not shared with the other routers. The cell keeps them as long,
+/// and sends no update when it drops them.
 constexpr base::Duration kUnsharedLifetime =
     base::milliseconds (cell::QuarantineTable::kSuspectLifetime);
 
-bool isDue (base::TimePoint toldAt, base::TimePoint now)
+bool isDue (base::TimePoint reportedAt, base::TimePoint now)
 {
-    return toldAt == base::TimePoint{} || now - toldAt >= kRetellAfter;
+    return reportedAt == base::TimePoint{} || now - reportedAt >= kResendInterval;
 }
 
 }  // namespace
@@ -33,131 +36,136 @@
 Standing SuspectRequests::standingOf (const cell::RequestIdentity& request) const
 {
     Standing standing;
-    base::TimePoint freeFrom{};
+    base::TimePoint countsFrom{};
     const auto row = m_rows.find (request.digest);
     if (row != m_rows.end())
     {
-        standing.ends = row->second.told.ends;
-        standing.instances = row->second.told.instances;
-        freeFrom = row->second.receivedAt;
+        standing.ends = row->second.reported.ends;
+        standing.instances = row->second.reported.instances;
+        countsFrom = row->second.receivedAt;
     }
-    for (const OwnEnd& end : m_own)
+    for (const OwnCrash& end : m_ownCrashes)
     {
         if (end.request.digest != request.digest)
             continue;
-        const bool isOpen = ! end.isForeign && end.proof != Proof::kOpen;
-        if (isOpen)
+        const bool isPending = ! end.isFromOtherRouter && end.proof != Proof::kUnconfirmed;
+        if (isPending)
             standing.undecidedSince = std::max (standing.undecidedSince, { end.endedAt });
-        if (end.proof != Proof::kProved)
+        if (end.proof != Proof::kConfirmed)
             continue;
         standing.instances.push_back (end.instance);
-        if (standing.ends > 0 && end.sentAt < freeFrom)
+        if (standing.ends > 0 && end.sentAt < countsFrom)
             continue;
         ++standing.ends;
-        freeFrom = end.endedAt;
+        countsFrom = end.endedAt;
     }
-    const auto trial = m_goneTrials.find (request.digest);
-    const bool isOpen = trial != m_goneTrials.end()
-                        && std::ranges::find (standing.instances, trial->second.instance)
-                               == standing.instances.end();
-    if (isOpen)
+    const auto trial = m_goneIsolationRunners.find (request.digest);
+    const bool isPending = trial != m_goneIsolationRunners.end()
+                           && std::ranges::find (standing.instances, trial->second.instance)
+                                  == standing.instances.end();
+    if (isPending)
         standing.trialGoneSince = trial->second.since;
     return standing;
 }
 
-void SuspectRequests::makeRoom()
+void SuspectRequests::evictOldest()
 {
-    if (m_own.size() < kMostOwn)
+    if (m_ownCrashes.size() < kMostOwn)
         return;
-    m_own.erase (m_own.begin());
-    ++m_forgotten;
+    m_ownCrashes.erase (m_ownCrashes.begin());
+    ++m_evicted;
 }
 
 void SuspectRequests::onBrokenOff (const cell::RequestIdentity& request,
                                    const std::string& instance, base::TimePoint sentAt,
                                    base::TimePoint now)
 {
-    makeRoom();
-    m_own.push_back ({ request, instance, sentAt, now, Proof::kLooking, {}, false });
-    indexOutlines();
+    evictOldest();
+    m_ownCrashes.push_back ({ request, instance, sentAt, now, Proof::kProbing, {}, false });
+    rebuildIndex();
 }
 
 void SuspectRequests::onTrialUnreachable (const cell::RequestIdentity& request,
                                           std::string instance, base::TimePoint now)
 {
     if (standingOf (request).ends + 1 >= cell::kEndsBeforeQuarantine)
-        m_goneTrials.try_emplace (request.digest, GoneTrial{ std::move (instance), now });
+        m_goneIsolationRunners.try_emplace (request.digest,
+                                            GoneIsolationRunner{ std::move (instance), now });
 }
 
 void SuspectRequests::onTold (const cell::SuspectReport& report, base::TimePoint now)
 {
-    for (const cell::RunnerEndReport& told : report.ends)
+    for (const cell::RunnerEndReport& reported : report.ends)
     {
-        const bool isKnown = std::ranges::any_of (
-            m_own, [&] (const OwnEnd& end)
-            { return end.instance == told.instance && end.request.digest == told.request.digest; });
-        if (isKnown)
+        const bool isRecorded =
+            std::ranges::any_of (m_ownCrashes,
+                                 [&] (const OwnCrash& end) {
+                                     return end.instance == reported.instance
+                                            && end.request.digest == reported.request.digest;
+                                 });
+        if (isRecorded)
             continue;
-        makeRoom();
-        m_own.push_back ({ told.request,
-                           told.instance,
-                           now - base::milliseconds (told.sentAgoMilliseconds),
-                           now - base::milliseconds (told.endedAgoMilliseconds),
-                           Proof::kProved,
-                           {},
-                           true });
+        evictOldest();
+        m_ownCrashes.push_back ({ reported.request,
+                                  reported.instance,
+                                  now - base::milliseconds (reported.sentAgoMilliseconds),
+                                  now - base::milliseconds (reported.endedAgoMilliseconds),
+                                  Proof::kConfirmed,
+                                  {},
+                                  true });
     }
-    dropSettled();
-    indexOutlines();
+    dropResolved();
+    rebuildIndex();
 }
 
 bool SuspectRequests::onFate (const std::string& instance, RunnerFate fate)
 {
-    bool hasProved = false;
-    for (OwnEnd& end : m_own)
+    bool hasConfirmed = false;
+    for (OwnCrash& end : m_ownCrashes)
     {
-        if (end.instance != instance || end.proof != Proof::kLooking)
+        if (end.instance != instance || end.proof != Proof::kProbing)
             continue;
-        end.proof = fate == RunnerFate::kGone ? Proof::kProved : Proof::kOpen;
-        hasProved = hasProved || fate == RunnerFate::kGone;
+        end.proof = fate == RunnerFate::kGone ? Proof::kConfirmed : Proof::kUnconfirmed;
+        hasConfirmed = hasConfirmed || fate == RunnerFate::kGone;
     }
     if (fate == RunnerFate::kAlive)
     {
-        std::erase_if (m_own, [&] (const OwnEnd& end)
-                       { return end.instance == instance && end.proof != Proof::kProved; });
+        std::erase_if (m_ownCrashes, [&] (const OwnCrash& end)
+                       { return end.instance == instance && end.proof != Proof::kConfirmed; });
     }
-    indexOutlines();
-    return hasProved;
+    rebuildIndex();
+    return hasConfirmed;
 }
 
 void SuspectRequests::onReplaced (const std::string& instance)
 {
-    for (OwnEnd& end : m_own)
+    for (OwnCrash& end : m_ownCrashes)
     {
         if (end.instance == instance)
-            end.proof = Proof::kProved;
+            end.proof = Proof::kConfirmed;
     }
 }
 
 void SuspectRequests::onWholeAnswer (const cell::RequestIdentity& request)
 {
-    std::erase_if (m_own, [&] (const OwnEnd& end) { return end.request.digest == request.digest; });
-    m_goneTrials.erase (request.digest);
+    std::erase_if (m_ownCrashes,
+                   [&] (const OwnCrash& end) { return end.request.digest == request.digest; });
+    m_goneIsolationRunners.erase (request.digest);
     const auto row = m_rows.find (request.digest);
     if (row != m_rows.end())
     {
-        m_acquittals.try_emplace (request.digest);
-        // Nobody else was told of it, and nobody is told that it is forgotten.
-        if (row->second.told.ends < cell::kEndsBeforeSharing)
+        m_clearances.try_emplace (request.digest);
+        // The row was not shared, so the cell sends no update when it drops the row.
+        if (row->second.reported.ends < cell::kEndsBeforeSharing)
             m_rows.erase (row);
     }
-    indexOutlines();
+    rebuildIndex();
 }
 
 void SuspectRequests::apply (const cell::SuspectUpdate& update, base::TimePoint now)
 {
-    // Another controller may be behind the one that this router was connected to before. Rows are
-    // absolute, so that changes since an earlier version than the one held fit too.
+    // Another controller may be behind the one that this router was connected to before. Rows hold
+    // absolute values, so an update that starts at a version before the one held applies too.
     if (update.toVersion < m_version)
         return;
     if (update.fromVersion == 0)
@@ -167,8 +175,8 @@
     for (const std::string& digest : update.removals)
         remove (digest);
     m_version = update.toVersion;
-    dropSettled();
-    indexOutlines();
+    dropResolved();
+    rebuildIndex();
 }
 
 void SuspectRequests::keepOnly (const std::vector<cell::SuspectRow>& rows)
@@ -182,7 +190,7 @@
 void SuspectRequests::put (const cell::SuspectRow& row, base::TimePoint now)
 {
     Row& held = m_rows[row.request.digest];
-    if (held.told == row)
+    if (held.reported == row)
         return;
     held = { row, now };
 }
@@ -190,50 +198,52 @@
 void SuspectRequests::remove (const std::string& digest)
 {
     m_rows.erase (digest);
-    m_acquittals.erase (digest);
-    m_goneTrials.erase (digest);
-    // They were told, and the cell has forgotten the request since.
-    std::erase_if (m_own,
-                   [&] (const OwnEnd& end)
+    m_clearances.erase (digest);
+    m_goneIsolationRunners.erase (digest);
+    // Crashes that were reported go too: the cell has dropped the request since.
+    std::erase_if (m_ownCrashes,
+                   [&] (const OwnCrash& end)
                    {
-                       const bool wasTold = end.isForeign || end.toldAt != base::TimePoint{};
-                       return end.request.digest == digest && wasTold;
+                       const bool wasReported =
+                           end.isFromOtherRouter || end.reportedAt != base::TimePoint{};
+                       return end.request.digest == digest && wasReported;
                    });
 }
 
-void SuspectRequests::dropSettled()
+void SuspectRequests::dropResolved()
 {
-    std::erase_if (m_own,
-                   [this] (const OwnEnd& end)
+    std::erase_if (m_ownCrashes,
+                   [this] (const OwnCrash& end)
                    {
                        const auto row = m_rows.find (end.request.digest);
                        if (row == m_rows.end())
                            return false;
-                       const cell::SuspectRow& told = row->second.told;
-                       return told.ends >= cell::kEndsBeforeQuarantine
-                              || std::ranges::find (told.instances, end.instance)
-                                     != told.instances.end();
+                       const cell::SuspectRow& reported = row->second.reported;
+                       return reported.ends >= cell::kEndsBeforeQuarantine
+                              || std::ranges::find (reported.instances, end.instance)
+                                     != reported.instances.end();
                    });
 }
 
 std::optional<cell::SuspectReport> SuspectRequests::takeReport (base::TimePoint now)
 {
     cell::SuspectReport report;
-    for (OwnEnd& end : m_own)
+    for (OwnCrash& end : m_ownCrashes)
     {
-        if (end.isForeign || end.proof != Proof::kProved || ! isDue (end.toldAt, now))
+        if (end.isFromOtherRouter || end.proof != Proof::kConfirmed
+            || ! isDue (end.reportedAt, now))
             continue;
-        end.toldAt = now;
+        end.reportedAt = now;
         report.ends.push_back ({ end.request, end.instance, base::toMilliseconds (now - end.sentAt),
                                  base::toMilliseconds (now - end.endedAt) });
     }
-    for (auto& [digest, acquittal] : m_acquittals)
+    for (auto& [digest, clearance] : m_clearances)
     {
-        if (acquittal.since == base::TimePoint{})
-            acquittal.since = now;
-        if (! isDue (acquittal.toldAt, now))
+        if (clearance.since == base::TimePoint{})
+            clearance.since = now;
+        if (! isDue (clearance.reportedAt, now))
             continue;
-        acquittal.toldAt = now;
+        clearance.reportedAt = now;
         report.acquitted.push_back (digest);
     }
     if (report.ends.empty() && report.acquitted.empty())
@@ -243,48 +253,48 @@
 
 void SuspectRequests::onLinkLost()
 {
-    for (OwnEnd& end : m_own)
-        end.toldAt = {};
-    for (auto& [digest, acquittal] : m_acquittals)
-        acquittal.toldAt = {};
+    for (OwnCrash& end : m_ownCrashes)
+        end.reportedAt = {};
+    for (auto& [digest, clearance] : m_clearances)
+        clearance.reportedAt = {};
 }
 
 void SuspectRequests::expire (base::TimePoint now)
 {
-    const std::size_t before = m_own.size();
-    std::erase_if (m_own,
-                   [&] (const OwnEnd& end)
+    const std::size_t before = m_ownCrashes.size();
+    std::erase_if (m_ownCrashes,
+                   [&] (const OwnCrash& end)
                    {
                        const base::Duration limit =
-                           end.proof == Proof::kProved ? kTellingLifetime : kProofLifetime;
+                           end.proof == Proof::kConfirmed ? kReportLifetime : kProofLifetime;
                        return now - end.endedAt >= limit;
                    });
-    std::erase_if (m_acquittals,
+    std::erase_if (m_clearances,
                    [&] (const auto& item)
                    {
-                       const Acquittal& acquittal = item.second;
-                       return acquittal.since != base::TimePoint{}
-                              && now - acquittal.since >= kAcquittalLifetime;
+                       const Clearance& clearance = item.second;
+                       return clearance.since != base::TimePoint{}
+                              && now - clearance.since >= kClearanceLifetime;
                    });
-    std::erase_if (m_goneTrials,
+    std::erase_if (m_goneIsolationRunners,
                    [&] (const auto& item) { return now - item.second.since >= kProofLifetime; });
     const std::size_t rowsBefore = m_rows.size();
     std::erase_if (m_rows,
                    [&] (const auto& item)
                    {
-                       const bool isShared = item.second.told.ends >= cell::kEndsBeforeSharing;
+                       const bool isShared = item.second.reported.ends >= cell::kEndsBeforeSharing;
                        return ! isShared && now - item.second.receivedAt >= kUnsharedLifetime;
                    });
-    if (m_own.size() != before || m_rows.size() != rowsBefore)
-        indexOutlines();
+    if (m_ownCrashes.size() != before || m_rows.size() != rowsBefore)
+        rebuildIndex();
 }
 
-void SuspectRequests::indexOutlines()
+void SuspectRequests::rebuildIndex()
 {
     m_outlines.clear();
     for (const auto& [digest, row] : m_rows)
-        m_outlines.insert (row.told.request.outline);
-    for (const OwnEnd& end : m_own)
+        m_outlines.insert (row.reported.request.outline);
+    for (const OwnCrash& end : m_ownCrashes)
         m_outlines.insert (end.request.outline);
 }
 
--- a/src/quarantine/SuspectRequests.h
+++ b/src/quarantine/SuspectRequests.h
@@ -1,12 +1,13 @@
 #pragma once
 
 /**
- * What one router knows of requests under which runners ended: the table of the cell, and what it
- * saw itself and the cell has not taken yet.
+ * One router's view of the requests that runners crashed on: its copy of the cell's table, and the
+ * crashes that it observed itself and that the table does not contain yet.
  *
- * An answer that breaks off is no proof: the connection may have been reset. It counts once the
- * runner was found gone, or is replaced at its address soon after. What is proved is told to the
- * controllers until their table shows it. See docs/design/quarantine.md.
+ * An interrupted answer does not prove a crash: the connection may have been reset. It counts once
+ * a probe finds the runner gone, or once the runner is replaced at its address soon after.
+ * Confirmed crashes are reported to the controllers until their table contains them. See
+ * docs/design/quarantine.md.
  */
 
 #include <cstddef>
@@ -26,101 +27,103 @@
 namespace fernlift::quarantine
 {
 
-/** What is known of one request. */
+/** Suspect status of one request. */
 struct Standing
 {
-    std::uint32_t ends = 0;  ///< Runners that ended under it one after the other.
-    /** When a runner last broke off its answer of which it is not known yet what that means, or not
-       to the other routers: worth a moment before the request or a copy of it is sent.
+    std::uint32_t ends = 0;  ///< Consecutive crashes of runners that ran the request.
+    /** Time of the latest interrupted answer whose cause is not confirmed yet, or not reported to
+       the other routers yet. Callers wait briefly before they send the request or a copy of it.
     */
     std::optional<base::TimePoint> undecidedSince;
-    /** When the runner to which all its copies go was found gone, while one more end would put it
-        into quarantine: another router may have seen that end.
+    /** When the isolation runner, to which all copies of the request go, was found gone while one
+        more crash would quarantine the request. Another router may have observed that crash.
     */
     std::optional<base::TimePoint> trialGoneSince;
-    std::vector<std::string> instances;  ///< That ended under it.
+    std::vector<std::string> instances;  ///< Instances that crashed while they ran the request.
 
     [[nodiscard]] bool isUndecided() const { return undecidedSince.has_value(); }
     [[nodiscard]] bool isSuspect() const { return ends > 0; }
     [[nodiscard]] bool isInQuarantine() const { return ends >= cell::kEndsBeforeQuarantine; }
 };
 
-/** Pure: time is passed in. Threading: none; owned by one ProxyProcess. */
+/** Pure: time is passed in. Not thread-safe; owned by one ProxyProcess. */
 class SuspectRequests
 {
 public:
-    /** Breaks that are not settled yet; more are not kept, the oldest make way. */
+    /** Bound of the unresolved interruptions; beyond it the oldest ones are evicted. */
     static constexpr std::size_t kMostOwn = 1024;
 
-    /** Whether nothing at all is known: the usual case, in which requests need no identity. */
+    /** True in the usual case that there are no suspects: requests then need no identity. */
     [[nodiscard]] bool isEmpty() const { return m_outlines.empty(); }
-    /** Whether something may be known about a request of this outline. */
+    /** Whether a request with this fingerprint may be recorded. False positives are possible. */
     [[nodiscard]] bool mayKnow (std::uint64_t outline) const
     {
         return m_outlines.contains (outline);
     }
     [[nodiscard]] Standing standingOf (const cell::RequestIdentity& request) const;
 
-    /** A runner broke off its answer. */
+    /** The answer of a runner was interrupted. */
     void onBrokenOff (const cell::RequestIdentity& request, const std::string& instance,
                       base::TimePoint sentAt, base::TimePoint now);
-    /** What a look at a runner that broke off has found. Returns whether requests are suspects
-        because of it.
+    /** Applies the result of probing a runner after an interrupted answer. Returns whether the
+        result confirmed a crash.
     */
     bool onFate (const std::string& instance, RunnerFate fate);
-    /** The runner is no longer registered, and had not said that it would leave. */
+    /** The runner is no longer registered and had not announced that it would leave. */
     void onReplaced (const std::string& instance);
-    /** The runner to which all copies of the request go cannot be reached. */
+    /** The isolation runner, to which all copies of the request go, cannot be reached. */
     void onTrialUnreachable (const cell::RequestIdentity& request, std::string instance,
                              base::TimePoint now);
-    /** The leader was told of ends, and the log takes long to agree on them. */
+    /** Records crashes that other routers reported and that the log has not committed yet. */
     void onTold (const cell::SuspectReport& report, base::TimePoint now);
-    /** A runner has answered the request whole. */
+    /** A runner has answered the request completely, which clears it. */
     void onWholeAnswer (const cell::RequestIdentity& request);
 
-    /** Takes over a change of the table, unless it is older than what is held. */
+    /** Applies an update of the table, unless it is older than the version held. */
     void apply (const cell::SuspectUpdate& update, base::TimePoint now);
-    /** What the controllers are to be told now; none when they know all. */
+    /** Returns the report that is due for the controllers, or nothing. */
     [[nodiscard]] std::optional<cell::SuspectReport> takeReport (base::TimePoint now);
-    /** What was told may be lost. */
+    /** Reports that were sent may be lost: all are due again. */
     void onLinkLost();
-    /** Drops what is too old to be proved or told. */
+    /** Drops entries that are too old to be confirmed or reported. */
     void expire (base::TimePoint now);
 
-    /** Of the cell's table, as far as held. */
+    /** Version of the cell's table that this copy corresponds to. */
     [[nodiscard]] std::uint64_t version() const { return m_version; }
     [[nodiscard]] std::size_t size() const { return m_rows.size(); }
-    [[nodiscard]] std::uint64_t forgotten() const { return m_forgotten; }
+    [[nodiscard]] std::uint64_t evicted() const { return m_evicted; }
 
 private:
     enum class Proof : std::uint8_t
     {
-        kLooking,  ///< The runner is being looked at.
-        kOpen,     ///< It could not be reached: it may still show that it was replaced.
-        kProved,
+        kProbing,  ///< A probe of the runner is under way.
+        /** The probe did not reach the runner, which may still turn out to have been replaced. */
+        kUnconfirmed,
+        kConfirmed,
     };
-    struct OwnEnd
+    struct OwnCrash
     {
         cell::RequestIdentity request;
         std::string instance;
         base::TimePoint sentAt{};
         base::TimePoint endedAt{};
-        Proof proof = Proof::kLooking;
-        base::TimePoint toldAt{};  ///< To the controllers; the begin of time: not yet.
-        bool isForeign = false;    ///< Seen by another router, which tells the controllers.
+        Proof proof = Proof::kProbing;
+        base::TimePoint reportedAt{};  ///< Last report to the controllers; zero before the first.
+        /** True if another router observed the crash; that router reports it. */
+        bool isFromOtherRouter = false;
     };
     struct Row
     {
-        cell::SuspectRow told;
-        base::TimePoint receivedAt{};  ///< The last change of it.
+        cell::SuspectRow reported;
+        base::TimePoint receivedAt{};  ///< Time of the last change of the row.
     };
-    struct Acquittal
+    struct Clearance
     {
         base::TimePoint since{};
-        base::TimePoint toldAt{};
+        base::TimePoint reportedAt{};
     };
 
-    struct GoneTrial
+    struct GoneIsolationRunner
     {
         std::string instance;
         base::TimePoint since{};
@@ -129,17 +132,17 @@
     void keepOnly (const std::vector<cell::SuspectRow>& rows);
     void put (const cell::SuspectRow& row, base::TimePoint now);
     void remove (const std::string& digest);
-    void makeRoom();
-    void dropSettled();
-    void indexOutlines();
+    void evictOldest();
+    void dropResolved();
+    void rebuildIndex();
 
     std::uint64_t m_version = 0;
     std::unordered_map<std::string, Row> m_rows;  ///< By digest.
-    std::vector<OwnEnd> m_own;                    ///< The oldest first.
-    std::map<std::string, Acquittal> m_acquittals;
-    std::map<std::string, GoneTrial> m_goneTrials;  ///< By digest.
-    std::unordered_set<std::uint64_t> m_outlines;   ///< Of rows and own ends.
-    std::uint64_t m_forgotten = 0;
+    std::vector<OwnCrash> m_ownCrashes;           ///< Oldest first.
+    std::map<std::string, Clearance> m_clearances;
+    std::map<std::string, GoneIsolationRunner> m_goneIsolationRunners;  ///< By digest.
+    std::unordered_set<std::uint64_t> m_outlines;  ///< Fingerprints in m_rows and m_ownCrashes.
+    std::uint64_t m_evicted = 0;
 };
 
 }  // namespace fernlift::quarantine
--- a/src/quarantine/SuspectRequestsTest.cpp
+++ b/src/quarantine/SuspectRequestsTest.cpp
@@ -1,5 +1,3 @@
-// What one router knows of requests under which runners ended.
-
 #include <gtest/gtest.h>
 
 #include "quarantine/SuspectRequests.h"
@@ -18,7 +16,7 @@
     {
         return base::TimePoint (base::seconds (100) + base::milliseconds (milliseconds));
     }
-    /// A runner ends under the request.
+    /// A runner crashes while it runs the request.
     void end (const std::string& instance, int sentAt, int endedAt)
     {
         suspects.onBrokenOff (request, instance, at (sentAt), at (endedAt));
@@ -37,14 +35,14 @@
     SuspectRequests suspects;
 };
 
-TEST_F (SuspectRequestsTest, NothingIsKnownAtFirst)
+TEST_F (SuspectRequestsTest, StartsEmpty)
 {
     EXPECT_TRUE (suspects.isEmpty());
     EXPECT_FALSE (suspects.standingOf (request).isSuspect());
     EXPECT_FALSE (suspects.takeReport (at (0)));
 }
 
-TEST_F (SuspectRequestsTest, ABreakCountsOnlyOnceTheRunnerIsFoundGone)
+TEST_F (SuspectRequestsTest, CountsAnInterruptionOnceTheProbeFindsTheRunnerGone)
 {
     suspects.onBrokenOff (request, "a", at (0), at (50));
     EXPECT_TRUE (suspects.standingOf (request).isUndecided());
@@ -56,24 +54,25 @@
     EXPECT_FALSE (suspects.mayKnow (8));
 }
 
-TEST_F (SuspectRequestsTest, AResetConnectionToARunnerThatLivesIsForgotten)
+TEST_F (SuspectRequestsTest, DropsAnInterruptionWhenTheRunnerIsAlive)
 {
     suspects.onBrokenOff (request, "a", at (0), at (50));
     EXPECT_FALSE (suspects.onFate ("a", RunnerFate::kAlive));
     EXPECT_TRUE (suspects.isEmpty());
 }
 
-TEST_F (SuspectRequestsTest, ARunnerThatCannotBeReachedCountsOnceItIsReplaced)
+TEST_F (SuspectRequestsTest, CountsAnUnreachableRunnerOnceItIsReplaced)
 {
     suspects.onBrokenOff (request, "a", at (0), at (50));
     suspects.onFate ("a", RunnerFate::kUnknown);
-    EXPECT_FALSE (suspects.standingOf (request).isUndecided()) << "nobody waits for that";
+    EXPECT_FALSE (suspects.standingOf (request).isUndecided())
+        << "a probe that timed out does not delay requests";
     EXPECT_FALSE (suspects.standingOf (request).isSuspect());
     suspects.onReplaced ("a");
     EXPECT_EQ (suspects.standingOf (request).ends, 1);
 }
 
-TEST_F (SuspectRequestsTest, WhatIsNeverProvedIsForgotten)
+TEST_F (SuspectRequestsTest, DropsAnUnconfirmedCrashAfterItsLifetime)
 {
     suspects.onBrokenOff (request, "a", at (0), at (50));
     suspects.onFate ("a", RunnerFate::kUnknown);
@@ -81,7 +80,7 @@
     EXPECT_TRUE (suspects.isEmpty());
 }
 
-TEST_F (SuspectRequestsTest, ThreeEndsSeenHereNeedNoController)
+TEST_F (SuspectRequestsTest, QuarantinesAfterThreeOwnCrashesWithoutAController)
 {
     end ("a", 0, 50);
     end ("b", 60, 110);
@@ -90,21 +89,21 @@
     EXPECT_TRUE (suspects.standingOf (request).isInQuarantine());
 }
 
-TEST_F (SuspectRequestsTest, OwnEndsAddToThoseOfOtherRouters)
+TEST_F (SuspectRequestsTest, AddsOwnCrashesToThoseOfOtherRouters)
 {
     suspects.apply (updateOf (4, 2, { "a", "b" }), at (100));
     end ("c", 110, 160);
     EXPECT_TRUE (suspects.standingOf (request).isInQuarantine());
 }
 
-TEST_F (SuspectRequestsTest, AnEndBesideThoseOfOtherRoutersIsNoFurtherOne)
+TEST_F (SuspectRequestsTest, DoesNotCountACrashConcurrentWithThoseOfOtherRouters)
 {
     suspects.apply (updateOf (4, 2, { "a", "b" }), at (100));
     end ("c", 90, 160);
     EXPECT_EQ (suspects.standingOf (request).ends, 2);
 }
 
-TEST_F (SuspectRequestsTest, AnEndIsToldUntilTheTableShowsIt)
+TEST_F (SuspectRequestsTest, ReportsACrashUntilTheTableContainsIt)
 {
     end ("a", 0, 50);
     const auto report = suspects.takeReport (at (60));
@@ -122,37 +121,38 @@
     EXPECT_EQ (suspects.standingOf (request).ends, 1);
 }
 
-TEST_F (SuspectRequestsTest, EndsThatOtherRoutersSawCountBeforeTheTableShowsThem)
+TEST_F (SuspectRequestsTest, CountsForwardedCrashesBeforeTheTableContainsThem)
 {
-    cell::SuspectReport told;
-    told.ends.push_back ({ request, "a", 100, 50 });
-    told.ends.push_back ({ request, "b", 40, 10 });
-    suspects.onTold (told, at (200));
-    suspects.onTold (told, at (210));
+    cell::SuspectReport reported;
+    reported.ends.push_back ({ request, "a", 100, 50 });
+    reported.ends.push_back ({ request, "b", 40, 10 });
+    suspects.onTold (reported, at (200));
+    suspects.onTold (reported, at (210));
     EXPECT_EQ (suspects.standingOf (request).ends, 2);
     EXPECT_FALSE (suspects.standingOf (request).isUndecided());
-    EXPECT_FALSE (suspects.takeReport (at (220))) << "the other router tells it";
+    EXPECT_FALSE (suspects.takeReport (at (220))) << "the other router reports it";
     end ("c", 220, 250);
     EXPECT_TRUE (suspects.standingOf (request).isInQuarantine());
     suspects.apply (updateOf (4, 3, { "a", "b", "c" }), at (300));
     EXPECT_EQ (suspects.standingOf (request).ends, 3);
 }
 
-TEST_F (SuspectRequestsTest, AGoneRunnerOfAllCopiesIsInDoubtBeforeTheLastEndOnly)
+TEST_F (SuspectRequestsTest, RecordsAGoneIsolationRunnerOnlyBeforeTheLastCrash)
 {
     suspects.apply (updateOf (1, 1, { "a" }), at (0));
     suspects.onTrialUnreachable (request, "b", at (10));
-    EXPECT_FALSE (suspects.standingOf (request).trialGoneSince) << "one more end is no quarantine";
+    EXPECT_FALSE (suspects.standingOf (request).trialGoneSince)
+        << "one more crash does not quarantine";
     suspects.apply (updateOf (2, 2, { "a", "c" }), at (20));
     suspects.onTrialUnreachable (request, "d", at (30));
     suspects.onTrialUnreachable (request, "d", at (40));
     EXPECT_EQ (suspects.standingOf (request).trialGoneSince, at (30));
-    EXPECT_EQ (suspects.standingOf (request).ends, 2) << "no end was seen";
+    EXPECT_EQ (suspects.standingOf (request).ends, 2) << "no crash was observed";
     suspects.apply (updateOf (3, 2, { "a", "c", "d" }), at (50));
-    EXPECT_FALSE (suspects.standingOf (request).trialGoneSince) << "the table tells";
+    EXPECT_FALSE (suspects.standingOf (request).trialGoneSince) << "the table contains the crash";
 }
 
-TEST_F (SuspectRequestsTest, AWholeAnswerOrTimeSettlesAGoneRunnerOfAllCopies)
+TEST_F (SuspectRequestsTest, ACompleteAnswerOrTimeResolvesAGoneIsolationRunner)
 {
     suspects.apply (updateOf (1, 2, { "a", "b" }), at (0));
     suspects.onTrialUnreachable (request, "c", at (10));
@@ -163,7 +163,7 @@
     EXPECT_FALSE (suspects.standingOf (request).trialGoneSince);
 }
 
-TEST_F (SuspectRequestsTest, AWholeAnswerAcquits)
+TEST_F (SuspectRequestsTest, ACompleteAnswerClearsTheRequest)
 {
     suspects.apply (updateOf (4, 1, { "a" }), at (100));
     suspects.onWholeAnswer (request);
@@ -179,14 +179,14 @@
     EXPECT_FALSE (suspects.takeReport (at (2000)));
 }
 
-TEST_F (SuspectRequestsTest, AControllerThatIsBehindTakesNothingAway)
+TEST_F (SuspectRequestsTest, IgnoresAnUpdateOlderThanTheHeldVersion)
 {
     suspects.apply (updateOf (9, 3, { "a", "b", "c" }), at (100));
     cell::SuspectUpdate older;
     older.toVersion = 5;
     suspects.apply (older, at (110));
     EXPECT_TRUE (suspects.standingOf (request).isInQuarantine());
-    // Its next change begins at a version before the one held.
+    // The next update starts at a version before the one held.
     cell::SuspectUpdate next;
     next.fromVersion = 5;
     next.toVersion = 12;
@@ -195,11 +195,11 @@
     EXPECT_TRUE (suspects.isEmpty());
 }
 
-TEST_F (SuspectRequestsTest, BreaksAreBoundedAndTheOldestMakeWay)
+TEST_F (SuspectRequestsTest, EvictsTheOldestInterruptionsAtTheBound)
 {
     for (std::size_t each = 0; each <= SuspectRequests::kMostOwn; ++each)
         suspects.onBrokenOff ({ each, std::to_string (each) }, "a", at (0), at (50));
-    EXPECT_EQ (suspects.forgotten(), 1);
+    EXPECT_EQ (suspects.evicted(), 1);
     EXPECT_FALSE (suspects.mayKnow (0));
     EXPECT_TRUE (suspects.mayKnow (SuspectRequests::kMostOwn));
 }
