--- a/src/quota/QuotaLedger.cpp
+++ b/src/quota/QuotaLedger.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-/// A router that left the cell's controllers may serve on for this long (isolated_grace_ms).
+/// A router that lost all controllers may continue to serve for this long (isolated_grace_ms).
 constexpr base::Duration kIsolatedRouterLife = base::seconds (10);
-/// Callers are told to come back no later than this; the queue of those refused is cut there.
+/// Longest wait that a refused caller is given; also bounds the queue of refused units.
 constexpr double kLongestWaitSeconds = 5;
 
 }  // namespace
@@ -20,7 +20,7 @@
     return m_part * quota.burst;
 }
 
-double QuotaLedger::longestDebtOf (const config::TenantQuota& quota) const
+double QuotaLedger::maxDebtOf (const config::TenantQuota& quota) const
 {
     return m_debtShare * m_tolerance.debtUnitsFor (quota);
 }
@@ -96,10 +96,11 @@
 bool QuotaLedger::take (Bucket& bucket, double units, base::TimePoint now) const
 {
     refill (bucket, now);
-    // As long as anything is left a claim of any size passes: requiring all of it refuses large
-    // requests far more often than small ones (worst class of a day 0.80 in place of 0.92).
+    // While any units are left, a claim is granted up to the maximum debt. Requiring that the level
+    // covers the whole claim refuses large requests far more often than small ones: the worst class
+    // of a day was admitted at 0.80 in place of 0.92.
     const double debt = units - bucket.level;
-    const bool isWithinDebt = bucket.level > 0 && debt <= longestDebtOf (bucket.quota);
+    const bool isWithinDebt = bucket.level > 0 && debt <= maxDebtOf (bucket.quota);
     const bool isFull = bucket.level >= capacityOf (bucket.quota);
     if (! isWithinDebt && ! isFull)
         return false;
@@ -136,7 +137,7 @@
     const auto found = m_buckets.find (need.account);
     if (found == m_buckets.end())
     {
-        // The sender holds an earlier configuration, in which the tenant still had a limit.
+        // The sender has an earlier configuration, in which the tenant still had a limit.
         for (const std::uint64_t claim : need.claims)
             allowance.units += claim;
         allowance.lifetimeMilliseconds = base::toMilliseconds (m_tolerance.window);
--- a/src/quota/QuotaLedger.h
+++ b/src/quota/QuotaLedger.h
@@ -1,12 +1,12 @@
 #pragma once
 
 /**
- * What is left of a part of each tenant's quota, as the controller that grants it counts it.
+ * Remaining units of each tenant's quota at one controller, which grants a part of the quota.
  *
- * One token bucket a tenant. What is taken from it may be used for a short time only, so that a
- * window of use never holds more than a slightly longer window of grants, whoever is cut off,
- * frozen, killed or added. Buckets are not replicated: the first level of a new one is small enough
- * to be granted on top of whatever the one before granted.
+ * There is one token bucket for each tenant. Granted units expire after a short time, so that the
+ * use within a window is bounded by the grants of a slightly longer window, whichever process is
+ * disconnected, frozen, killed or added. Buckets are not replicated: the first level of a new one
+ * is small enough to be granted on top of whatever the one before granted.
  */
 
 #include <cstdint>
@@ -22,41 +22,42 @@
 namespace fernlift::quota
 {
 
-/** What one controller may grant. */
+/** Part of every quota that one controller may grant. */
 struct QuotaPart
 {
     double limit = 1;  ///< Part of the rate and the burst of every limit, from 0 to 1.
-    double debt = 1;   ///< Part of the debt that all controllers may run into together.
+    double debt = 1;   ///< Part of the debt that all controllers together may incur.
 
     bool operator== (const QuotaPart&) const = default;
 };
 
-/** Pure: time is passed in. Threading: none. */
+/** Pure: time is passed in. Not thread-safe. */
 class QuotaLedger
 {
 public:
     explicit QuotaLedger (const QuotaTolerance& tolerance) : m_tolerance (tolerance) {}
 
     void setPart (const QuotaPart& part, base::TimePoint now);
-    /** Takes over the limits in force; what was used stays used. */
+    /** Replaces the limits in force. The levels of tenants that keep a limit are kept. */
     void setTenants (const std::vector<config::Tenant>& tenants, base::TimePoint now);
-    /** Routers that are connected to the cell. Those that were until lately may go on with a share
-        of each limit of their own, which is kept back for them.
+    /** Sets the number of routers that are connected to the cell. Routers that disconnected
+       recently may continue to serve from a fallback share of each limit, which is reserved for
+       them.
     */
     void setRouters (std::uint32_t connected, base::TimePoint now);
 
-    /** Takes one claim; false when the bucket does not hold it. */
+    /** Takes the units of one claim from the tenant's bucket; false if the claim is refused. */
     [[nodiscard]] bool take (const std::string& tenant, std::uint64_t units, base::TimePoint now);
     [[nodiscard]] base::Duration lifetimeOf (const std::string& tenant) const;
-    /** Takes what can be taken and tells when the rest can be. */
+    /** Grants the claims that the buckets cover, with a wait for those that it refuses. */
     [[nodiscard]] cell::QuotaGrant answer (const cell::QuotaRequest& request, base::TimePoint now);
 
 private:
     struct Bucket
     {
         config::TenantQuota quota;
-        double level = 0;   ///< Below 0 after a claim larger than what was left.
-        double queued = 0;  ///< Refused lately; expected to come back and to be served first.
+        double level = 0;   ///< Units left; below 0 after a claim larger than what was left.
+        double queued = 0;  ///< Units refused recently, expected to be retried and served first.
         base::TimePoint filledAt{};
     };
 
@@ -66,18 +67,18 @@
                                                      base::TimePoint now);
     [[nodiscard]] base::Duration waitAfterRefusal (Bucket& bucket, double units) const;
     [[nodiscard]] double capacityOf (const config::TenantQuota& quota) const;
-    /** How far a claim may bring a bucket below 0. */
-    [[nodiscard]] double longestDebtOf (const config::TenantQuota& quota) const;
-    /** Units a second that may be granted. */
+    /** Units by which a claim may take a bucket below 0. */
+    [[nodiscard]] double maxDebtOf (const config::TenantQuota& quota) const;
+    /** Units per second that may be granted. */
     [[nodiscard]] double rateOf (const config::TenantQuota& quota) const;
 
     QuotaTolerance m_tolerance;
     double m_part = 1;
     double m_debtShare = 1;
     std::map<std::string, Bucket> m_buckets;
-    std::uint32_t m_routers = 0;       ///< Connected.
-    std::uint32_t m_knownRouters = 0;  ///< Most that were connected lately.
-    base::TimePoint m_knownAt{};       ///< When as many were connected last.
+    std::uint32_t m_routers = 0;       ///< Connected routers.
+    std::uint32_t m_knownRouters = 0;  ///< Highest recent number of connected routers.
+    base::TimePoint m_knownAt{};       ///< Last time that m_knownRouters were connected.
 };
 
 }  // namespace fernlift::quota
--- a/src/quota/QuotaLedgerTest.cpp
+++ b/src/quota/QuotaLedgerTest.cpp
@@ -30,8 +30,8 @@
     return tolerance;
 }
 
-/// A ledger with one tenant that has rested for long.
-QuotaLedger restedLedger (double rate, double burst)
+/// A ledger with one tenant, whose bucket has been idle long enough to be full.
+QuotaLedger fullLedger (double rate, double burst)
 {
     QuotaLedger ledger (tolerance());
     ledger.setTenants ({ tenant (rate, burst) }, kStart - base::seconds (60));
@@ -46,7 +46,7 @@
 
 TEST (QuotaLedgerTest, GrantsTheBurstAndThenTheRate)
 {
-    QuotaLedger ledger = restedLedger (100, 200);
+    QuotaLedger ledger = fullLedger (100, 200);
     EXPECT_EQ (ask (ledger, { 100, 100 }, kStart).units, 200U);
     const cell::QuotaAllowance refused = ask (ledger, { 10 }, kStart);
     EXPECT_EQ (refused.units, 0U);
@@ -54,9 +54,9 @@
     EXPECT_EQ (ask (ledger, { 10 }, kStart + base::milliseconds (100)).units, 10U);
 }
 
-TEST (QuotaLedgerTest, ALargeClaimPassesWhileAnythingIsLeftAndIsPaidBack)
+TEST (QuotaLedgerTest, GrantsALargeClaimWhileUnitsAreLeftAndRepaysTheDebt)
 {
-    QuotaLedger ledger = restedLedger (100, 200);
+    QuotaLedger ledger = fullLedger (100, 200);
     EXPECT_EQ (ask (ledger, { 150, 250 }, kStart).units, 400U);
     EXPECT_EQ (ask (ledger, { 1 }, kStart + base::milliseconds (1900)).units, 0U);
     EXPECT_EQ (ask (ledger, { 1 }, kStart + base::milliseconds (2100)).units, 1U);
@@ -64,30 +64,30 @@
 
 TEST (QuotaLedgerTest, NoClaimIsGrantedInPart)
 {
-    QuotaLedger ledger = restedLedger (100, 200);
-    // The debt that a bucket may run into is three fifths of 0.1 x (100 x 8 + 200) + 1000: 660.
+    QuotaLedger ledger = fullLedger (100, 200);
+    // The maximum debt of a bucket is three fifths of 0.1 x (100 x 8 + 200) + 1000: 660.
     EXPECT_EQ (ask (ledger, { 150, 5000 }, kStart).units, 150U);
 }
 
-TEST (QuotaLedgerTest, ALowerLimitHoldsAtOnce)
+TEST (QuotaLedgerTest, ALowerLimitAppliesAtOnce)
 {
-    QuotaLedger ledger = restedLedger (100, 200);
+    QuotaLedger ledger = fullLedger (100, 200);
     ledger.setTenants ({ tenant (10, 20) }, kStart);
     EXPECT_EQ (ask (ledger, { 20 }, kStart).units, 20U);
     EXPECT_EQ (ask (ledger, { 20 }, kStart + base::milliseconds (1)).units, 20U);
     EXPECT_EQ (ask (ledger, { 20 }, kStart + base::milliseconds (2)).units, 0U);
 }
 
-TEST (QuotaLedgerTest, ATenantThatLostItsLimitGetsAllThatARouterAsksFor)
+TEST (QuotaLedgerTest, GrantsAllToATenantWithoutALimit)
 {
-    QuotaLedger ledger = restedLedger (100, 200);
+    QuotaLedger ledger = fullLedger (100, 200);
     ledger.setTenants ({}, kStart);
     EXPECT_EQ (ask (ledger, { 7000 }, kStart).units, 7000U);
 }
 
-TEST (QuotaLedgerTest, ThePartOfRoutersThatWereCutOffIsKeptBack)
+TEST (QuotaLedgerTest, ReservesTheShareOfDisconnectedRouters)
 {
-    QuotaLedger ledger = restedLedger (100, 200);
+    QuotaLedger ledger = fullLedger (100, 200);
     ledger.setRouters (10, kStart);
     ledger.setRouters (5, kStart);
     EXPECT_EQ (ask (ledger, { 200, 100 }, kStart).units, 200U);
@@ -100,7 +100,7 @@
 {
     const double rate = *rc::gen::inRange (10, 5000);
     const double burst = *rc::gen::inRange (0, 5000);
-    QuotaLedger ledger = restedLedger (rate, burst);
+    QuotaLedger ledger = fullLedger (rate, burst);
     const QuotaTolerance allowed = tolerance();
     const config::TenantQuota quota = tenant (rate, burst).quota;
     std::vector<std::pair<base::TimePoint, double>> granted;
--- a/src/quota/QuotaPool.cpp
+++ b/src/quota/QuotaPool.cpp
@@ -9,7 +9,8 @@
 namespace
 {
 
-/// A grant takes some 5 ms by way of two controllers; what is not answered by then is lost.
+/// A grant takes some 5 ms by way of two controllers; a request not answered by then counts as
+/// lost.
 constexpr base::Duration kAnswerTimeout = base::milliseconds (150);
 
 std::uint64_t sumOf (const std::vector<std::uint64_t>& units)
@@ -60,7 +61,7 @@
     Account& account = m_accounts[claim.account];
     const bool isPending = claim.sequence != 0;
     const std::uint64_t held = available (account, now);
-    // What others wait for is not for those who come later.
+    // Units requested for pending claims are not available to later claims.
     const std::uint64_t reserved = isPending ? 0 : sumOf (account.pending);
     if (held >= reserved + claim.units)
     {
@@ -71,7 +72,7 @@
     if (! isPending)
     {
         claim.askedAt = now;
-        ask (account, claim);
+        enqueue (account, claim);
         claim.sequence = m_nextSequence;
         return QuotaAnswer::kPending;
     }
@@ -81,11 +82,11 @@
     return QuotaAnswer::kRefused;
 }
 
-void QuotaPool::ask (Account& account, const QuotaClaim& claim)
+void QuotaPool::enqueue (Account& account, const QuotaClaim& claim)
 {
     account.pending.push_back (claim.units);
-    account.unasked.push_back (claim.units);
-    m_hasUnasked = true;
+    account.unrequested.push_back (claim.units);
+    m_hasUnrequested = true;
 }
 
 void QuotaPool::giveUp (QuotaClaim& claim)
@@ -94,8 +95,8 @@
         return;
     Account& account = m_accounts[claim.account];
     removeOne (account.pending, claim.units);
-    if (account.pending.size() < account.unasked.size())
-        removeOne (account.unasked, claim.units);
+    if (account.pending.size() < account.unrequested.size())
+        removeOne (account.unrequested, claim.units);
     claim.sequence = 0;
 }
 
@@ -105,37 +106,37 @@
     return found == m_accounts.end() ? base::Duration::zero() : found->second.wait;
 }
 
-void QuotaPool::askAgainIfOverdue (base::TimePoint now)
+void QuotaPool::requestAgainIfOverdue (base::TimePoint now)
 {
     const auto isOverdue = [&] (const auto& sent) { return now - sent.second > kAnswerTimeout; };
     if (std::erase_if (m_sent, isOverdue) > 0)
-        askAllAgain();
+        requestAllAgain();
 }
 
-void QuotaPool::askAllAgain()
+void QuotaPool::requestAllAgain()
 {
     for (auto& [tenant, account] : m_accounts)
     {
-        account.unasked = account.pending;
-        m_hasUnasked = m_hasUnasked || ! account.pending.empty();
+        account.unrequested = account.pending;
+        m_hasUnrequested = m_hasUnrequested || ! account.pending.empty();
     }
 }
 
 std::optional<cell::QuotaRequest> QuotaPool::takeRequest (base::TimePoint now)
 {
-    askAgainIfOverdue (now);
-    if (! m_hasUnasked || now - m_requestedAt < m_interval)
+    requestAgainIfOverdue (now);
+    if (! m_hasUnrequested || now - m_requestedAt < m_interval)
         return std::nullopt;
-    m_hasUnasked = false;
+    m_hasUnrequested = false;
     m_requestedAt = now;
     cell::QuotaRequest request;
     for (auto& [tenant, account] : m_accounts)
     {
-        if (! account.unasked.empty())
-            request.needs.push_back ({ tenant, std::exchange (account.unasked, {}) });
+        if (! account.unrequested.empty())
+            request.needs.push_back ({ tenant, std::exchange (account.unrequested, {}) });
     }
     if (request.needs.empty())
-        return std::nullopt;  // What was claimed has been given up.
+        return std::nullopt;  // All unrequested claims have been given up.
     request.sequence = m_nextSequence++;
     m_sent[request.sequence] = now;
     return request;
@@ -145,7 +146,7 @@
 {
     const auto sent = m_sent.find (grant.sequence);
     if (sent == m_sent.end())
-        return;  // Of another connection, or so late that it was asked for again.
+        return;  // From an earlier connection, or too late: the units were requested again.
     for (const cell::QuotaAllowance& allowance : grant.allowances)
     {
         Account& account = m_accounts[allowance.account];
@@ -164,7 +165,7 @@
 void QuotaPool::onLinkLost()
 {
     m_sent.clear();
-    askAllAgain();
+    requestAllAgain();
 }
 
 }  // namespace fernlift::quota
--- a/src/quota/QuotaPool.h
+++ b/src/quota/QuotaPool.h
@@ -1,12 +1,12 @@
 #pragma once
 
 /**
- * Units of tenants' quotas that a process asked for and was granted, until they are used.
+ * Units of tenants' quotas that a process requested and was granted, until they are used.
  *
- * A router keeps one to admit requests, a controller that does not lead keeps one to grant from.
- * Nothing is asked for ahead: a router sees less than one large request a second of a tenant, so
- * that most of what it kept would end unused, and tenants within their limits were refused 4 in
- * 100 requests.
+ * A router has a pool to admit requests from, a controller that does not lead has one to grant
+ * from. Units are not requested in advance: a router receives less than one large request of a
+ * tenant per second, so most units held in reserve would expire unused, and tenants within their
+ * limits had 4 in 100 requests refused.
  */
 
 #include <cstdint>
@@ -22,40 +22,40 @@
 namespace fernlift::quota
 {
 
-/** Units wanted at once, and how far they have been asked for. */
+/** Units needed together, and the state of their request. */
 struct QuotaClaim
 {
-    std::string account;  ///< Tenant, or what else has a limit.
+    std::string account;  ///< Tenant, or other owner of a limit.
     std::uint64_t units = 0;
-    std::uint64_t sequence = 0;  ///< Request whose answer settles it; 0: not asked for.
+    std::uint64_t sequence = 0;  ///< Request whose answer resolves the claim; 0: not requested.
     base::TimePoint askedAt{};
-    base::TimePoint until{};  ///< Granted units may be used until then.
+    base::TimePoint until{};  ///< Expiry of the granted units.
 };
 
 enum class QuotaAnswer : std::uint8_t
 {
-    kGranted,  ///< The units are used up.
-    kPending,  ///< Asked for; `take` again when a grant has come.
+    kGranted,  ///< The units were taken from the pool.
+    kPending,  ///< Requested; call `take` again after a grant arrived.
     kRefused,  ///< The tenant has no units left.
 };
 
-/** Pure: time is passed in. Threading: none. */
+/** Pure: time is passed in. Not thread-safe. */
 class QuotaPool
 {
 public:
-    /** Requests are at least `interval` apart: claims of that time go out together. */
+    /** Requests are at least `interval` apart: claims made in between are sent together. */
     explicit QuotaPool (base::Duration interval) : m_interval (interval) {}
 
     [[nodiscard]] QuotaAnswer take (QuotaClaim& claim, base::TimePoint now);
-    /** Ends a claim that is pending; does nothing to another. */
+    /** Cancels a pending claim; has no effect on any other claim. */
     void giveUp (QuotaClaim& claim);
-    /** Time until the tenant has units again, as far as known, after a refusal. */
+    /** After a refusal: estimated time until the tenant has units again. */
     [[nodiscard]] base::Duration waitOf (const std::string& tenant) const;
 
-    /** The request that is due. It must be sent at `now`. */
+    /** Returns the request that is due, if any. It must be sent at `now`. */
     [[nodiscard]] std::optional<cell::QuotaRequest> takeRequest (base::TimePoint now);
     void onGrant (const cell::QuotaGrant& grant);
-    /** No request under way will be answered: pending claims are asked for again. */
+    /** Requests under way will not be answered: pending claims are requested again. */
     void onLinkLost();
 
 private:
@@ -66,25 +66,25 @@
     };
     struct Account
     {
-        std::deque<Chunk> chunks;            ///< In the order in which they came.
-        std::vector<std::uint64_t> pending;  ///< Units of the claims that wait.
-        std::vector<std::uint64_t> unasked;  ///< Of these, in no request yet.
-        std::uint64_t answered = 0;          ///< Latest request whose answer named the tenant.
-        base::Duration wait{};               ///< As of the last answer.
+        std::deque<Chunk> chunks;                ///< Granted units, in order of arrival.
+        std::vector<std::uint64_t> pending;      ///< Units of the pending claims.
+        std::vector<std::uint64_t> unrequested;  ///< Units of pending claims in no request yet.
+        std::uint64_t answered = 0;              ///< Latest request whose answer named the tenant.
+        base::Duration wait{};                   ///< Wait stated by the last answer.
     };
 
     [[nodiscard]] static std::uint64_t available (Account& account, base::TimePoint now);
     [[nodiscard]] static base::TimePoint use (Account& account, std::uint64_t units);
-    void ask (Account& account, const QuotaClaim& claim);
-    void askAgainIfOverdue (base::TimePoint now);
-    void askAllAgain();
+    void enqueue (Account& account, const QuotaClaim& claim);
+    void requestAgainIfOverdue (base::TimePoint now);
+    void requestAllAgain();
 
     base::Duration m_interval;
     std::map<std::string, Account> m_accounts;
     std::uint64_t m_nextSequence = 1;
-    std::map<std::uint64_t, base::TimePoint> m_sent;  ///< Unanswered requests; when they were sent.
-    bool m_hasUnasked = false;                        ///< A claim is in no request yet.
-    base::TimePoint m_requestedAt{};                  ///< Of the last request.
+    std::map<std::uint64_t, base::TimePoint> m_sent;  ///< Send times of unanswered requests.
+    bool m_hasUnrequested = false;                    ///< Whether a claim is in no request yet.
+    base::TimePoint m_requestedAt{};                  ///< Time of the last request.
 };
 
 }  // namespace fernlift::quota
--- a/src/quota/QuotaPoolTest.cpp
+++ b/src/quota/QuotaPoolTest.cpp
@@ -22,7 +22,7 @@
     QuotaPool pool{ base::Duration::zero() };
 };
 
-TEST_F (QuotaPoolTest, AClaimIsAskedForOnceAndTakesItsGrant)
+TEST_F (QuotaPoolTest, RequestsAClaimOnceAndUsesItsGrant)
 {
     QuotaClaim first = claim (10);
     EXPECT_EQ (pool.take (first, kStart), QuotaAnswer::kPending);
@@ -36,7 +36,7 @@
     EXPECT_EQ (first.until, kStart + base::milliseconds (500));
 }
 
-TEST_F (QuotaPoolTest, AnAnswerWithoutUnitsRefusesAndTellsWhenToComeBack)
+TEST_F (QuotaPoolTest, AnAnswerWithoutUnitsRefusesWithARetryDelay)
 {
     QuotaClaim first = claim (10);
     static_cast<void> (pool.take (first, kStart));
@@ -45,7 +45,7 @@
     EXPECT_EQ (pool.waitOf ("farm"), base::milliseconds (700));
 }
 
-TEST_F (QuotaPoolTest, AGrantIsNotForThoseWhoComeLater)
+TEST_F (QuotaPoolTest, AGrantIsReservedForThePendingClaim)
 {
     QuotaClaim first = claim (10);
     static_cast<void> (pool.take (first, kStart));
@@ -55,7 +55,7 @@
     EXPECT_EQ (pool.take (first, kStart), QuotaAnswer::kGranted);
 }
 
-TEST_F (QuotaPoolTest, UnitsEndWithTheirLifeCountedFromTheRequest)
+TEST_F (QuotaPoolTest, UnitsExpireByTheirLifetimeCountedFromTheRequest)
 {
     QuotaClaim first = claim (10);
     static_cast<void> (pool.take (first, kStart));
@@ -67,7 +67,7 @@
     EXPECT_EQ (pool.take (third, kStart + base::milliseconds (499)), QuotaAnswer::kPending);
 }
 
-TEST_F (QuotaPoolTest, WhatWasNotAnsweredIsAskedForAgainAndALateAnswerIsNotTaken)
+TEST_F (QuotaPoolTest, RequestsAgainAfterATimeoutAndIgnoresTheLateAnswer)
 {
     QuotaClaim first = claim (10);
     static_cast<void> (pool.take (first, kStart));
@@ -82,7 +82,7 @@
     EXPECT_TRUE (pool.takeRequest (later));
 }
 
-TEST_F (QuotaPoolTest, AClaimThatIsGivenUpIsNotAskedFor)
+TEST_F (QuotaPoolTest, DoesNotRequestAClaimThatWasGivenUp)
 {
     QuotaClaim first = claim (10);
     static_cast<void> (pool.take (first, kStart));
--- a/src/quota/QuotaTolerance.cpp
+++ b/src/quota/QuotaTolerance.cpp
@@ -10,10 +10,10 @@
 
 constexpr double kLifetimePart = 0.2;
 constexpr double kFirstLevelPart = 0.05;
-constexpr double kUnassistedPart = 0.15;
+constexpr double kFallbackPart = 0.15;
 constexpr double kDebtPart = 0.6;
-/// A shorter life would be over before a grant has come by way of two controllers; a longer one
-/// gains nothing: units are asked for when they are needed.
+/// A shorter lifetime would expire before a grant arrives by way of two controllers; a longer one
+/// gains nothing, as units are requested only when they are needed.
 constexpr base::Duration kShortestLifetime = base::milliseconds (50);
 constexpr base::Duration kLongestLifetime = base::milliseconds (1500);
 
@@ -38,9 +38,9 @@
     return std::min (kFirstLevelPart * unitsFor (quota), quota.burst);
 }
 
-double QuotaTolerance::unassistedUnitsFor (const config::TenantQuota& quota) const
+double QuotaTolerance::fallbackUnitsFor (const config::TenantQuota& quota) const
 {
-    return kUnassistedPart * unitsFor (quota);
+    return kFallbackPart * unitsFor (quota);
 }
 
 double QuotaTolerance::debtUnitsFor (const config::TenantQuota& quota) const
--- a/src/quota/QuotaTolerance.h
+++ b/src/quota/QuotaTolerance.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * How far the use of a quota may lie above it within a window, as the operator of the platform
- * allows, and what of that each part of the system may use up.
+ * The tolerance by which use of a quota may exceed it within a window, as set by the operator of
+ * the platform, and how the tolerance is divided among the parts of the system.
  */
 
 #include "base/Time.h"
@@ -16,30 +16,30 @@
 struct QuotaTolerance
 {
     base::Duration window = base::seconds (8);
-    double overshoot = 0.1;  ///< Share of the limit.
-    double slack = 0;        ///< Units on top.
+    double overshoot = 0.1;  ///< Tolerated excess, as a share of the limit.
+    double slack = 0;        ///< Additional tolerated excess, in units.
 
-    /** Units above the limit of `quota` within one window. */
+    /** Tolerated units above the limit of `quota` within one window. */
     [[nodiscard]] double unitsFor (const config::TenantQuota& quota) const;
-    /** How long units that were granted may be used. A window of use holds the grants of a window
-        that is longer by this: a fifth of the tolerance.
+    /** Lifetime of granted units. The use within a window is bounded by the grants of a window that
+        is longer by this lifetime, which costs a fifth of the tolerance.
     */
     [[nodiscard]] base::Duration lifetimeFor (const config::TenantQuota& quota) const;
-    /** What new controllers may grant at once, without knowing what was granted before them: a
-        twentieth of the tolerance.
+    /** Units that new controllers may grant at once, without knowing what their predecessors
+        granted: a twentieth of the tolerance.
     */
     [[nodiscard]] double firstLevelFor (const config::TenantQuota& quota) const;
-    /** What all routers together may use without a grant at once, on top of the limit's rate: three
-        twentieths of the tolerance.
+    /** Units that all routers together may use at once without a grant, on top of the limit's rate:
+        three twentieths of the tolerance.
     */
-    [[nodiscard]] double unassistedUnitsFor (const config::TenantQuota& quota) const;
-    /** By how much all controllers together may have granted more than was left, so that what is
-        left of a limit serves large requests too: three fifths of the tolerance.
+    [[nodiscard]] double fallbackUnitsFor (const config::TenantQuota& quota) const;
+    /** Units that all controllers together may grant beyond what is left, so that the rest of a
+        limit also serves requests larger than it: three fifths of the tolerance.
     */
     [[nodiscard]] double debtUnitsFor (const config::TenantQuota& quota) const;
 };
 
-/** Declares the settings of a tolerance, which must outlive `schema`. */
+/** Declares the settings of `tolerance`, which must outlive `schema`. */
 void declareSettings (config::SettingsSchema& schema, QuotaTolerance& tolerance);
 
 }  // namespace fernlift::quota
--- a/src/quota/UnassistedShare.cpp
+++ b/src/quota/UnassistedShare.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/// Part of the limit that routers without a controller share. The leader keeps back its half for
-/// those that are cut off; the other controllers go on to grant theirs in full.
+/// Part of the limit shared by routers without a controller. The leader reserves its half for
+/// disconnected routers; the other controllers continue to grant their half in full.
 constexpr double kPart = 0.5;
 
 }  // namespace
@@ -24,7 +24,7 @@
 {
     if (m_routers == 0)
         return false;
-    const double capacity = m_tolerance.unassistedUnitsFor (tenant.quota) / m_routers;
+    const double capacity = m_tolerance.fallbackUnitsFor (tenant.quota) / m_routers;
     const double rate = kPart * tenant.quota.ratePerSecond / m_routers;
     Part& part = m_parts[tenant.name];
     const bool isNew = part.filledAt == base::TimePoint{};
--- a/src/quota/UnassistedShare.h
+++ b/src/quota/UnassistedShare.h
@@ -1,12 +1,12 @@
 #pragma once
 
 /**
- * What one router may admit of a tenant's quota while nobody grants it any: an equal part of the
- * limit, so that all routers together keep it.
+ * Fallback share of a tenant's quota that one router may admit while no controller grants it any
+ * units: an equal part of the limit, so that all routers together stay within it.
  *
- * Requests are often larger than such a part. One is then admitted with the probability by which
- * the part covers it, which on average admits as much as the parts allow; every draw spends the
- * whole part, or repeated draws would admit more.
+ * Requests are often larger than such a part. A request is then admitted with a probability equal
+ * to the fraction of it that the part covers, which on average admits as much as the parts allow.
+ * Every draw spends the whole part; otherwise repeated draws would admit more.
  */
 
 #include <cstdint>
@@ -21,19 +21,19 @@
 namespace fernlift::quota
 {
 
-/** Pure: time and randomness are passed in. Threading: none; owned by one router. */
+/** Pure: time and randomness are passed in. Not thread-safe; owned by one router. */
 class UnassistedShare
 {
 public:
     explicit UnassistedShare (const QuotaTolerance& tolerance) : m_tolerance (tolerance) {}
 
-    /** Routers of the cell; 0 while that is not known: nothing is admitted. */
+    /** Sets the number of routers of the cell. While it is 0 (unknown), nothing is admitted. */
     void setRouters (std::uint32_t routers) { m_routers = routers; }
 
-    /** A controller answered a request for units: what it granted is this router's part of the
-       limit until now, and the own part grows only from now on. Without this both count when
-       answers are late: a window held up to 1.15 of the bound in 100 of 100 seeds of a cell with
-       nine controllers, one in twenty messages late.
+    /** A controller answered a request for units. Its grants cover this router's part of the limit
+       until now, and the fallback share refills only from now on. Otherwise both count when answers
+       are late: in a cell with nine controllers and one in twenty messages late, a window held up
+       to 1.15 of the bound in 100 of 100 seeds.
     */
     void onAssisted (base::TimePoint now);
     /** Whether a request of so many units is admitted. */
@@ -44,7 +44,7 @@
     struct Part
     {
         double level = 0;
-        base::TimePoint filledAt{};  ///< Zero: it was never drawn on, and is full.
+        base::TimePoint filledAt{};  ///< Zero if the part was never drawn on and is full.
     };
 
     QuotaTolerance m_tolerance;
--- a/src/quota/UnassistedShareTest.cpp
+++ b/src/quota/UnassistedShareTest.cpp
@@ -31,8 +31,8 @@
     EXPECT_FALSE (share.admits (tenant(), 1, kStart, random));
 }
 
-/// The other half goes on to be granted by controllers that do not lead.
-TEST (UnassistedShareTest, AllRoutersTogetherKeepToHalfOfTheLimit)
+/// Controllers that do not lead continue to grant the other half.
+TEST (UnassistedShareTest, AllRoutersTogetherStayWithinHalfOfTheLimit)
 {
     constexpr int kRouters = 80;
     constexpr std::uint64_t kUnits = 9000;
@@ -42,7 +42,7 @@
     {
         UnassistedShare share (tolerance());
         share.setRouters (kRouters);
-        // Four times the limit, for one window.
+        // The routers request four times the limit for one window.
         for (int i = 0; i < 28; ++i)
         {
             const base::TimePoint now = kStart + base::milliseconds (285) * i;
@@ -61,7 +61,7 @@
     UnassistedShare share (tolerance());
     share.setRouters (1);
     base::Random random (1);
-    // The first draw takes all that there is at once.
+    // The first draw spends the whole initial share.
     [[maybe_unused]] const bool first = share.admits (tenant(), 1'000'000'000, kStart, random);
     share.onAssisted (kStart + base::seconds (5));
     EXPECT_FALSE (share.admits (tenant(), 9000, kStart + base::seconds (5), random));
