--- a/src/dispatch/Attempt.h
+++ b/src/dispatch/Attempt.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One attempt at a back end and its timeouts.
+/// One attempt to run a request at a back end, with its timeouts.
 
 #include <cstdint>
 
@@ -16,21 +16,22 @@
 class Attempt
 {
 public:
-    /// `firstByteBy`: when the answer must have begun. `betweenParts`: longest silence after that.
+    /// `firstByteBy` is the deadline for the start of the answer, `betweenParts` the timeout
+    /// between its parts after that.
     Attempt (AttemptId id, cell::RoutableReplica replica, base::TimePoint firstByteBy,
              base::Duration betweenParts);
 
-    /// Headers or a part of the answer arrived.
+    /// The headers arrived, which counts as a part of the answer.
     void onHeaders (int httpStatus, base::TimePoint now);
     void onPart (base::TimePoint now);
-    /// While paused the attempt is not read and has no timeout.
+    /// While the attempt is paused, its answer is not read and no timeout applies.
     void setPaused (bool isPaused, base::TimePoint now);
 
     [[nodiscard]] AttemptId id() const { return m_id; }
     [[nodiscard]] const cell::RoutableReplica& replica() const { return m_replica; }
     [[nodiscard]] bool hasHeaders() const { return m_hasHeaders; }
     [[nodiscard]] int httpStatus() const { return m_httpStatus; }
-    /// When the attempt is given up unless something more arrives.
+    /// Time at which the attempt times out unless another part arrives.
     [[nodiscard]] base::TimePoint timeoutAt() const { return m_timeoutAt; }
 
 private:
--- a/src/dispatch/ClaimTracker.cpp
+++ b/src/dispatch/ClaimTracker.cpp
@@ -7,7 +7,8 @@
 namespace
 {
 
-/// Outcomes are not acknowledged, so those sent within this time go out again on a new connection.
+/// Outcomes are not acknowledged, so those sent within this time are sent again on a new
+/// connection.
 constexpr base::Duration kOutcomeResendWindow = base::seconds (10);
 
 }  // namespace
--- a/src/dispatch/ClaimTracker.h
+++ b/src/dispatch/ClaimTracker.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Claims of idempotency keys on their way to the controller, and outcomes to report. Nothing is
-/// lost with a connection: unanswered claims and recent outcomes go out again on the next one.
+/// Tracks claims of idempotency keys that the controller has not answered, and outcomes to report.
+/// Nothing is lost with a connection: unanswered claims and recent outcomes are sent again on the
+/// next one.
 
 #include <cstdint>
 #include <deque>
@@ -19,20 +20,20 @@
 class ClaimTracker
 {
 public:
-    /// Asks for a claim. `claim.request` is unique to one request of one router process.
+    /// Queues a claim. `claim.request` is unique to one request of one router process.
     void add (const cell::Claim& claim);
-    /// The request was given up before its bytes left. A claim that never went out is forgotten;
-    /// another is released, once it is known to be granted.
+    /// The request was given up before any of its bytes was sent. A claim that was never sent is
+    /// dropped; any other claim is released when the controller answers that it was granted.
     void abandon (const cell::Claim& claim);
     void recordOutcome (const cell::OutcomeRecord& outcome, base::TimePoint now);
 
-    /// Answers that concern a request still waiting for its claim.
+    /// Returns the answers for requests that are still waiting for their claim.
     [[nodiscard]] std::vector<cell::ClaimAnswer> onReply (const cell::ClaimReply& reply,
                                                           base::TimePoint now);
 
-    /// On a new connection everything unanswered is sent again.
+    /// A new connection is open: everything unanswered is due again.
     void onConnected();
-    /// What to send now.
+    /// Returns the claims to send now, or nothing.
     [[nodiscard]] std::optional<cell::ClaimRequest> takeClaims();
     [[nodiscard]] std::optional<cell::OutcomeReport> takeOutcomes (base::TimePoint now);
 
@@ -44,7 +45,7 @@
     struct State
     {
         cell::Claim claim;
-        bool isSent = false;  ///< On the present connection.
+        bool isSent = false;  ///< Whether the claim was sent on the present connection.
         bool wasEverSent = false;
         bool isAbandoned = false;
     };
--- a/src/dispatch/ClaimTrackerTest.cpp
+++ b/src/dispatch/ClaimTrackerTest.cpp
@@ -18,9 +18,9 @@
     return made;
 }
 
-cell::ClaimReply reply (const cell::Claim& asked, ClaimVerdict verdict)
+cell::ClaimReply reply (const cell::Claim& sent, ClaimVerdict verdict)
 {
-    return cell::ClaimReply{ 1, { { asked.key, asked.request, verdict, 200 } } };
+    return cell::ClaimReply{ 1, { { sent.key, sent.request, verdict, 200 } } };
 }
 
 cell::OutcomeRecord outcome (const std::string& key)
@@ -48,18 +48,18 @@
     EXPECT_GT (again->sequence, first->sequence);
 }
 
-TEST (ClaimTrackerTest, PassesOnTheFirstAnswerOnly)
+TEST (ClaimTrackerTest, ReturnsTheFirstAnswerOnly)
 {
     ClaimTracker tracker;
-    const auto asked = claim ("k", "r");
-    tracker.add (asked);
+    const auto sent = claim ("k", "r");
+    tracker.add (sent);
     ASSERT_TRUE (tracker.takeClaims());
-    EXPECT_EQ (tracker.onReply (reply (asked, ClaimVerdict::kGranted), kNow).size(), 1U);
-    EXPECT_TRUE (tracker.onReply (reply (asked, ClaimVerdict::kGranted), kNow).empty());
+    EXPECT_EQ (tracker.onReply (reply (sent, ClaimVerdict::kGranted), kNow).size(), 1U);
+    EXPECT_TRUE (tracker.onReply (reply (sent, ClaimVerdict::kGranted), kNow).empty());
     EXPECT_FALSE (tracker.takeOutcomes (kNow)) << "a repeated answer releases nothing";
 }
 
-TEST (ClaimTrackerTest, AnotherRequestsAnswerForTheSameKeyIsNotTaken)
+TEST (ClaimTrackerTest, IgnoresTheAnswerToAnotherRequestWithTheSameKey)
 {
     ClaimTracker tracker;
     tracker.add (claim ("k", "mine"));
@@ -71,25 +71,25 @@
 TEST (ClaimTrackerTest, AnAbandonedClaimThatWasGrantedIsReleased)
 {
     ClaimTracker tracker;
-    const auto asked = claim ("k", "r");
-    tracker.add (asked);
+    const auto sent = claim ("k", "r");
+    tracker.add (sent);
     ASSERT_TRUE (tracker.takeClaims());
-    tracker.abandon (asked);
+    tracker.abandon (sent);
     EXPECT_TRUE (tracker.hasAbandoned());
-    EXPECT_TRUE (tracker.onReply (reply (asked, ClaimVerdict::kGranted), kNow).empty());
+    EXPECT_TRUE (tracker.onReply (reply (sent, ClaimVerdict::kGranted), kNow).empty());
     EXPECT_FALSE (tracker.hasAbandoned());
     const auto report = tracker.takeOutcomes (kNow);
     ASSERT_TRUE (report);
     EXPECT_EQ (report->outcomes[0].outcome, cell::ClaimOutcome::kNotRun);
 }
 
-TEST (ClaimTrackerTest, AnAbandonedClaimIsAskedForAgainUntilItsAnswerIsKnown)
+TEST (ClaimTrackerTest, ResendsAnAbandonedClaimUntilItsAnswerArrives)
 {
     ClaimTracker tracker;
-    const auto asked = claim ("k", "r");
-    tracker.add (asked);
+    const auto sent = claim ("k", "r");
+    tracker.add (sent);
     ASSERT_TRUE (tracker.takeClaims());
-    tracker.abandon (asked);
+    tracker.abandon (sent);
     tracker.onConnected();
     EXPECT_EQ (tracker.takeClaims()->claims.size(), 1U);
 }
@@ -97,25 +97,25 @@
 TEST (ClaimTrackerTest, AnAbandonedClaimThatWasNotGrantedIsNotReleased)
 {
     ClaimTracker tracker;
-    const auto asked = claim ("k", "r");
-    tracker.add (asked);
+    const auto sent = claim ("k", "r");
+    tracker.add (sent);
     ASSERT_TRUE (tracker.takeClaims());
-    tracker.abandon (asked);
-    EXPECT_TRUE (tracker.onReply (reply (asked, ClaimVerdict::kAlreadyRan), kNow).empty());
+    tracker.abandon (sent);
+    EXPECT_TRUE (tracker.onReply (reply (sent, ClaimVerdict::kAlreadyRan), kNow).empty());
     EXPECT_FALSE (tracker.takeOutcomes (kNow));
 }
 
-TEST (ClaimTrackerTest, AClaimAbandonedBeforeItWentOutIsForgotten)
+TEST (ClaimTrackerTest, DropsAClaimAbandonedBeforeItWasSent)
 {
     ClaimTracker tracker;
-    const auto asked = claim ("k", "r");
-    tracker.add (asked);
-    tracker.abandon (asked);
+    const auto sent = claim ("k", "r");
+    tracker.add (sent);
+    tracker.abandon (sent);
     EXPECT_FALSE (tracker.hasAbandoned());
     EXPECT_FALSE (tracker.takeClaims());
 }
 
-TEST (ClaimTrackerTest, RecentOutcomesGoOutAgainOnANewConnectionInOrder)
+TEST (ClaimTrackerTest, ResendsRecentOutcomesInOrderOnANewConnection)
 {
     ClaimTracker tracker;
     tracker.recordOutcome (outcome ("k1"), kNow);
@@ -130,7 +130,7 @@
     EXPECT_EQ (report->outcomes[0].key.value, "k1");
     EXPECT_FALSE (tracker.takeOutcomes (kNow + seconds (60)));
     tracker.onConnected();
-    EXPECT_FALSE (tracker.takeOutcomes (kNow + seconds (60))) << "long delivered by then";
+    EXPECT_FALSE (tracker.takeOutcomes (kNow + seconds (60))) << "the resend window has passed";
 }
 
 }  // namespace
--- a/src/dispatch/RetryBudget.cpp
+++ b/src/dispatch/RetryBudget.cpp
@@ -11,9 +11,9 @@
 {
 
 constexpr double kLargestBalance = 100;
-/// Lots fall differently from one set of names to the other; so many standard deviations less are
-/// given out that their sum stays within the reserve.
-constexpr double kDeviationsLeftOut = 3;
+/// The number of names that hash below a threshold varies from one set of names to another. The
+/// threshold is lowered by this many standard deviations, so that the sum stays within the reserve.
+constexpr double kReservedDeviations = 3;
 
 }  // namespace
 
@@ -46,7 +46,7 @@
     if (share >= 1)
         return share;
     const double deviation = std::sqrt (share * (1 - share) / sharers);
-    return base::hashShare (name) < share - kDeviationsLeftOut * deviation ? 1 : 0;
+    return base::hashShare (name) < share - kReservedDeviations * deviation ? 1 : 0;
 }
 
 }  // namespace fernlift::dispatch
--- a/src/dispatch/RetryTest.cpp
+++ b/src/dispatch/RetryTest.cpp
@@ -1,4 +1,4 @@
-// RetryBudget, RetryPolicy and Attempt.
+// Tests of RetryBudget, RetryPolicy and Attempt.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -19,7 +19,7 @@
 
 using base::milliseconds;
 
-TEST (RetryBudgetTest, TheReserveIsSpentOnce)
+TEST (RetryBudgetTest, SpendsTheReserveOnce)
 {
     RetryBudget budget (0, 2);
     EXPECT_TRUE (budget.tryRetry());
@@ -29,7 +29,7 @@
     EXPECT_FALSE (budget.tryRetry());
 }
 
-TEST (RetryBudgetTest, WorkThatGoesOnInAnyCaseIsCharged)
+TEST (RetryBudgetTest, ChargesUnconditionalRetries)
 {
     RetryBudget budget (0, 1.5);
     budget.chargeRetry();
@@ -42,7 +42,8 @@
     EXPECT_TRUE (other.tryRetry()) << "a charge below zero is not carried over";
 }
 
-// However failures fall, retries stay within the reserve and the share of first attempts.
+// In any order of attempts and retries, retries stay within the reserve and the share of first
+// attempts.
 RC_GTEST_PROP (RetryBudgetProperty, RetriesAreAShareOfFirstAttempts, ())
 {
     RetryBudget budget (0.2, 10);
@@ -64,7 +65,7 @@
     }
 }
 
-TEST (RetryBudgetTest, AQuietTimeDoesNotSaveUpAStorm)
+TEST (RetryBudgetTest, BoundsTheRetriesSavedUpByFirstAttempts)
 {
     RetryBudget budget (0.2);
     for (int request = 0; request < 100'000; ++request)
@@ -75,8 +76,9 @@
     EXPECT_EQ (retries, 100);
 }
 
-// What many budgets allow together in any stretch of time, with their parts of one reserve.
-RC_GTEST_PROP (RetryBudgetProperty, PartsOfOneReserveKeepABoundTogether, ())
+// Budgets that have parts of one reserve allow together, in any period, no more retries than the
+// reserve and the share of first attempts.
+RC_GTEST_PROP (RetryBudgetProperty, PartsOfOneReserveStayWithinItTogether, ())
 {
     constexpr std::size_t kRouters = 20;
     constexpr double kShare = 0.2;
@@ -108,7 +110,7 @@
     }
 }
 
-/// Budgets of the routers of a cell, each with its part of one reserve.
+/// Returns the budgets of a cell's routers, each with its part of one reserve.
 std::vector<RetryBudget> budgetsOf (std::uint32_t routers, double reserve)
 {
     std::vector<RetryBudget> budgets;
@@ -120,15 +122,15 @@
     return budgets;
 }
 
-// A part of the reserve below one retry allowed none: in a cell of a thousand routers no request
-// was ever sent a second time.
+// Guards against equal parts of the reserve in a large cell: a part below one retry allows none, so
+// that a cell of a thousand routers never retried a request.
 TEST (RetryBudgetTest, ShareOfRoutersThatMayRetryFollowsTheReserveInALargeCell)
 {
     struct Case
     {
         std::uint32_t routers;
         double reserve;
-        double share;  ///< Of the routers.
+        double share;  ///< Share of the routers that must be able to retry.
     };
     for (const auto& [routers, reserve, share] :
          { Case{ 985, 832, 0.75 }, Case{ 2000, 1664, 0.75 }, Case{ 2000, 832, 0.35 } })
@@ -139,8 +141,8 @@
     }
 }
 
-// Calls that a runner answers with an error seven times in fifty, each router with few of them.
-TEST (RetryBudgetTest, MostFailedCallsOfALargeCellAreSentAgain)
+// A runner answers seven in fifty calls with an error, and each router has few of these calls.
+TEST (RetryBudgetTest, RetriesMostFailedCallsInALargeCell)
 {
     constexpr std::uint32_t kRouters = 1000;
     base::Random random (1);
@@ -151,7 +153,8 @@
     {
         RetryBudget& budget = budgets[random.uniformInteger (0, kRouters - 1)];
         budget.onFirstAttempt();
-        constexpr double kErrorShare = 0.01;  // Of all requests; one in fifteen is such a call.
+        // Share of all requests; one request in fifteen is such a call.
+        constexpr double kErrorShare = 0.01;
         if (random.uniformReal() >= kErrorShare)
             continue;
         ++failed;
@@ -160,11 +163,11 @@
     EXPECT_GE (sentAgain, 0.6 * failed);
 }
 
-RC_GTEST_PROP (RetryBudgetProperty, PartsOfAReserveStayWithinItByLot, ())
+RC_GTEST_PROP (RetryBudgetProperty, HashedPartsOfAReserveStayWithinIt, ())
 {
     const auto routers = *rc::gen::inRange<std::uint32_t> (1, 3000);
     const double reserve = *rc::gen::inRange (0, 3000);
-    constexpr double kUsed = 0.8;  // Lots may fall one or the other way.
+    constexpr double kUsed = 0.8;  // Leaves room for the variation of the hashes.
     const std::string cell = std::to_string (*rc::gen::arbitrary<std::uint32_t>());
     double sum = 0;
     for (std::uint32_t router = 0; router < routers; ++router)
@@ -174,12 +177,12 @@
 
 RetryQuestion question (AttemptFailure failure, bool isRepeatable)
 {
-    RetryQuestion asked;
-    asked.failure = failure;
-    asked.isRepeatable = isRepeatable;
-    asked.attemptsMade = 1;
-    asked.maximumAttempts = 3;
-    return asked;
+    RetryQuestion context;
+    context.failure = failure;
+    context.isRepeatable = isRepeatable;
+    context.attemptsMade = 1;
+    context.maximumAttempts = 3;
+    return context;
 }
 
 TEST (RetryPolicyTest, OnlyAProvenFailureIsRetriedForARequestThatMayNotBeRepeated)
@@ -198,18 +201,18 @@
     }
 }
 
-TEST (RetryPolicyTest, AnAnswerThatBeganIsResumedOrFails)
+TEST (RetryPolicyTest, ResumesOrFailsAPartialAnswer)
 {
-    RetryQuestion asked = question (AttemptFailure::kBroken, true);
-    asked.hasReachedCaller = true;
-    EXPECT_EQ (decideRetry (asked), RetryDecision::kFail);
-    asked.canResume = true;
-    EXPECT_EQ (decideRetry (asked), RetryDecision::kResume);
-    asked.attemptsMade = 3;
-    EXPECT_EQ (decideRetry (asked), RetryDecision::kFail);
+    RetryQuestion context = question (AttemptFailure::kBroken, true);
+    context.hasReachedCaller = true;
+    EXPECT_EQ (decideRetry (context), RetryDecision::kFail);
+    context.canResume = true;
+    EXPECT_EQ (decideRetry (context), RetryDecision::kResume);
+    context.attemptsMade = 3;
+    EXPECT_EQ (decideRetry (context), RetryDecision::kFail);
 }
 
-TEST (AttemptTest, TheTimeoutMovesWithEachSignOfLife)
+TEST (AttemptTest, EachPartOfTheAnswerExtendsTheTimeout)
 {
     const base::TimePoint start (milliseconds (1000));
     Attempt attempt (1, {}, start + milliseconds (500), milliseconds (200));
--- a/src/dispatch/StreamAssembler.cpp
+++ b/src/dispatch/StreamAssembler.cpp
@@ -14,7 +14,7 @@
     }
     if (offset + count <= m_nextOffset)
         return PartVerdict::kDuplicate;
-    // The part is opaque here, so its known half cannot be cut off.
+    // The part is opaque here, so the units that were passed before cannot be removed from it.
     return PartVerdict::kGap;
 }
 
--- a/src/dispatch/StreamAssembler.h
+++ b/src/dispatch/StreamAssembler.h
@@ -1,28 +1,29 @@
 #pragma once
 
-/// Puts the parts of an answer together by offset.
+/// Reassembles an answer from its parts by offset.
 
 #include <cstdint>
 
 namespace fernlift::dispatch
 {
 
-/// What to do with a part.
+/// Result of checking the offset of a part.
 enum class PartVerdict : std::uint8_t
 {
-    kPass,       ///< It is the next one.
-    kDuplicate,  ///< All of it was passed before.
-    kGap,        ///< Something before it is missing, or it straddles what was passed.
+    kPass,       ///< The part starts at the next offset.
+    kDuplicate,  ///< All of the part was passed before.
+    kGap,        ///< An earlier part is missing, or this one overlaps the passed parts in part.
 };
 
 class StreamAssembler
 {
 public:
-    /// Judges a part of `count` units (tokens or bytes) from `offset`, and moves on if it passes.
+    /// Checks a part of `count` units (tokens or bytes) at `offset`, and advances past it if it
+    /// passes.
     PartVerdict accept (std::uint64_t offset, std::uint64_t count);
-    /// Offset of the next unit wanted.
+    /// Offset of the next expected unit.
     [[nodiscard]] std::uint64_t nextOffset() const { return m_nextOffset; }
-    /// Starts again; allowed only while nothing was passed on to the caller.
+    /// Restarts at offset 0; allowed only while no part was passed on to the caller.
     void restart() { m_nextOffset = 0; }
 
 private:
--- a/src/dispatch/StreamAssemblerTest.cpp
+++ b/src/dispatch/StreamAssemblerTest.cpp
@@ -31,7 +31,7 @@
     EXPECT_EQ (assembler.nextOffset(), 2U);
 }
 
-TEST (StreamAssemblerTest, StartsAgainFromNothing)
+TEST (StreamAssemblerTest, RestartsFromOffsetZero)
 {
     StreamAssembler assembler;
     assembler.accept (0, 5);
@@ -39,7 +39,7 @@
     EXPECT_EQ (assembler.accept (0, 1), PartVerdict::kPass);
 }
 
-// Whatever parts arrive, what was passed is always a beginning of the whole text.
+// Whatever parts arrive, the passed parts always form a prefix of the whole text.
 RC_GTEST_PROP (StreamAssemblerProperty, PassedTextIsAPrefixOfTheWhole, ())
 {
     const std::string whole = "abcdefghijklmnopqrstuvwxyz";
