--- a/src/admission/AdmissionQueues.cpp
+++ b/src/admission/AdmissionQueues.cpp
@@ -11,7 +11,7 @@
            && countWaiting (target) < m_limits.requestsPerTarget;
 }
 
-/// Whether there would be room if all less urgent requests gave way.
+/// Whether the request would fit if all less urgent requests were displaced.
 bool AdmissionQueues::canMakeRoom (const std::string& target, int urgency, std::size_t bytes) const
 {
     std::size_t staying = 0;
@@ -28,8 +28,8 @@
            && countAhead (target, urgency) < m_limits.requestsPerTarget;
 }
 
-/// The request to displace for one of `urgency`: of the same target when only the target's own
-/// bound is reached.
+/// Returns the request to displace for a request of `urgency`: one of the same target if the
+/// target's own bound is reached.
 std::optional<Ticket> AdmissionQueues::leastUrgent (const std::string& target, int urgency) const
 {
     const bool isTargetFull = countWaiting (target) >= m_limits.requestsPerTarget;
@@ -51,21 +51,21 @@
     return std::nullopt;
 }
 
-Enqueued AdmissionQueues::push (const std::string& target, int urgency,
-                                const QueuedRequest& request)
+EnqueueResult AdmissionQueues::push (const std::string& target, int urgency,
+                                     const QueuedRequest& request)
 {
-    Enqueued outcome;
-    const bool canBeTaken =
+    EnqueueResult outcome;
+    const bool canBeAccepted =
         hasRoom (target, request.bytes) || canMakeRoom (target, urgency, request.bytes);
-    if (! canBeTaken)
+    if (! canBeAccepted)
         return outcome;
     while (! hasRoom (target, request.bytes))
     {
-        const std::optional<Ticket> victim = leastUrgent (target, urgency);
-        if (! victim)
+        const std::optional<Ticket> candidate = leastUrgent (target, urgency);
+        if (! candidate)
             return outcome;
-        remove (*victim);
-        outcome.displaced.push_back (*victim);
+        remove (*candidate);
+        outcome.displaced.push_back (*candidate);
     }
     pushAgain (target, urgency, request);
     outcome.isAccepted = true;
@@ -91,7 +91,7 @@
     return queue == queues->second.end() ? std::nullopt : queue->second.front();
 }
 
-void AdmissionQueues::takeOut (Ticket ticket, bool isServed)
+void AdmissionQueues::removeRequest (Ticket ticket, bool isServed)
 {
     const auto entry = m_places.find (ticket);
     const Place place = entry->second;
@@ -121,14 +121,14 @@
 void AdmissionQueues::popServed (Ticket ticket)
 {
     if (m_places.contains (ticket))
-        takeOut (ticket, true);
+        removeRequest (ticket, true);
 }
 
 bool AdmissionQueues::remove (Ticket ticket)
 {
     if (! m_places.contains (ticket))
         return false;
-    takeOut (ticket, false);
+    removeRequest (ticket, false);
     return true;
 }
 
--- a/src/admission/AdmissionQueues.h
+++ b/src/admission/AdmissionQueues.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// All waiting requests of a router: one queue for each target and urgency, bounded by count and by
-/// bytes.
+/// All waiting requests of a router, in one queue for each target and urgency. The total is bounded
+/// by count and by bytes, and each target by count. A lower urgency number is more urgent.
 
 #include <cstddef>
 #include <cstdint>
@@ -22,11 +22,11 @@
     std::size_t requestsPerTarget = 0;
 };
 
-/// What became of a request that was offered.
-struct Enqueued
+/// Result of adding a request.
+struct EnqueueResult
 {
     bool isAccepted = false;
-    /// Less urgent requests that gave up their room; they are out of the queues.
+    /// Less urgent requests that were removed from the queues to make room.
     std::vector<Ticket> displaced;
 };
 
@@ -35,10 +35,11 @@
 public:
     explicit AdmissionQueues (QueueLimits limits) : m_limits (limits) {}
 
-    /// Adds a request. Without room, the least urgent waiting requests give way if they are less
-    /// urgent than this one and that makes room enough; otherwise it is not accepted.
-    Enqueued push (const std::string& target, int urgency, const QueuedRequest& request);
-    /// Adds a request that was here before, whatever the bounds.
+    /// Adds a request. If the queues are full, waiting requests are displaced, the least urgent
+    /// first, provided that they are less urgent than this one and free enough room; otherwise this
+    /// request is not accepted.
+    EnqueueResult push (const std::string& target, int urgency, const QueuedRequest& request);
+    /// Adds a request that was queued before, regardless of the bounds.
     void pushAgain (const std::string& target, int urgency, const QueuedRequest& request);
 
     [[nodiscard]] std::optional<Ticket> front (const std::string& target, int urgency) const;
@@ -48,10 +49,10 @@
     /// Targets with waiting requests of this urgency, starting after the one served last.
     [[nodiscard]] std::vector<std::string> targetsWaiting (int urgency) const;
     [[nodiscard]] std::vector<int> urgenciesWaiting() const;
-    /// Requests of the target that go before a new one of this urgency.
+    /// Number of the target's requests that are served before a new one of this urgency.
     [[nodiscard]] std::size_t countAhead (const std::string& target, int urgency) const;
     [[nodiscard]] std::size_t countWaiting (const std::string& target) const;
-    /// The target's requests in the order in which they would be served.
+    /// The target's requests in the order of service.
     [[nodiscard]] std::vector<Ticket> inServiceOrder (const std::string& target) const;
     /// Targets with waiting requests.
     [[nodiscard]] std::vector<std::string> targetsWaiting() const;
@@ -71,7 +72,7 @@
     [[nodiscard]] bool canMakeRoom (const std::string& target, int urgency,
                                     std::size_t bytes) const;
     [[nodiscard]] std::optional<Ticket> leastUrgent (const std::string& target, int urgency) const;
-    void takeOut (Ticket ticket, bool isServed);
+    void removeRequest (Ticket ticket, bool isServed);
 
     QueueLimits m_limits;
     std::map<int, TargetQueues> m_queues;
--- a/src/admission/AdmissionQueuesTest.cpp
+++ b/src/admission/AdmissionQueuesTest.cpp
@@ -16,7 +16,7 @@
                           bytes };
 }
 
-TEST (AdmissionQueuesTest, TakesNoMoreThanItsBounds)
+TEST (AdmissionQueuesTest, AcceptsNoMoreThanItsBounds)
 {
     AdmissionQueues queues ({ 3, 10, 2 });
     EXPECT_TRUE (queues.push ("m", 1, entry (1)).isAccepted);
@@ -29,18 +29,18 @@
     EXPECT_EQ (queues.bytes(), 10U);
 }
 
-TEST (AdmissionQueuesTest, TheLeastUrgentGiveWayAndNeverEquals)
+TEST (AdmissionQueuesTest, DisplacesLessUrgentRequestsButNoEquallyUrgentOnes)
 {
     AdmissionQueues queues ({ 2, 100, 2 });
     queues.push ("m", 8, entry (1));
     queues.push ("n", 5, entry (2));
-    const Enqueued urgent = queues.push ("o", 0, entry (3));
+    const EnqueueResult urgent = queues.push ("o", 0, entry (3));
     EXPECT_TRUE (urgent.isAccepted);
     EXPECT_EQ (urgent.displaced, std::vector<Ticket>{ 1 });
     EXPECT_FALSE (queues.push ("o", 5, entry (4)).isAccepted);
 }
 
-TEST (AdmissionQueuesTest, OnlyTheSameTargetGivesWayForTheBoundOfATarget)
+TEST (AdmissionQueuesTest, DisplacesFromTheSameTargetAtTheBoundOfATarget)
 {
     AdmissionQueues queues ({ 10, 100, 1 });
     queues.push ("other", 9, entry (1));
@@ -48,12 +48,12 @@
     EXPECT_EQ (queues.push ("m", 0, entry (3)).displaced, std::vector<Ticket>{ 2 });
 }
 
-TEST (AdmissionQueuesTest, NobodyGivesWayInVain)
+TEST (AdmissionQueuesTest, DisplacesNothingIfTheRequestStillDoesNotFit)
 {
     AdmissionQueues queues ({ 10, 10, 10 });
     queues.push ("m", 0, entry (1, 6));
     queues.push ("m", 8, entry (2, 2));
-    const Enqueued outcome = queues.push ("m", 0, entry (3, 5));
+    const EnqueueResult outcome = queues.push ("m", 0, entry (3, 5));
     EXPECT_FALSE (outcome.isAccepted);
     EXPECT_TRUE (outcome.displaced.empty());
     EXPECT_EQ (queues.size(), 2U);
@@ -70,7 +70,7 @@
     EXPECT_EQ (queues.targetsWaiting (1), (std::vector<std::string>{ "b", "a" }));
 }
 
-TEST (AdmissionQueuesTest, CountsWhatGoesBeforeANewRequest)
+TEST (AdmissionQueuesTest, CountsRequestsAheadOfANewOne)
 {
     AdmissionQueues queues ({ 10, 100, 10 });
     queues.push ("a", 0, entry (1));
@@ -81,7 +81,7 @@
     EXPECT_EQ (queues.urgenciesWaiting(), (std::vector<int>{ 0, 5, 8 }));
 }
 
-// Bounds hold, room is counted exactly, and only less urgent requests give way.
+// The bounds hold, counts and bytes are exact, and only less urgent requests are displaced.
 RC_GTEST_PROP (AdmissionQueuesProperty, BoundsHoldAndNothingIsLost, ())
 {
     AdmissionQueues queues ({ 6, 20, 4 });
@@ -94,7 +94,7 @@
         {
             const int urgency = *rc::gen::inRange (0, 4);
             const auto bytes = static_cast<std::size_t> (*rc::gen::inRange (1, 9));
-            const Enqueued outcome =
+            const EnqueueResult outcome =
                 queues.push (step % 2 == 0 ? "m" : "n", urgency, entry (++next, bytes));
             RC_ASSERT (outcome.isAccepted || outcome.displaced.empty());
             for (const Ticket displaced : outcome.displaced)
--- a/src/admission/RequestQueue.cpp
+++ b/src/admission/RequestQueue.cpp
@@ -34,7 +34,7 @@
     return m_callers.at (std::get<std::string> (*m_turns.begin())).byDeadline.begin()->second;
 }
 
-void RequestQueue::takeOut (Ticket ticket, std::uint64_t turnsUsed)
+void RequestQueue::removeRequest (Ticket ticket, std::uint64_t turnsUsed)
 {
     const auto request = m_requests.find (ticket);
     const std::string name = request->second.caller;
@@ -63,14 +63,14 @@
 void RequestQueue::popServed (Ticket ticket)
 {
     if (m_requests.contains (ticket))
-        takeOut (ticket, 1);
+        removeRequest (ticket, 1);
 }
 
 bool RequestQueue::remove (Ticket ticket)
 {
     if (! m_requests.contains (ticket))
         return false;
-    takeOut (ticket, 0);
+    removeRequest (ticket, 0);
     return true;
 }
 
--- a/src/admission/RequestQueue.h
+++ b/src/admission/RequestQueue.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Queue of requests of one target and urgency: callers take turns, and each caller's requests go
-/// by deadline.
+/// Queue of requests of one target and urgency. Callers take turns, and the requests of each caller
+/// are served in the order of their deadlines.
 
 #include <cstddef>
 #include <cstdint>
@@ -29,23 +29,23 @@
     std::size_t bytes = 0;
 };
 
-/// Serves the caller that was served least. A caller that comes (back) starts level with the
-/// callers being served: it can neither save up turns nor use two in one round.
+/// Serves the caller with the fewest turns used. A caller that joins or returns starts at the
+/// current round: it can neither save up turns nor use two in one round.
 class RequestQueue
 {
 public:
     void push (const QueuedRequest& request);
-    /// The request to serve next.
+    /// Returns the request to serve next, if any.
     [[nodiscard]] std::optional<Ticket> front() const;
-    /// Takes the request out as served: its caller has used one turn.
+    /// Removes a request that was served, which uses one turn of its caller.
     void popServed (Ticket ticket);
-    /// Takes the request out without a turn used. False when it is not here.
+    /// Removes a request without using a turn. False if the queue does not contain it.
     bool remove (Ticket ticket);
-    /// The request to give up first when there is no room: the last one, by deadline, of the caller
-    /// with the most requests.
+    /// Returns the request to displace first: the one with the latest deadline of the caller with
+    /// the most requests.
     [[nodiscard]] std::optional<Ticket> lastToServe() const;
 
-    /// All requests in the order in which they would be served if none came or went.
+    /// All requests in the order of service, provided that none is added or removed.
     [[nodiscard]] std::vector<Ticket> inServiceOrder() const;
 
     [[nodiscard]] std::size_t size() const { return m_requests.size(); }
@@ -57,17 +57,17 @@
         std::uint64_t turns = 0;
         std::set<std::pair<base::TimePoint, Ticket>> byDeadline;
     };
-    /// Callers with requests, least served first, then by the deadline of their first request.
+    /// Sort key of callers with requests: turns used, then the deadline of their first request.
     using Turn = std::tuple<std::uint64_t, base::TimePoint, std::string>;
 
     [[nodiscard]] static Turn turnOf (const std::string& name, const Caller& caller);
-    void takeOut (Ticket ticket, std::uint64_t turnsUsed);
+    void removeRequest (Ticket ticket, std::uint64_t turnsUsed);
 
     std::map<Ticket, QueuedRequest> m_requests;
     std::map<std::string, Caller> m_callers;
     std::set<Turn> m_turns;
     std::uint64_t m_currentTurn = 0;
-    /// Callers without waiting requests that have used their turn.
+    /// Callers without waiting requests that have used their turn of the current round.
     std::set<std::string> m_servedThisTurn;
 };
 
--- a/src/admission/RequestQueueTest.cpp
+++ b/src/admission/RequestQueueTest.cpp
@@ -48,7 +48,7 @@
     EXPECT_FALSE (queue.front());
 }
 
-TEST (RequestQueueTest, CallersTakeTurnsHoweverMuchOneAsks)
+TEST (RequestQueueTest, CallersTakeTurnsWhateverTheirLoad)
 {
     RequestQueue queue;
     for (Ticket ticket = 1; ticket <= 100; ++ticket)
@@ -83,7 +83,7 @@
     EXPECT_EQ (serveAll (queue), (std::vector<Ticket>{ 2, 3 }));
 }
 
-TEST (RequestQueueTest, TheLastOfTheCallerWithMostRequestsGivesWayFirst)
+TEST (RequestQueueTest, DisplacesTheLastRequestOfTheCallerWithMostRequests)
 {
     RequestQueue queue;
     queue.push (entry (1, "a", 100));
@@ -92,7 +92,8 @@
     EXPECT_EQ (queue.lastToServe(), 2U);
 }
 
-// While two callers both have requests, neither is served two turns more than the other.
+// While two callers both have requests, neither is ahead of the other by more than two turns, each
+// is served by deadline, and no request is lost.
 RC_GTEST_PROP (RequestQueueProperty, IsFairAndLosesNothing, ())
 {
     RequestQueue queue;
--- a/src/admission/RetryAfter.h
+++ b/src/admission/RetryAfter.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// When a refused caller should come back.
+/// Delay after which a refused caller is to retry.
 
 #include "base/Random.h"
 #include "base/Time.h"
@@ -8,7 +8,7 @@
 namespace fernlift::admission
 {
 
-/// The estimate plus a random share of it, so that refused callers do not come back together.
+/// Returns the estimate plus a random share of it, so that refused callers do not retry together.
 [[nodiscard]] base::Duration retryAfter (base::Duration estimate, base::Random& random);
 
 }  // namespace fernlift::admission
--- a/src/admission/SlotReservation.cpp
+++ b/src/admission/SlotReservation.cpp
@@ -24,8 +24,8 @@
     return static_cast<std::uint32_t> (std::lround (share->second * capacity));
 }
 
-std::uint32_t SlotReservation::keptFree (int urgency, std::uint32_t capacity,
-                                         const InFlightByUrgency& inFlight) const
+std::uint32_t SlotReservation::slotsKeptFree (int urgency, std::uint32_t capacity,
+                                              const InFlightByUrgency& inFlight) const
 {
     std::uint32_t kept = 0;
     for (const auto& entry : m_shares)
@@ -38,14 +38,14 @@
         const std::uint32_t used = taken == inFlight.end() ? 0 : taken->second;
         kept += reserved - std::min (reserved, used);
     }
-    // One slot is always left, or small runners would never serve the other classes.
+    // At least one slot is left, or small runners would never serve the other classes.
     return std::min (kept, capacity == 0 ? 0 : capacity - 1);
 }
 
 bool SlotReservation::mayStart (int urgency, std::uint32_t capacity, std::uint32_t used,
                                 const InFlightByUrgency& inFlight) const
 {
-    return used + 1 + keptFree (urgency, capacity, inFlight) <= capacity;
+    return used + 1 + slotsKeptFree (urgency, capacity, inFlight) <= capacity;
 }
 
 }  // namespace fernlift::admission
--- a/src/admission/SlotReservation.h
+++ b/src/admission/SlotReservation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Keeps a share of each runner's slots free for urgent classes.
+/// Reserves a share of each runner's slots for urgent classes.
 
 #include <cstdint>
 #include <map>
@@ -20,21 +20,22 @@
     SlotReservation() = default;
     explicit SlotReservation (const std::vector<config::RequestClass>& classes);
 
-    /// Whether a request of `urgency` may take one more of `capacity` slots of which `used` are
-    /// taken, by `inFlight` as far as urgencies are known. Slots that more urgent classes have
-    /// reserved and not taken stay free.
+    /// Whether a request of `urgency` may take one more of `capacity` slots, of which `used` are
+    /// taken. `inFlight` counts the requests whose urgency is known. Slots that more urgent classes
+    /// have reserved and do not use stay free.
     [[nodiscard]] bool mayStart (int urgency, std::uint32_t capacity, std::uint32_t used,
                                  const InFlightByUrgency& inFlight) const;
-    /// Whether a class of this urgency has reserved slots.
+    /// Whether any class of this urgency has reserved slots.
     [[nodiscard]] bool hasReservation (int urgency) const { return m_shares.contains (urgency); }
     /// Slots of `capacity` that are reserved for this urgency.
     [[nodiscard]] std::uint32_t reservedSlots (int urgency, std::uint32_t capacity) const;
 
 private:
-    [[nodiscard]] std::uint32_t keptFree (int urgency, std::uint32_t capacity,
-                                          const InFlightByUrgency& inFlight) const;
+    [[nodiscard]] std::uint32_t slotsKeptFree (int urgency, std::uint32_t capacity,
+                                               const InFlightByUrgency& inFlight) const;
 
-    std::map<int, double> m_shares;  ///< By urgency; several classes of one urgency add up.
+    /// Reserved share by urgency; the shares of several classes of one urgency add up.
+    std::map<int, double> m_shares;
 };
 
 }  // namespace fernlift::admission
--- a/src/admission/SlotReservationTest.cpp
+++ b/src/admission/SlotReservationTest.cpp
@@ -37,7 +37,7 @@
     EXPECT_FALSE (reservation().mayStart (1, 8, 6, { { 8, 6 } }));
 }
 
-TEST (SlotReservationTest, TellsTheSlotsOfAClass)
+TEST (SlotReservationTest, ReturnsTheReservedSlotsOfAClass)
 {
     EXPECT_EQ (reservation().reservedSlots (0, 8), 2U);
     EXPECT_EQ (reservation().reservedSlots (8, 8), 0U);
@@ -53,19 +53,21 @@
     EXPECT_FALSE (all.mayStart (8, 0, 0, {}));
 }
 
-// Filled by deep work alone, a runner has the reserved slots left for the urgent class.
-RC_GTEST_PROP (SlotReservationProperty, DeepWorkLeavesTheShareFree, ())
+// A runner filled with less urgent requests alone still has the reserved slots for the urgent
+// class.
+RC_GTEST_PROP (SlotReservationProperty, LessUrgentWorkLeavesTheShareFree, ())
 {
     const auto capacity = static_cast<std::uint32_t> (*rc::gen::inRange (2, 64));
     const SlotReservation quarter ({ classOf (0, 0.25) });
-    std::uint32_t deep = 0;
-    while (quarter.mayStart (8, capacity, deep, { { 8, deep } }))
-        deep += 1;
+    std::uint32_t lessUrgent = 0;
+    while (quarter.mayStart (8, capacity, lessUrgent, { { 8, lessUrgent } }))
+        lessUrgent += 1;
     std::uint32_t urgent = 0;
-    while (quarter.mayStart (0, capacity, deep + urgent, { { 0, urgent }, { 8, deep } }))
+    while (
+        quarter.mayStart (0, capacity, lessUrgent + urgent, { { 0, urgent }, { 8, lessUrgent } }))
         urgent += 1;
-    RC_ASSERT (deep + urgent == capacity);
-    RC_ASSERT (deep >= 1U);
+    RC_ASSERT (lessUrgent + urgent == capacity);
+    RC_ASSERT (lessUrgent >= 1U);
     RC_ASSERT (4 * urgent + 2 >= capacity);
 }
 
--- a/src/admission/WaitEstimatorTest.cpp
+++ b/src/admission/WaitEstimatorTest.cpp
@@ -25,7 +25,7 @@
     return now;
 }
 
-TEST (WaitEstimatorTest, KnowsNothingBeforeItHasMeasured)
+TEST (WaitEstimatorTest, GivesNoEstimateBeforeItHasEnoughSamples)
 {
     WaitEstimator estimator;
     EXPECT_FALSE (estimator.waitBehind ("m", 5, base::TimePoint{}));
@@ -33,7 +33,7 @@
     EXPECT_FALSE (estimator.waitBehind ("m", 5, now));
 }
 
-TEST (WaitEstimatorTest, TheWaitIsThePaceTimesTheRequestsAhead)
+TEST (WaitEstimatorTest, TheWaitIsTheIntervalTimesTheRequestsAhead)
 {
     WaitEstimator estimator;
     const auto now = dispatch (estimator, 40, milliseconds (10), base::TimePoint{});
@@ -41,7 +41,7 @@
     EXPECT_FALSE (estimator.waitBehind ("other", 5, now));
 }
 
-TEST (WaitEstimatorTest, FollowsAPaceThatChanges)
+TEST (WaitEstimatorTest, FollowsAChangingDispatchRate)
 {
     WaitEstimator estimator;
     auto now = dispatch (estimator, 40, milliseconds (10), base::TimePoint{});
@@ -51,7 +51,7 @@
     EXPECT_LE (wait, milliseconds (100));
 }
 
-TEST (WaitEstimatorTest, AStallIsSeenBeforeTheNextDispatch)
+TEST (WaitEstimatorTest, AStallCountsBeforeTheNextDispatch)
 {
     WaitEstimator estimator;
     const auto now = dispatch (estimator, 40, milliseconds (10), base::TimePoint{});
@@ -75,7 +75,7 @@
     EXPECT_GT (*estimator.waitBehind ("m", 16, now - milliseconds (399)), milliseconds (400));
 }
 
-TEST (WaitEstimatorTest, IdleTimeIsNoPaceAndOldFiguresAreDropped)
+TEST (WaitEstimatorTest, IgnoresIdleTimeAndDropsOldSamples)
 {
     WaitEstimator estimator;
     auto now = dispatch (estimator, 40, milliseconds (10), base::TimePoint{});
