--- a/src/routing/EngineExperimentTestSupport.h
+++ b/src/routing/EngineExperimentTestSupport.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Test support: a simulated engine for experiments on policies. It batches continuously by
-/// priority, pauses less urgent requests, caches prompt prefixes and tells of both late.
+/// Test support: a simulated engine for experiments on routing policies. It uses continuous
+/// batching by priority, pauses less urgent requests and caches prompt prefixes. It reports its
+/// load and its cache events with a lag.
 
 #include <algorithm>
 #include <cstdint>
@@ -29,7 +30,7 @@
     int stepsPerToken = 4;
     base::Duration loadLag = base::milliseconds (200);
     base::Duration cacheEventLag = base::milliseconds (500);
-    double cacheEventLoss = 0.002;  ///< Share of events lost; each makes a gap.
+    double cacheEventLoss = 0.002;  ///< Share of events lost; each loss leaves a sequence gap.
 };
 
 struct EngineRequest
@@ -41,7 +42,7 @@
     int tokens = 16;
 };
 
-/// A request got its first token, or all.
+/// Progress of a request: it produced its first token, or it ended.
 struct EngineProgress
 {
     std::uint64_t id = 0;
@@ -56,19 +57,19 @@
 
     void submit (const EngineRequest& request)
     {
-        // Kept in the order of service: the most urgent first, among equals those that came first.
+        // Sorted by order of service: the most urgent first, and equally urgent ones by arrival.
         const auto place = std::upper_bound (m_jobs.begin(), m_jobs.end(), request.priority,
                                              [] (int priority, const Job& job)
                                              { return priority < job.request.priority; });
         m_jobs.insert (place, Job{ request });
-        blocksAsked += request.blocks.size();
+        blocksRequested += request.blocks.size();
     }
     void cancel (std::uint64_t id)
     {
         std::erase_if (m_jobs, [id] (const Job& job) { return job.request.id == id; });
     }
 
-    /// One step of all running requests.
+    /// Advances all running requests by one step.
     std::vector<EngineProgress> step (base::TimePoint now)
     {
         m_loads.emplace_back (now, static_cast<std::uint32_t> (m_jobs.size()));
@@ -107,9 +108,9 @@
     }
 
     bool isStalled = false;
-    std::uint64_t blocksAsked = 0;
+    std::uint64_t blocksRequested = 0;
     std::uint64_t blocksHit = 0;
-    std::uint64_t stepsRun = 0;  ///< Slots times steps in use.
+    std::uint64_t stepsRun = 0;  ///< Sum over all steps of the slots in use.
 
 private:
     struct Job
@@ -192,7 +193,7 @@
         if (m_random.chance (m_settings.cacheEventLoss))
             return;
         m_events.emplace_back (now, CacheEvent{ m_lastSequence, isStored, target, block });
-        if (m_events.size() > kEventsKept)
+        if (m_events.size() > kMaxKeptEvents)
             m_events.pop_front();
     }
 
@@ -202,7 +203,7 @@
         PrefixHash block = 0;
         PrefixHash key = 0;
     };
-    static constexpr std::size_t kEventsKept = 2000;
+    static constexpr std::size_t kMaxKeptEvents = 2000;
 
     EngineSettings m_settings;
     base::Random m_random{ 17 };
@@ -214,7 +215,7 @@
     std::deque<std::pair<base::TimePoint, CacheEvent>> m_events;
 };
 
-/// The value below which `share` of the values lie. Sorts them.
+/// Returns the value below which `share` of the values lie. Sorts `values`.
 inline double quantile (std::vector<double>& values, double share)
 {
     if (values.empty())
--- a/src/routing/OutlierDetector.cpp
+++ b/src/routing/OutlierDetector.cpp
@@ -25,7 +25,7 @@
     const bool isAlreadyEjected = state.ejections > 0 && now < state.ejectedUntil;
     if (isAlreadyEjected)
         return;
-    // A runner that fails on its way back is ejected by the first failure.
+    // During the slow return a single failure ejects the runner again.
     if (! isReturning && state.consecutiveFailures < m_options.failuresToEject)
         return;
     base::Duration ejection = m_options.firstEjection;
--- a/src/routing/OutlierDetector.h
+++ b/src/routing/OutlierDetector.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Keeps requests off runners that fail one after another, and lets them back slowly.
+/// Ejects runners with consecutive failures from the choice, and restores their weight gradually.
 
 #include <cstdint>
 #include <map>
@@ -13,11 +13,13 @@
 
 struct OutlierOptions
 {
-    std::uint32_t failuresToEject = 3;  ///< Consecutive failures.
+    std::uint32_t failuresToEject = 3;  ///< Consecutive failures that eject a runner.
     base::Duration firstEjection = base::seconds (1);
-    base::Duration longestEjection = base::seconds (30);  ///< Ejections double up to this.
-    base::Duration slowReturn = base::seconds (10);       ///< Time to full weight afterwards.
-    double returnWeight = 0.1;                            ///< Weight at the end of an ejection.
+    base::Duration longestEjection =
+        base::seconds (30);  ///< Each ejection is twice as long, up to this.
+    base::Duration slowReturn =
+        base::seconds (10);     ///< Time from the end of an ejection to full weight.
+    double returnWeight = 0.1;  ///< Weight at the end of an ejection.
 };
 
 class OutlierDetector
@@ -29,7 +31,7 @@
     void onFailure (const base::RunnerId& runner, base::TimePoint now);
 
     [[nodiscard]] bool isEjected (const base::RunnerId& runner, base::TimePoint now) const;
-    /// 0 while ejected, then rising from `returnWeight` to 1.
+    /// Weight of the runner: 0 while ejected, then rising from `returnWeight` to 1.
     [[nodiscard]] double weightOf (const base::RunnerId& runner, base::TimePoint now) const;
 
 private:
--- a/src/routing/OutlierDetectorTest.cpp
+++ b/src/routing/OutlierDetectorTest.cpp
@@ -47,7 +47,7 @@
     EXPECT_EQ (detector.weightOf (runner, now + seconds (10)), 1.0);
 }
 
-TEST_F (OutlierDetectorTest, ASuccessOnTheWayBackDoesNotGiveFullWeightAtOnce)
+TEST_F (OutlierDetectorTest, ASuccessDuringTheReturnDoesNotRestoreFullWeight)
 {
     fail (3);
     now += seconds (2);
@@ -55,7 +55,7 @@
     EXPECT_LT (detector.weightOf (runner, now), 0.5);
 }
 
-TEST_F (OutlierDetectorTest, AFailureOnTheWayBackEjectsForTwiceAsLong)
+TEST_F (OutlierDetectorTest, AFailureDuringTheReturnDoublesTheEjection)
 {
     fail (3);
     now += milliseconds (1500);
--- a/src/routing/PolicyExperimentTest.cpp
+++ b/src/routing/PolicyExperimentTest.cpp
@@ -1,5 +1,5 @@
-// Route policies on the same traces: time to first token and prefix hit rate. The table printed is
-// the one in docs/design/routing.md.
+// Compares routing policies on the same traces by time to first token and prefix hit rate. Prints
+// the table of docs/design/routing.md.
 
 #include <gtest/gtest.h>
 
@@ -55,7 +55,8 @@
     int tokens = 0;
 };
 
-/// Arrivals in waves, with shared beginnings of prompts, the same for every policy.
+/// Returns arrivals at a rate that varies in waves, with shared prompt prefixes. All policies run
+/// on the same trace.
 std::vector<Arrival> makeTrace (std::uint64_t seed, double perSecond)
 {
     base::Random random (seed);
@@ -88,8 +89,8 @@
 
 struct Figures
 {
-    double p95 = 0;  ///< Milliseconds to the first token.
-    double p99 = 0;
+    double p95 = 0;  ///< Milliseconds to the first token, 95th percentile.
+    double p99 = 0;  ///< Milliseconds to the first token, 99th percentile.
     double hitRate = 0;
 };
 
@@ -116,9 +117,9 @@
         for (base::TimePoint now{}; now < end; now += kEngineStep)
         {
             if (now.time_since_epoch() % kTableInterval == base::Duration::zero())
-                tellLoads (now);
+                sendLoads (now);
             if (now.time_since_epoch() % kEventInterval == base::Duration::zero())
-                tellEvents (now);
+                sendCacheEvents (now);
             for (auto& router : m_routers)
                 router->table.setTime (now);
             for (; next < trace.size() && trace[next].at <= now; ++next)
@@ -126,7 +127,7 @@
             for (int runner = 0; runner < kRunners; ++runner)
             {
                 for (const EngineProgress& progress : m_engines[runner]->step (now))
-                    take (progress, now);
+                    onProgress (progress, now);
             }
         }
         Figures figures;
@@ -137,7 +138,7 @@
         for (const auto& engine : m_engines)
         {
             hit += static_cast<double> (engine->blocksHit);
-            asked += static_cast<double> (engine->blocksAsked);
+            asked += static_cast<double> (engine->blocksRequested);
         }
         figures.hitRate = hit / asked;
         return figures;
@@ -172,14 +173,14 @@
         return base::RunnerId ("r" + std::to_string (runner));
     }
 
-    void tellLoads (base::TimePoint now)
+    void sendLoads (base::TimePoint now)
     {
         std::vector<cell::RoutableReplica> rows;
         for (int model = 0; model < kModels; ++model)
         {
             for (int copy = 0; copy < kReplicasOfModel; ++copy)
             {
-                // Runners of one model lie in different zones.
+                // The runners of one model are in different zones.
                 const int runner = (model * 2 + copy * 5) % kRunners;
                 auto row = testing::row (idOf (runner).value, "m" + std::to_string (model),
                                          m_engines[runner]->reportedLoad(), zoneOf (runner));
@@ -192,7 +193,7 @@
             router->table.apply (testing::wholeTable (rows, m_version), now);
     }
 
-    void tellEvents (base::TimePoint now)
+    void sendCacheEvents (base::TimePoint now)
     {
         for (auto& router : m_routers)
         {
@@ -249,7 +250,7 @@
             { id, replica.target, 5, arrival.blocks, arrival.tokens });
     }
 
-    void take (const EngineProgress& progress, base::TimePoint now)
+    void onProgress (const EngineProgress& progress, base::TimePoint now)
     {
         const Sent& sent = m_sent.at (progress.id);
         if (progress.isFirstToken && sent.arrivedAt.time_since_epoch() >= kWarmUp)
@@ -277,7 +278,8 @@
 struct Comparison
 {
     std::array<Figures, kPolicies.size()> mean{};
-    std::array<int, kPolicies.size()> seedsBeatenAt99{};  ///< Where ours was not slower.
+    std::array<int, kPolicies.size()>
+        seedsBeatenAt99{};  ///< Seeds with a p99 of `kOurs` not above it.
 };
 
 Comparison compare (double perSecond)
@@ -285,7 +287,7 @@
     Comparison comparison;
     for (int seed = 1; seed <= kSeeds; ++seed)
     {
-        // The options of the chooser were tried on other seeds.
+        // These seeds differ from the ones on which the chooser's options were tuned.
         const auto trace = makeTrace (static_cast<std::uint64_t> (seed) + kFirstSeed, perSecond);
         std::array<Figures, kPolicies.size()> figures;
         for (std::size_t policy = 0; policy < kPolicies.size(); ++policy)
@@ -309,7 +311,7 @@
 {
 };
 
-TEST_P (PolicyExperimentTest, OursIsNotSlowerThanAnyAndHitsMost)
+TEST_P (PolicyExperimentTest, ReplicaChooserIsNotSlowerAndHitsMost)
 {
     const Comparison comparison = compare (GetParam());
     std::printf ("%.0f requests/s, %d seeds\n", GetParam(), kSeeds);
--- a/src/routing/PrefixIndex.cpp
+++ b/src/routing/PrefixIndex.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// Equal prompts of two targets are different blocks.
+/// Combines target and prompt: equal prompts of two targets have different cache blocks.
 PrefixHash blockOf (std::uint64_t targetHash, PrefixHash block) { return targetHash ^ block; }
 
 }  // namespace
@@ -53,7 +53,7 @@
         return;
     const std::uint64_t targetHash = base::stableHash (target);
     RunnerBlocks& known = m_runners[runner];
-    // Later blocks are of use only with the earlier ones, so the earliest are the most recent.
+    // A block is of use only together with all earlier ones, so the earliest are touched last.
     for (auto block = blocks.rbegin(); block != blocks.rend(); ++block)
     {
         known.touch (blockOf (targetHash, *block), m_maximumBlocks);
@@ -66,7 +66,7 @@
     RunnerBlocks& known = m_runners[runner];
     if (known.incarnation != incarnation)
     {
-        // What was learned under incarnation 0 came from this router's own requests.
+        // Blocks recorded under incarnation 0 come from this router's own requests and are kept.
         if (known.incarnation != 0)
             known.clear();
         known.incarnation = incarnation;
--- a/src/routing/PrefixIndex.h
+++ b/src/routing/PrefixIndex.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Which replicas hold which blocks of prompt prefixes in their cache, as far as is known from this
-/// router's own requests and from the engines' cache events, which come late and with gaps.
+/// Index of the prompt prefix blocks that the runners' caches are believed to hold. It is built
+/// from this router's own requests and from the engines' cache events, which arrive late and with
+/// gaps.
 
 #include <cstdint>
 #include <list>
@@ -15,14 +16,14 @@
 namespace fernlift::routing
 {
 
-/// Hash of a prompt from its start to the end of one block.
+/// Hash of a prompt from its beginning to the end of one block.
 using PrefixHash = std::uint64_t;
 
 /// One cache event of an engine.
 struct CacheEvent
 {
     std::uint64_t sequence = 0;
-    bool isStored = true;  ///< False: removed.
+    bool isStored = true;  ///< False if the block was removed.
     std::string target;    ///< Model or adapter name.
     PrefixHash block = 0;
 };
@@ -30,21 +31,21 @@
 class PrefixIndex
 {
 public:
-    /// `maximumBlocks` bounds the blocks remembered for each runner; the least recently seen go
-    /// first.
+    /// `maximumBlocks` bounds the blocks of each runner; the least recently used are evicted first.
     explicit PrefixIndex (std::size_t maximumBlocks = 16384) : m_maximumBlocks (maximumBlocks) {}
 
-    /// This router sent a prompt with these leading blocks to the target's replica at the runner.
+    /// Records that this router sent a prompt with these leading blocks to the target's replica at
+    /// the runner.
     void onSent (const base::RunnerId& runner, const std::string& target,
                  const std::vector<PrefixHash>& blocks);
 
-    /// Applies events of one start of a runner. Events already seen are skipped. After a gap, or
-    /// under a new incarnation, everything known of the runner is dropped and built anew. Returns
-    /// the sequence to ask after next.
+    /// Applies events of one incarnation of a runner. Events that were applied before are skipped.
+    /// After a gap, or for a new incarnation, the blocks of the runner are cleared first. Returns
+    /// the sequence number after which events are to be requested next.
     std::uint64_t onEvents (const base::RunnerId& runner, base::Incarnation incarnation,
                             const std::vector<CacheEvent>& events);
 
-    /// The runner is gone.
+    /// Drops all blocks of a runner that no longer exists.
     void forget (const base::RunnerId& runner);
 
     /// Number of leading blocks the runner is believed to hold.
--- a/src/routing/PrefixIndexTest.cpp
+++ b/src/routing/PrefixIndexTest.cpp
@@ -53,7 +53,7 @@
     EXPECT_EQ (index.matchingBlocks (kRunner, "m", kBlocks), 0U);
 }
 
-TEST (PrefixIndexTest, AGapDropsWhatWasKnownAndBuildsItAnew)
+TEST (PrefixIndexTest, AGapClearsTheBlocksOfTheRunner)
 {
     PrefixIndex index;
     index.onEvents (kRunner, 1, { stored (1, 11), stored (2, 12) });
@@ -74,7 +74,7 @@
     EXPECT_EQ (index.matchingBlocks (kRunner, "m", kBlocks), 0U);
 }
 
-TEST (PrefixIndexTest, TheLeastRecentBlocksGoAndTheStartOfAPromptGoesLast)
+TEST (PrefixIndexTest, EvictsLeastRecentBlocksAndTheStartOfAPromptLast)
 {
     PrefixIndex index (4);
     index.onSent (kRunner, "m", { 1, 2, 3 });
@@ -83,7 +83,8 @@
     EXPECT_EQ (index.matchingBlocks (kRunner, "m", { 7, 8 }), 2U);
 }
 
-// Events of one start, delivered with repeats in any batches but in order, give the engine's cache.
+// Events of one incarnation, delivered in order in batches that may overlap, reproduce the engine's
+// cache.
 RC_GTEST_PROP (PrefixIndexProperty, RepeatedDeliveryGivesTheEnginesCache, ())
 {
     const auto changes = *rc::gen::container<std::vector<int>> (rc::gen::inRange (-5, 6));
--- a/src/routing/ReplicaChooser.cpp
+++ b/src/routing/ReplicaChooser.cpp
@@ -10,57 +10,59 @@
 namespace
 {
 
-/// Smallest weight of a runner on its way back; keeps costs finite.
+/// Smallest weight of a runner after an ejection; keeps costs finite.
 constexpr double kLeastWeight = 0.01;
 
-struct Rated
+struct RatedReplica
 {
     const ReplicaState* state = nullptr;
     double cost = 0;
 };
 
-using Candidates = std::vector<Rated>;
+using Candidates = std::vector<RatedReplica>;
 
-Candidates keepIf (const Candidates& candidates, const std::function<bool (const Rated&)>& wanted)
+Candidates keepIf (const Candidates& candidates,
+                   const std::function<bool (const RatedReplica&)>& wanted)
 {
     Candidates kept;
     std::copy_if (candidates.begin(), candidates.end(), std::back_inserter (kept), wanted);
     return kept;
 }
 
-/// Those that satisfy `wanted`, or all when none does.
-Candidates preferIf (const Candidates& candidates, const std::function<bool (const Rated&)>& wanted)
+/// Returns the candidates that satisfy `wanted`, or all candidates if none does.
+Candidates preferIf (const Candidates& candidates,
+                     const std::function<bool (const RatedReplica&)>& wanted)
 {
     Candidates kept = keepIf (candidates, wanted);
     return kept.empty() ? candidates : kept;
 }
 
-/// Rendezvous hashing on the first block: routers that know nothing of each other's requests still
-/// send equal prefixes to the same replica.
-Rated* homeOf (PrefixHash firstBlock, Candidates& candidates)
+/// Rendezvous hashing on the first block: routers send equal prefixes to the same replica without
+/// information about each other's requests.
+RatedReplica* preferredReplicaOf (PrefixHash firstBlock, Candidates& candidates)
 {
-    Rated* home = nullptr;
+    RatedReplica* preferred = nullptr;
     std::uint64_t highest = 0;
-    for (Rated& candidate : candidates)
+    for (RatedReplica& candidate : candidates)
     {
         const std::string name =
             candidate.state->info.runner.value + "/" + std::to_string (firstBlock);
         const std::uint64_t score = base::stableHash (name);
-        if (home == nullptr || score > highest)
+        if (preferred == nullptr || score > highest)
         {
-            home = &candidate;
+            preferred = &candidate;
             highest = score;
         }
     }
-    return home;
+    return preferred;
 }
 
-/// The cheapest; equally cheap ones have equal chances.
-const Rated& cheapest (const Candidates& candidates, base::Random& random)
+/// Returns the cheapest candidate, chosen at random among equally cheap ones.
+const RatedReplica& cheapest (const Candidates& candidates, base::Random& random)
 {
-    const Rated* best = nullptr;
+    const RatedReplica* best = nullptr;
     std::int64_t equals = 0;
-    for (const Rated& candidate : candidates)
+    for (const RatedReplica& candidate : candidates)
     {
         const bool isCheaper = best == nullptr || candidate.cost < best->cost;
         if (! isCheaper && candidate.cost > best->cost)
@@ -112,14 +114,15 @@
         const double weight = std::max (outliers.weightOf (runner, now), kLeastWeight);
         candidates.push_back ({ state, costOf (*state, request, table, matching, weight) });
     }
-    candidates = preferIf (candidates, [&] (const Rated& candidate)
+    candidates = preferIf (candidates, [&] (const RatedReplica& candidate)
                            { return ! request.avoid.contains (candidate.state->info.runner); });
-    candidates = preferIf (candidates, [&] (const Rated& candidate)
+    candidates = preferIf (candidates, [&] (const RatedReplica& candidate)
                            { return ! outliers.isEjected (candidate.state->info.runner, now); });
 
     if (! request.prefixHashes.empty())
     {
-        homeOf (request.prefixHashes.front(), candidates)->cost -= m_options.homeGain;
+        preferredReplicaOf (request.prefixHashes.front(), candidates)->cost -=
+            m_options.preferredGain;
     }
     return cheapest (candidates, random).state;
 }
--- a/src/routing/ReplicaChooser.h
+++ b/src/routing/ReplicaChooser.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Chooses the replica for one request among candidates that have room for it.
+/// Chooses the replica for one request among candidates with free capacity.
 
 #include <cstdint>
 #include <optional>
@@ -20,39 +20,39 @@
 
 struct ChooserOptions
 {
-    base::ZoneName zone;  ///< The router's own.
+    base::ZoneName zone;  ///< The router's own zone.
     // All costs are in units of utilisation above `freeUtilisation`.
 
-    /// Up to this estimated utilisation a request hardly waits.
+    /// Estimated utilisation up to which a request hardly waits.
     double freeUtilisation = 0.75;
-    /// Cost of utilisation below that, which spreads requests before there are waits.
+    /// Cost of utilisation below `freeUtilisation`, which spreads requests before queues form.
     double spreadCost = 0.25;
     /// Cost of computing one block of the prompt that the replica does not hold.
     double blockCost = 0.005;
     /// Cost of leaving the router's zone.
     double zoneCost = 0.03;
-    /// Gain at the replica where all routers send prompts that begin alike.
-    double homeGain = 0.15;
+    /// Cost reduction of the replica that all routers prefer for prompts with the same first block.
+    double preferredGain = 0.15;
 };
 
-/// A request as seen by the choice.
+/// Properties of a request that affect the choice.
 struct ChoiceRequest
 {
     std::vector<PrefixHash> prefixHashes;
     std::set<base::RunnerId> avoid;  ///< Runners where an earlier attempt failed.
-    /// Set for a class with reserved slots, to its urgency: engines pause less urgent requests for
-    /// it, so that these are no load to it.
+    /// Urgency of a class with reserved slots, otherwise unset. Engines pause less urgent requests
+    /// for such a class, so they do not count as load for it.
     std::optional<int> pausesLessUrgentThan;
 };
 
-/// Estimates what the request would wait for at each candidate, from its likely load, the blocks of
-/// the prompt that it does not hold and its zone, and takes the cheapest.
+/// Estimates the cost of each candidate from its likely load, the blocks of the prompt that its
+/// cache lacks and its zone, and chooses the cheapest.
 class ReplicaChooser
 {
 public:
     explicit ReplicaChooser (ChooserOptions options) : m_options (std::move (options)) {}
 
-    /// The chosen candidate; null only when there is none.
+    /// Returns the chosen candidate; null only if there are no candidates.
     [[nodiscard]] const ReplicaState* choose (const std::vector<const ReplicaState*>& candidates,
                                               const ChoiceRequest& request,
                                               const ReplicaTable& table,
--- a/src/routing/ReplicaChooserTest.cpp
+++ b/src/routing/ReplicaChooserTest.cpp
@@ -15,7 +15,7 @@
 using testing::row;
 using testing::wholeTable;
 
-/// A chooser in zone z1 with everything it looks at.
+/// A chooser in zone z1 with all of its inputs.
 class ChooserBench
 {
 public:
@@ -56,7 +56,7 @@
     EXPECT_EQ (ChooserBench ({}).choose(), "");
 }
 
-TEST (ReplicaChooserTest, TheOwnZoneComesFirstUntilItIsBusier)
+TEST (ReplicaChooserTest, PrefersItsOwnZoneUntilItIsBusier)
 {
     ChooserBench near ({ row ("r1", "m", 1, "z1"), row ("r2", "m", 0, "z2") });
     EXPECT_EQ (near.chooseOften()["r1"], 400);
@@ -64,7 +64,7 @@
     EXPECT_GT (busy.chooseOften()["r2"], 350);
 }
 
-TEST (ReplicaChooserTest, TheLeastLoadedIsTakenAndEqualsShare)
+TEST (ReplicaChooserTest, ChoosesTheLeastLoadedAndSpreadsOverEquals)
 {
     ChooserBench bench ({ row ("r1", "m", 3), row ("r2", "m", 1), row ("r3", "m", 1) });
     const auto counts = bench.chooseOften (1000);
@@ -84,7 +84,7 @@
     EXPECT_EQ (totalOf (bench.table.inFlightAtRunner (base::RunnerId ("r2"))), 4U);
 }
 
-TEST (ReplicaChooserTest, AKnownPrefixIsFollowedUnlessItsRunnerIsMuchBusier)
+TEST (ReplicaChooserTest, PrefersACachedPrefixUnlessItsRunnerIsMuchBusier)
 {
     ChooserBench bench ({ row ("r1", "m", 0), row ("r2", "m", 4), row ("r3", "m", 16) });
     std::vector<PrefixHash> prompt (60);
@@ -106,7 +106,7 @@
     EXPECT_EQ (bench.choose ({ {}, {}, 0 }), "r1");
 }
 
-TEST (ReplicaChooserTest, RoutersAgreeOnTheHomeOfAnUnknownPrefix)
+TEST (ReplicaChooserTest, RoutersAgreeOnThePreferredReplicaOfAnUnknownPrefix)
 {
     std::map<std::string, int> homes;
     for (PrefixHash prefix = 1; prefix <= 60; ++prefix)
@@ -122,7 +122,7 @@
         EXPECT_GT (count, 8) << runner;
 }
 
-TEST (ReplicaChooserTest, EjectedAndAvoidedRunnersAreTakenOnlyWhenThereIsNoOther)
+TEST (ReplicaChooserTest, ChoosesEjectedAndAvoidedRunnersOnlyAsALastResort)
 {
     ChooserBench bench ({ row ("r1"), row ("r2") });
     bench.eject ("r1");
@@ -132,7 +132,7 @@
     EXPECT_NE (bench.choose(), "");
 }
 
-TEST (ReplicaChooserTest, AReturningRunnerGetsLittleAtFirst)
+TEST (ReplicaChooserTest, AReturningRunnerGetsFewRequestsAtFirst)
 {
     ChooserBench bench ({ row ("r1", "m", 0), row ("r2", "m", 4) });
     bench.eject ("r1");
@@ -142,7 +142,7 @@
     EXPECT_EQ (bench.chooseOften()["r1"], 400);
 }
 
-// The choice is always one of the candidates, and never an ejected one while another is left.
+// The choice is always one of the candidates, and never an ejected one while there is another.
 RC_GTEST_PROP (ReplicaChooserProperty, ChoosesACandidate, ())
 {
     const auto loads =
--- a/src/routing/ReplicaTable.cpp
+++ b/src/routing/ReplicaTable.cpp
@@ -7,14 +7,14 @@
 namespace
 {
 
-/// Starts of runners remembered as leaving. Rows of an old start may come late, so that a sign is
-/// not dropped when a row of another start arrives.
-constexpr std::size_t kSignsRemembered = 256;
-/// Age of a reported load when it arrives: engines report with a lag, and the controller passes
-/// loads on at intervals.
+/// Bound of the incarnations kept as leaving. Rows of an earlier incarnation may arrive late, so a
+/// mark is not dropped when a row of another incarnation arrives.
+constexpr std::size_t kMaxLeavingRunners = 256;
+/// Age of a reported load on arrival: engines report with a lag, and the controller forwards loads
+/// at intervals.
 constexpr base::Duration kLoadLag = base::milliseconds (250);
-/// Weight that the reports known so far keep when others arrive.
-constexpr double kReportsKept = 0.95;
+/// Factor applied to the sums of earlier reports when new reports arrive.
+constexpr double kReportDecay = 0.95;
 
 void decrement (InFlightByUrgency& inFlight, int urgency)
 {
@@ -84,7 +84,7 @@
         upsert (replica);
     for (const auto& load : update.loads)
         setLoad (load);
-    learnOwnShare (update);
+    updateOwnShare (update);
     for (const auto& estimate : update.estimates)
     {
         m_estimates[estimate.target] =
@@ -123,10 +123,10 @@
     }
 }
 
-void ReplicaTable::noteInFlight (RunnerState& runner) const
+void ReplicaTable::recordInFlight (RunnerState& runner) const
 {
     runner.history.push_back ({ m_now, totalOf (runner.inFlight) });
-    // The newest of those that are old enough is the value at the time of a measurement.
+    // The latest sample that is older than the lag is the value at the time of a measurement.
     while (runner.history.size() > 1 && runner.history[1].at <= m_now - kLoadLag)
     {
         runner.history.pop_front();
@@ -136,7 +136,7 @@
 std::uint32_t ReplicaTable::inFlightWhenMeasured (const RunnerState& runner) const
 {
     std::uint32_t total = 0;
-    for (const InFlightSince& since : runner.history)
+    for (const InFlightSample& since : runner.history)
     {
         if (since.at > m_now - kLoadLag)
             break;
@@ -168,7 +168,7 @@
     if (! m_leaving.emplace (runner, incarnation).second)
         return false;
     m_leavingByAge.emplace_back (runner, incarnation);
-    if (m_leavingByAge.size() > kSignsRemembered)
+    if (m_leavingByAge.size() > kMaxLeavingRunners)
     {
         m_leaving.erase (m_leavingByAge.front());
         m_leavingByAge.pop_front();
@@ -223,13 +223,13 @@
     InFlightByUrgency& inFlight = m_inFlight[{ key, replica.incarnation }];
     inFlight[urgency] += 1;
     const auto row = m_rows.find (key);
-    const bool isSameStart =
+    const bool isSameIncarnation =
         row != m_rows.end() && row->second.info.incarnation == replica.incarnation;
-    if (isSameStart)
+    if (isSameIncarnation)
         row->second.inFlight = inFlight;
     RunnerState& runner = m_runners[replica.runner];
     runner.inFlight[urgency] += 1;
-    noteInFlight (runner);
+    recordInFlight (runner);
 }
 
 void ReplicaTable::removeInFlight (const cell::RoutableReplica& replica, int urgency)
@@ -240,9 +240,9 @@
         return;
     decrement (inFlight->second, urgency);
     const auto row = m_rows.find (key);
-    const bool isSameStart =
+    const bool isSameIncarnation =
         row != m_rows.end() && row->second.info.incarnation == replica.incarnation;
-    if (isSameStart)
+    if (isSameIncarnation)
         row->second.inFlight = inFlight->second;
     if (inFlight->second.empty())
         m_inFlight.erase (inFlight);
@@ -250,7 +250,7 @@
     if (runner == m_runners.end())
         return;
     decrement (runner->second.inFlight, urgency);
-    noteInFlight (runner->second);
+    recordInFlight (runner->second);
     if (runner->second.rows.empty() && runner->second.inFlight.empty())
         m_runners.erase (runner);
 }
@@ -266,17 +266,17 @@
     const auto entry = m_runners.find (runner);
     if (entry == m_runners.end())
         return 0;
-    std::uint32_t ofOthers = 0;
+    std::uint32_t otherRoutersLoad = 0;
     for (const ReplicaKey& key : entry->second.rows)
     {
         const ReplicaState& state = m_rows.at (key);
         const std::uint32_t own = std::min (state.info.load, state.inFlightAtLoad);
-        ofOthers = std::max (ofOthers, state.info.load - own);
+        otherRoutersLoad = std::max (otherRoutersLoad, state.info.load - own);
     }
-    return ofOthers + totalOf (entry->second.inFlight);
+    return otherRoutersLoad + totalOf (entry->second.inFlight);
 }
 
-void ReplicaTable::learnOwnShare (const cell::ReplicaUpdate& update)
+void ReplicaTable::updateOwnShare (const cell::ReplicaUpdate& update)
 {
     std::map<base::RunnerId, std::uint32_t> loads;
     for (const auto& replica : update.upserts)
@@ -288,8 +288,8 @@
     }
     if (loads.empty())
         return;
-    m_reportedRequests *= kReportsKept;
-    m_ownRequests *= kReportsKept;
+    m_reportedRequests *= kReportDecay;
+    m_ownRequests *= kReportDecay;
     for (const auto& [runner, load] : loads)
     {
         m_reportedRequests += load;
--- a/src/routing/ReplicaTable.h
+++ b/src/routing/ReplicaTable.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The replicas a router may use, as the controller last told it, together with what the router
-/// itself has in flight at each runner.
+/// A router's copy of the table of replicas, as last received from the controller, together with
+/// the router's own requests in flight at each runner.
 
 #include <algorithm>
 #include <cstdint>
@@ -47,29 +47,30 @@
     [[nodiscard]] std::uint32_t inFlightTotal() const;
 };
 
-/// What the leader expects of a target that has no ready replica.
+/// The leader's estimate for a target that has no ready replica.
 struct ReadyEstimate
 {
     bool canBeServed = true;
     base::TimePoint readyAt{};
 };
 
-/// The table. Updates that do not follow on the version held are not applied.
+/// The table. An update that does not start at the version held is not applied.
 class ReplicaTable
 {
 public:
-    /// Applies an update received at `now`. False when versions are missing in between: the table
-    /// then reports version 0 until it was replaced whole.
+    /// Applies an update received at `now`. Returns false if versions are missing in between; the
+    /// table then reports version 0 until the whole table has been replaced.
     bool apply (const cell::ReplicaUpdate& update, base::TimePoint now);
-    /// Time for the following calls.
+    /// Sets the time for the following calls.
     void setTime (base::TimePoint now) { m_now = std::max (m_now, now); }
 
-    /// Version to report in lease requests; 0 asks for the whole table.
+    /// Version to report in lease requests; 0 requests the whole table.
     [[nodiscard]] std::uint64_t version() const { return m_needsWhole ? 0 : m_version; }
     /// Term of the leader that the version belongs to.
     [[nodiscard]] base::Term term() const { return m_term; }
 
-    /// Marks a runner as leaving; it gets nothing new under this incarnation. True if this is news.
+    /// Marks a runner as leaving: it gets no new requests under this incarnation. Returns whether
+    /// it was not marked before.
     bool markLeaving (const base::RunnerId& runner, base::Incarnation incarnation);
     [[nodiscard]] bool isLeaving (const base::RunnerId& runner,
                                   base::Incarnation incarnation) const;
@@ -77,7 +78,7 @@
     /// Rows of `target` on runners that are not leaving.
     [[nodiscard]] std::vector<const ReplicaState*> usableReplicas (const std::string& target) const;
     [[nodiscard]] bool hasUsableReplica (const std::string& target) const;
-    /// Whether the very replica may still get requests.
+    /// Whether this replica, under the same incarnation and address, may still get requests.
     [[nodiscard]] bool isUsable (const cell::RoutableReplica& replica) const;
     [[nodiscard]] std::optional<ReadyEstimate> estimateOf (const std::string& target) const;
 
@@ -85,28 +86,29 @@
     void removeInFlight (const cell::RoutableReplica& replica, int urgency);
     /// This router's requests at a runner, over all its replicas.
     [[nodiscard]] InFlightByUrgency inFlightAtRunner (const base::RunnerId& runner) const;
-    /// Estimated requests at a runner: the reported load, which lags, corrected by what this router
-    /// has sent and finished since.
+    /// Estimated requests at a runner: the reported load, which lags, corrected by the requests
+    /// that this router has sent and finished since.
     [[nodiscard]] std::uint32_t estimatedLoad (const base::RunnerId& runner) const;
-    /// Mean of `estimatedLoad` and of what this router's own requests suggest, if it sends its
-    /// usual share of all requests there. The first knows all routers' requests, but late; the
-    /// second is up to date, but knows only this router's. For comparing runners, not for
+    /// Mean of `estimatedLoad` and of an extrapolation from this router's own requests by its
+    /// average share of all requests. The former counts the requests of all routers, but late; the
+    /// latter is up to date, but based on this router alone. For comparing runners, not for
     /// admission.
     [[nodiscard]] double likelyLoad (const base::RunnerId& runner) const;
-    /// Requests at least as urgent as `urgency`. Reports do not tell them apart: the mean of this
-    /// router's own, which is too few, and of what they suggest, which is coarse.
+    /// Estimated requests at least as urgent as `urgency`, which reports do not distinguish: the
+    /// mean of this router's own count, which is too low, and of its extrapolation, which is
+    /// coarse.
     [[nodiscard]] double likelyLoadUpTo (const base::RunnerId& runner, int urgency) const;
 
     [[nodiscard]] std::vector<cell::RoutableReplica> replicas() const;
-    /// Runners marked as leaving, with the incarnation.
+    /// Runners marked as leaving, each with its incarnation.
     [[nodiscard]] const std::set<std::pair<base::RunnerId, base::Incarnation>>& leaving() const
     {
         return m_leaving;
     }
 
 private:
-    /// Number of this router's requests at a runner from a moment on.
-    struct InFlightSince
+    /// Number of this router's requests at a runner since a point in time.
+    struct InFlightSample
     {
         base::TimePoint at{};
         std::uint32_t total = 0;
@@ -115,37 +117,37 @@
     {
         InFlightByUrgency inFlight;
         std::set<ReplicaKey> rows;
-        std::deque<InFlightSince> history;  ///< Oldest first; goes back as far as reports lag.
+        std::deque<InFlightSample> history;  ///< Oldest first; covers the lag of load reports.
     };
 
     void upsert (const cell::RoutableReplica& replica);
     void setLoad (const cell::RunnerLoad& load);
     void remove (const ReplicaKey& key);
-    void noteInFlight (RunnerState& runner) const;
+    void recordInFlight (RunnerState& runner) const;
     [[nodiscard]] std::uint32_t inFlightWhenMeasured (const RunnerState& runner) const;
     [[nodiscard]] double ownShare() const { return (m_ownRequests + 1) / (m_reportedRequests + 1); }
-    void learnOwnShare (const cell::ReplicaUpdate& update);
+    void updateOwnShare (const cell::ReplicaUpdate& update);
 
     base::TimePoint m_now{};
     std::uint64_t m_version = 0;
     base::Term m_term = 0;
     bool m_needsWhole = true;
     std::map<ReplicaKey, ReplicaState> m_rows;
-    /// Outlives rows, which may be removed and come back while requests are in flight.
+    /// Outlives rows, which may be removed and added again while requests are in flight.
     std::map<std::pair<ReplicaKey, base::Incarnation>, InFlightByUrgency> m_inFlight;
     std::map<std::string, std::set<ReplicaKey>> m_rowsOfTarget;
     std::map<base::RunnerId, RunnerState> m_runners;
     std::map<std::string, ReadyEstimate> m_estimates;
     std::set<std::pair<base::RunnerId, base::Incarnation>> m_leaving;
     std::deque<std::pair<base::RunnerId, base::Incarnation>> m_leavingByAge;
-    /// Loads reported lately and this router's part of them; older reports weigh less.
+    /// Decayed sums of the reported loads and of this router's part of them.
     double m_reportedRequests = 0;
     double m_ownRequests = 0;
 };
 
 /// Sum over all urgencies.
 [[nodiscard]] std::uint32_t totalOf (const InFlightByUrgency& inFlight);
-/// Sum over those at least as urgent as `urgency`.
+/// Sum over the urgencies that are at least as urgent as `urgency`.
 [[nodiscard]] std::uint32_t countUpTo (const InFlightByUrgency& inFlight, int urgency);
 
 }  // namespace fernlift::routing
--- a/src/routing/ReplicaTableTest.cpp
+++ b/src/routing/ReplicaTableTest.cpp
@@ -15,7 +15,7 @@
 const base::TimePoint kNow (base::seconds (100));
 constexpr base::Duration kLater = base::seconds (1);
 
-TEST (ReplicaTableTest, AGapAsksForTheWholeTableAndKeepsServing)
+TEST (ReplicaTableTest, AGapRequestsTheWholeTableAndKeepsTheRows)
 {
     ReplicaTable table;
     EXPECT_FALSE (table.apply (change (3, { row ("r1") }), kNow));
@@ -25,12 +25,12 @@
     EXPECT_FALSE (table.apply (change (6, { row ("r3") }), kNow));
     EXPECT_EQ (table.version(), 0U);
     EXPECT_EQ (table.usableReplicas ("m").size(), 2U);
-    EXPECT_FALSE (table.apply (change (4, {}), kNow)) << "only a whole table mends it";
+    EXPECT_FALSE (table.apply (change (4, {}), kNow)) << "only a whole table closes the gap";
     EXPECT_TRUE (table.apply (wholeTable ({ row ("r3") }, 9), kNow));
     EXPECT_EQ (table.usableReplicas ("m").size(), 1U);
 }
 
-TEST (ReplicaTableTest, RemovalsTakeRowsOut)
+TEST (ReplicaTableTest, RemovalsDeleteRows)
 {
     ReplicaTable table;
     table.apply (wholeTable ({ row ("r1"), row ("r2") }), kNow);
@@ -41,7 +41,7 @@
     EXPECT_FALSE (table.hasUsableReplica ("m"));
 }
 
-TEST (ReplicaTableTest, ALeavingRunnerIsNotUsableUntilItsNextStart)
+TEST (ReplicaTableTest, ALeavingRunnerIsUnusableUntilItsNextIncarnation)
 {
     ReplicaTable table;
     table.apply (wholeTable ({ row ("r1"), row ("r2") }), kNow);
@@ -56,7 +56,7 @@
     EXPECT_EQ (table.usableReplicas ("m").size(), 2U);
 }
 
-TEST (ReplicaTableTest, ASignUnderANewStartOutlivesALateRowOfTheOldOne)
+TEST (ReplicaTableTest, ALeavingMarkOutlivesALateRowOfTheEarlierIncarnation)
 {
     ReplicaTable table;
     auto restarted = row ("r1");
@@ -96,7 +96,7 @@
     EXPECT_EQ (table.estimatedLoad (base::RunnerId ("r1")), 8U) << "the five are others' requests";
 }
 
-TEST (ReplicaTableTest, RequestsThatEndedSinceTheMeasurementAreNotOthers)
+TEST (ReplicaTableTest, RequestsEndedSinceTheMeasurementDoNotCountAsOthers)
 {
     ReplicaTable table;
     const auto replica = row ("r1", "m", 0);
@@ -110,14 +110,14 @@
     EXPECT_EQ (table.estimatedLoad (base::RunnerId ("r1")), 0U);
 }
 
-TEST (ReplicaTableTest, OwnRequestsStandForThoseOfOtherRouters)
+TEST (ReplicaTableTest, OwnRequestsAreScaledToAllRouters)
 {
     ReplicaTable table;
     const auto replica = row ("r1", "m", 0);
     table.apply (wholeTable ({ replica }), kNow);
     for (int made = 0; made < 2; ++made)
         table.addInFlight (replica, 0);
-    // Half of what is reported is this router's.
+    // Half of the reported load is from this router.
     for (std::uint64_t version = 1; version < 60; ++version)
     {
         table.apply (change (version, { row ("r1", "m", 4) }),
@@ -157,7 +157,7 @@
     EXPECT_EQ (table.estimatedLoad (base::RunnerId ("r1")), 0U);
 }
 
-TEST (ReplicaTableTest, RequestsOfAnEarlierStartAreNotCountedAtTheNew)
+TEST (ReplicaTableTest, RequestsOfAnEarlierIncarnationAreNotCounted)
 {
     ReplicaTable table;
     const auto replica = row ("r1");
@@ -181,7 +181,7 @@
     EXPECT_FALSE (table.estimateOf ("n"));
 }
 
-TEST (ReplicaTableTest, ALoadToldForARunnerHoldsForAllItsRows)
+TEST (ReplicaTableTest, ALoadOfARunnerAppliesToAllItsRows)
 {
     ReplicaTable table;
     table.apply (wholeTable ({ row ("r1", "a", 2), row ("r1", "b", 2), row ("r2", "a", 2) }), kNow);
