--- a/src/quota/QuotaLedger.cpp
+++ b/src/quota/QuotaLedger.cpp
@@ -9,7 +9,7 @@
 {
 
 /// A router that lost all controllers may continue to serve for this long (isolated_grace_ms).
-constexpr base::Duration kIsolatedRouterLife = base::seconds (10);
+constexpr base::Duration kIsolatedRouterLifetime = base::seconds (10);
 /// Longest wait that a refused caller is given; also bounds the queue of refused units.
 constexpr double kLongestWaitSeconds = 5;
 
@@ -80,7 +80,7 @@
 void QuotaLedger::setRouters (std::uint32_t connected, base::TimePoint now)
 {
     std::uint32_t known = m_knownRouters;
-    if (connected >= known || now - m_knownAt > kIsolatedRouterLife)
+    if (connected >= known || now - m_knownAt > kIsolatedRouterLifetime)
     {
         known = connected;
         m_knownAt = now;
