--- a/src/controller/LargeTenantQuotaTest.cpp
+++ b/src/controller/LargeTenantQuotaTest.cpp
@@ -7,9 +7,9 @@
  * router, a window held up to 1.15 of the bound: the leader reserves the fallback share from its
  * own half of the limit only, while the other controllers grant their half in full, so that 1.25 of
  * the rate was admitted with half of the routers disconnected. Routers with late grants also
- * counted the time before a grant as time without a controller. Without that, ten seeds had 1.04 of
- * the bound in the mean, 1.00 without disconnected routers, and 0.73 with half of the rate as
- * fallback share.
+ * counted the time before a grant as time without a controller. Once that time no longer counted,
+ * the fullest window held 1.04 of the bound in the mean of ten seeds, 1.00 without disconnected
+ * routers, and 0.73 with half of the rate as the fallback share.
  */
 
 #include <gtest/gtest.h>
