--- a/src/storage/FileNames.cpp
+++ b/src/storage/FileNames.cpp
@@ -11,8 +11,8 @@
 
 constexpr std::string_view kSegmentPrefix = "segment-";
 constexpr std::string_view kSnapshotPrefix = "snapshot-";
-constexpr std::string_view kUnfinishedSuffix = ".new";
-/// Digits of any 64-bit number, so that names sort by number.
+constexpr std::string_view kTemporarySuffix = ".new";
+/// Width that holds any 64-bit number. Names are zero-padded to it, so that they sort by number.
 constexpr std::size_t kDigits = 20;
 
 std::string numbered (std::string_view prefix, std::uint64_t number)
@@ -50,12 +50,12 @@
     return numberAfter (kSnapshotPrefix, name);
 }
 
-std::string unfinishedName (const std::string& name)
+std::string temporaryName (const std::string& name)
 {
-    return name + std::string (kUnfinishedSuffix);
+    return name + std::string (kTemporarySuffix);
 }
 
-bool isUnfinished (const std::string& name) { return name.ends_with (kUnfinishedSuffix); }
+bool isTemporary (const std::string& name) { return name.ends_with (kTemporarySuffix); }
 
 std::vector<std::uint64_t> segmentNumbers (const std::vector<std::string>& names)
 {
--- a/src/storage/FileStorage.cpp
+++ b/src/storage/FileStorage.cpp
@@ -46,15 +46,18 @@
 {
     if (m_memberId != 0 || memberId == 0)
     {
-        return base::fail (base::ErrorKind::kInternal, m_folder + " cannot be initialised");
+        return base::fail (
+            base::ErrorKind::kInternal,
+            m_folder
+                + " cannot be initialised: it has an identity already, or the new member ID is 0");
     }
     BOOST_LEAF_CHECK (checkUnused());
     m_image = LogImage();
     m_segmentNumber = 0;
     BOOST_LEAF_CHECK (beginSegment (true));
-    // The name of the folder itself must last, whichever start created it.
+    // The folder's own name must be durable too, even if an earlier start created the folder.
     BOOST_LEAF_CHECK (m_files.syncFolder (parentFolder (m_folder)));
-    // The identity comes last: a folder without it holds nothing.
+    // The identity is written last: a folder without one counts as empty.
     const std::string payload = wire::encodeValue (memberId);
     BOOST_LEAF_CHECK (replaceFile (m_files, m_folder, kIdentityName,
                                    encodeRecord (RecordKind::kIdentity, payload)));
@@ -67,10 +70,11 @@
 {
     if (! m_isReady)
     {
-        return base::fail (base::ErrorKind::kStorageFailed,
-                           m_folder + " is not recovered, or an earlier write failed");
+        return base::fail (
+            base::ErrorKind::kStorageFailed,
+            m_folder + " accepts no writes: it is not recovered, or an earlier write failed");
     }
-    // Until the write is complete the state on disk is not known.
+    // The state on disk is unknown until the write completes.
     m_isReady = false;
     BOOST_LEAF_CHECK (writeChecked (batches));
     m_isReady = true;
--- a/src/storage/FileStorage.h
+++ b/src/storage/FileStorage.h
@@ -2,10 +2,10 @@
 
 /// Storage in files of one data folder:
 ///   lock              locked while a process uses the folder
-///   identity          the member whose folder it is
+///   identity          identity of the member that owns the folder
 ///   segment-NUMBER    records of the log
-///   snapshot-INDEX    the snapshot the log refers to
-/// Files that end in ".new" were not finished and are removed at start.
+///   snapshot-INDEX    the snapshot that the log refers to
+/// Files that end in ".new" are incomplete and are removed at start.
 
 #include <cstdint>
 #include <memory>
@@ -19,16 +19,16 @@
 namespace fernlift::storage
 {
 
-/// A segment is closed and a new one begun when it is larger than this.
+/// A segment that grows beyond this size is closed and a new one is started.
 constexpr std::uint64_t kDefaultSegmentBytes = 16UL * 1024 * 1024;
 
 /**
- * Keeps a member's state so that a write that returned survives any crash.
+ * Stores a member's state durably: a write that has returned survives any crash.
  *
- * The log is a run of checksummed records, one for each call of `write`, in numbered segments. A
- * segment either continues the one before or is a checkpoint that restates the whole log; a
- * snapshot is stored aside first and takes effect with the checkpoint that names it. After any
- * failure the state on disk is not known, so every later write is refused.
+ * The log is a sequence of checksummed records, one per call of `write`, in numbered segments. A
+ * segment either continues the previous one or is a checkpoint that contains the whole log. A
+ * snapshot is stored in its own file first and takes effect with the checkpoint that refers to it.
+ * After any failure the state on disk is unknown, so every later write is refused.
  *
  * Threading: one thread at a time; every call may block on the disk.
  */
@@ -60,7 +60,7 @@
     base::Result<void> writeChecked (const std::vector<WriteBatch>& batches);
     base::Result<bool> storeSnapshots (const std::vector<WriteBatch>& batches);
     base::Result<void> appendRecord (const BatchesRecord& record);
-    /// Begins a new segment: a checkpoint, or a continuation of the last one.
+    /// Starts a new segment: a checkpoint, or a continuation of the last one.
     base::Result<void> beginSegment (bool isCheckpoint);
 
     [[nodiscard]] std::string pathOf (const std::string& name) const
@@ -71,14 +71,15 @@
     const std::string m_folder;
     const std::uint64_t m_segmentBytes;  ///< Size above which a segment is closed.
     FileSystem& m_files;
-    std::unique_ptr<FileLock> m_lock;      ///< Held as long as this object lives.
-    std::uint64_t m_memberId = 0;          ///< 0 until the identity is synced.
-    bool m_isReady = false;                ///< Recovered or initialised, and no write has failed.
-    LogImage m_image;                      ///< What a start would read back after the last write.
-    std::unique_ptr<File> m_segment;       ///< The last segment, open for appending.
-    std::uint64_t m_segmentNumber = 0;     ///< Of m_segment; numbers only grow, without a gap.
-    std::uint64_t m_checkpointNumber = 0;  ///< Of the last segment that restates the whole log.
-    std::uint64_t m_segmentSize = 0;       ///< Bytes of whole records in m_segment.
+    std::unique_ptr<FileLock>
+        m_lock;                       ///< Lock on the folder, held for the lifetime of this object.
+    std::uint64_t m_memberId = 0;     ///< Identity of the member; 0 until it is synced.
+    bool m_isReady = false;           ///< True once recovered or initialised, until a write fails.
+    LogImage m_image;                 ///< State that recovery would read after the last write.
+    std::unique_ptr<File> m_segment;  ///< The last segment, open for appending.
+    std::uint64_t m_segmentNumber = 0;     ///< Number of m_segment; numbers are consecutive.
+    std::uint64_t m_checkpointNumber = 0;  ///< Number of the last checkpoint segment.
+    std::uint64_t m_segmentSize = 0;       ///< Bytes of complete records in m_segment.
 };
 
 }  // namespace fernlift::storage
--- a/src/storage/FileStorageCrashTest.cpp
+++ b/src/storage/FileStorageCrashTest.cpp
@@ -1,4 +1,5 @@
-// A crash at every step of a run of writes, and disks that fail.
+// Injects a crash at every modifying operation of a sequence of writes, and disk failures, and
+// checks that recovery finds every acknowledged write and nothing that was never written.
 
 #include <gtest/gtest.h>
 
@@ -32,7 +33,7 @@
         [] (const base::Error& error) { return Failure (error); });
 }
 
-/// What a folder holds, as a model of the writes gives it.
+/// Expected contents of a folder: a model to which each write is applied.
 struct Contents
 {
     std::string hardState;
@@ -87,8 +88,8 @@
     return batch;
 }
 
-/// Writes of every kind: votes, entries over several segments, a truncation, own and received
-/// snapshots.
+/// Writes of every kind: votes, entries over several segments, a truncation, local snapshots and
+/// one received from another member.
 std::vector<Write> writesOfEveryKind()
 {
     WriteBatch rewrite = entriesFrom (6, 3, 'c');
@@ -106,16 +107,16 @@
              { entriesFrom (103, 5, 'f') } };
 }
 
-/// One member's life: it starts, writes, dies at a chosen step, and starts again.
-class Life
+/// A member that starts, writes, crashes at a chosen step and restarts, on simulated files.
+class MemberRun
 {
 public:
     SimulatedFiles& files() { return m_files; }
     [[nodiscard]] const Contents& acknowledged() const { return m_acknowledged; }
 
-    /// Starts; false when it dies or fails on the way, which is no truth unless it died. What it
-    /// reads back must be what was acknowledged or that with the write in progress, and counts as
-    /// acknowledged from then on.
+    /// Starts the member; false when it crashes or fails. A failure without a crash counts as a
+    /// violation. The recovered contents must equal the acknowledged ones, with or without the
+    /// write that was in progress, and count as acknowledged from then on.
     bool start()
     {
         m_storage.reset();
@@ -131,23 +132,23 @@
             });
         if (error)
         {
-            m_isTrue = m_files.hasCrashed();
+            m_matchesAcknowledged = m_files.hasCrashed();
             m_problem = error->message;
             return false;
         }
         const Contents found{ recovered.hardState, recovered.snapshot, recovered.entries };
         const bool isIdentityKept = ! m_isIdentityKnown || recovered.memberId == kMember;
-        m_isTrue = isIdentityKept && (found == m_acknowledged || found == m_attempted);
+        m_matchesAcknowledged = isIdentityKept && (found == m_acknowledged || found == m_attempted);
         m_isIdentityKnown = true;
         m_acknowledged = found;
         m_attempted = found;
         return true;
     }
-    /// Whether the last start read back all that was acknowledged and nothing never written.
-    [[nodiscard]] bool isTrue() const { return m_isTrue; }
+    /// Whether the last start recovered all acknowledged writes and nothing that was never written.
+    [[nodiscard]] bool matchesAcknowledged() const { return m_matchesAcknowledged; }
     [[nodiscard]] const std::string& problem() const { return m_problem; }
 
-    /// Carries the writes out until the process dies.
+    /// Performs the writes until one fails.
     void write (const std::vector<Write>& writes)
     {
         for (const Write& write : writes)
@@ -161,11 +162,11 @@
             if (error)
                 return;
             m_acknowledged = m_attempted;
-            ++m_done;
+            ++m_completedWrites;
         }
     }
-    [[nodiscard]] std::size_t done() const { return m_done; }
-    /// How the last write failed; kInternal when none has.
+    [[nodiscard]] std::size_t completedWrites() const { return m_completedWrites; }
+    /// Kind of the last failed write; kInternal when none failed.
     [[nodiscard]] ErrorKind failure() const { return m_failure; }
 
 private:
@@ -174,13 +175,13 @@
     Contents m_acknowledged;
     Contents m_attempted;
     bool m_isIdentityKnown = false;
-    bool m_isTrue = true;
+    bool m_matchesAcknowledged = true;
     std::string m_problem;
-    std::size_t m_done = 0;
+    std::size_t m_completedWrites = 0;
     ErrorKind m_failure = ErrorKind::kInternal;
 };
 
-/// Entries that follow on whatever the folder holds.
+/// Writes that continue the log from `contents`.
 std::vector<Write> writesAfter (const Contents& contents)
 {
     const std::uint64_t last =
@@ -192,41 +193,42 @@
 
 std::uint64_t stepsOfWholeRun()
 {
-    Life life;
-    life.start();
-    life.write (writesOfEveryKind());
-    EXPECT_EQ (life.done(), writesOfEveryKind().size());
-    return life.files().steps();
+    MemberRun run;
+    run.start();
+    run.write (writesOfEveryKind());
+    EXPECT_EQ (run.completedWrites(), writesOfEveryKind().size());
+    return run.files().steps();
 }
 
-/// Dies at `step`, then perhaps again while it starts, then starts, writes on (or not: what it read
-/// back must last too) and loses power. Whether every start read back the truth.
-bool survives (std::uint64_t step, CrashKind kind, std::uint64_t secondStep, std::uint64_t seed,
-               DiskFault fault = DiskFault::kNone)
+/// Crashes at `step`, optionally crashes again during the restart, restarts, writes more for even
+/// seeds (without further writes the recovered contents must be durable too) and loses power.
+/// Returns whether every start recovered the acknowledged writes.
+bool keepsAcknowledgedWrites (std::uint64_t step, CrashKind kind, std::uint64_t secondStep,
+                              std::uint64_t seed, DiskFault fault = DiskFault::kNone)
 {
-    Life life;
-    life.files().setFault (fault);
-    life.files().crashAt (step);
-    if (life.start())
-        life.write (writesOfEveryKind());
-    life.files().restart (kind, seed);
+    MemberRun run;
+    run.files().setFault (fault);
+    run.files().crashAt (step);
+    if (run.start())
+        run.write (writesOfEveryKind());
+    run.files().restart (kind, seed);
     if (secondStep > 0)
     {
-        life.files().crashAt (life.files().steps() + secondStep);
-        life.start();
-        if (! life.isTrue())
+        run.files().crashAt (run.files().steps() + secondStep);
+        run.start();
+        if (! run.matchesAcknowledged())
             return false;
-        life.files().restart (kind, seed + 1);
+        run.files().restart (kind, seed + 1);
     }
-    if (! life.start() || ! life.isTrue())
+    if (! run.start() || ! run.matchesAcknowledged())
         return false;
     if (seed % 2 == 0)
-        life.write (writesAfter (life.acknowledged()));
-    life.files().restart (CrashKind::kNothingSurvives, seed);
-    return life.start() && life.isTrue();
+        run.write (writesAfter (run.acknowledged()));
+    run.files().restart (CrashKind::kNothingSurvives, seed);
+    return run.start() && run.matchesAcknowledged();
 }
 
-TEST (FileStorageCrash, atEveryStepLosesNothingAcknowledged)
+TEST (FileStorageCrash, keepsAcknowledgedWritesAfterACrashAtEveryStep)
 {
     const std::uint64_t steps = stepsOfWholeRun();
     constexpr std::uint64_t kSecondSteps = 8;
@@ -241,7 +243,7 @@
                 const std::uint64_t seeds = kind == CrashKind::kPartSurvives ? 4 : 2;
                 for (std::uint64_t seed = 1; seed <= seeds; ++seed, ++runs)
                 {
-                    ASSERT_TRUE (survives (step, kind, second, seed))
+                    ASSERT_TRUE (keepsAcknowledgedWrites (step, kind, second, seed))
                         << "step " << step << ", kind " << static_cast<int> (kind) << ", second "
                         << second << ", seed " << seed;
                 }
@@ -251,19 +253,19 @@
     std::cout << steps << " steps, " << runs << " runs\n";
 }
 
-TEST (FileStorageCrash, showsWhenAFileOrFolderIsNotSynced)
+TEST (FileStorageCrash, detectsAMissingSyncOfFilesOrFolders)
 {
     const std::uint64_t steps = stepsOfWholeRun();
     for (const DiskFault fault :
          { DiskFault::kFileSyncDoesNothing, DiskFault::kFolderSyncDoesNothing })
     {
-        std::uint64_t lies = 0;
+        std::uint64_t violations = 0;
         for (std::uint64_t step = 1; step <= steps; ++step)
         {
-            if (! survives (step, CrashKind::kNothingSurvives, 0, 1, fault))
-                ++lies;
+            if (! keepsAcknowledgedWrites (step, CrashKind::kNothingSurvives, 0, 1, fault))
+                ++violations;
         }
-        EXPECT_GT (lies, steps / 2) << "this check can fail";
+        EXPECT_GT (violations, steps / 2) << "the check must detect a disk that does not sync";
     }
 }
 
@@ -272,56 +274,57 @@
 protected:
     void SetUp() override
     {
-        ASSERT_TRUE (m_life.start());
-        m_life.write ({ { entriesFrom (1, 2, 'a') } });
-        ASSERT_EQ (m_life.done(), 1U);
+        ASSERT_TRUE (m_run.start());
+        m_run.write ({ { entriesFrom (1, 2, 'a') } });
+        ASSERT_EQ (m_run.completedWrites(), 1U);
     }
-    /// After the failure nothing is written, whatever the disk does then; what was acknowledged is
-    /// read back.
-    void expectStopWithoutLie (ErrorKind kind)
+    /// Expects that a write fails with `kind` and that every later write is refused, even when the
+    /// disk works again.
+    void expectWritesRefused (ErrorKind kind)
     {
-        m_life.write ({ { entriesFrom (3, 2, 'b') } });
-        EXPECT_EQ (m_life.done(), 1U);
-        EXPECT_EQ (m_life.failure(), kind);
-        m_life.files().setRoom (std::nullopt);
-        m_life.files().setReadOnly (false);
-        m_life.files().setSyncFails (false);
-        m_life.write ({ { entriesFrom (3, 2, 'c') } });
-        EXPECT_EQ (m_life.done(), 1U) << "the state on disk is not known any more";
+        m_run.write ({ { entriesFrom (3, 2, 'b') } });
+        EXPECT_EQ (m_run.completedWrites(), 1U);
+        EXPECT_EQ (m_run.failure(), kind);
+        m_run.files().setFreeBytes (std::nullopt);
+        m_run.files().setReadOnly (false);
+        m_run.files().setSyncFails (false);
+        m_run.write ({ { entriesFrom (3, 2, 'c') } });
+        EXPECT_EQ (m_run.completedWrites(), 1U)
+            << "the state on disk is unknown after a failed write";
     }
 
-    Life m_life;
+    MemberRun m_run;
 };
 
-TEST_F (FailingDisk, whenFullStopsTheMember)
+TEST_F (FailingDisk, refusesWritesAfterTheDiskIsFull)
 {
-    for (const std::uint64_t room : { 0U, 1U, 50U })
+    for (const std::uint64_t freeBytes : { 0U, 1U, 50U })
     {
-        Life life;
-        ASSERT_TRUE (life.start());
-        life.write ({ { entriesFrom (1, 2, 'a') } });
-        life.files().setRoom (room);
-        life.write ({ { entriesFrom (3, 2, 'b') } });
-        EXPECT_EQ (life.done(), 1U);
-        life.files().setRoom (std::nullopt);
-        life.files().restart (CrashKind::kProcessKilled, 1);
-        EXPECT_TRUE (life.start() && life.isTrue());
-        EXPECT_EQ (life.acknowledged().entries.size(), 2U);
+        MemberRun run;
+        ASSERT_TRUE (run.start());
+        run.write ({ { entriesFrom (1, 2, 'a') } });
+        run.files().setFreeBytes (freeBytes);
+        run.write ({ { entriesFrom (3, 2, 'b') } });
+        EXPECT_EQ (run.completedWrites(), 1U);
+        run.files().setFreeBytes (std::nullopt);
+        run.files().restart (CrashKind::kProcessKilled, 1);
+        EXPECT_TRUE (run.start() && run.matchesAcknowledged());
+        EXPECT_EQ (run.acknowledged().entries.size(), 2U);
     }
-    m_life.files().setRoom (10);
-    expectStopWithoutLie (ErrorKind::kStorageFull);
+    m_run.files().setFreeBytes (10);
+    expectWritesRefused (ErrorKind::kStorageFull);
 }
 
-TEST_F (FailingDisk, whenReadOnlyStopsTheMember)
+TEST_F (FailingDisk, refusesWritesAfterTheDiskIsReadOnly)
 {
-    m_life.files().setReadOnly (true);
-    expectStopWithoutLie (ErrorKind::kStorageFailed);
+    m_run.files().setReadOnly (true);
+    expectWritesRefused (ErrorKind::kStorageFailed);
 }
 
-TEST_F (FailingDisk, whenASyncFailsStopsTheMember)
+TEST_F (FailingDisk, refusesWritesAfterAFailedSync)
 {
-    m_life.files().setSyncFails (true);
-    expectStopWithoutLie (ErrorKind::kStorageFailed);
+    m_run.files().setSyncFails (true);
+    expectWritesRefused (ErrorKind::kStorageFailed);
 }
 
 }  // namespace
--- a/src/storage/FileStorageRecovery.cpp
+++ b/src/storage/FileStorageRecovery.cpp
@@ -1,4 +1,4 @@
-// Reading a data folder at start.
+// Recovery of a data folder when the process starts.
 
 #include <algorithm>
 #include <utility>
@@ -26,7 +26,8 @@
                            + std::to_string (kFormatVersion));
 }
 
-/// The payload of a record that must be whole, because the file got its name after a sync.
+/// The payload of a file's first record. It must be complete, because the file was synced before it
+/// was renamed to its final name.
 base::Result<std::string_view> requireRecord (const std::string& path, std::string_view bytes,
                                               RecordKind kind)
 {
@@ -37,7 +38,7 @@
     }
     if (record.verdict != RecordVerdict::kWhole || record.kind != kind)
     {
-        return corrupt (path, "its first record is damaged");
+        return corrupt (path, "its first record is damaged or of the wrong type");
     }
     return record.payload;
 }
@@ -80,8 +81,9 @@
     return Recovered{};
 }
 
-/// Without an identity there may be the first segment, from a start that did not finish, and no
-/// more: otherwise the identity was lost.
+/// Checks that a folder without an identity holds no log. An initialisation that was interrupted
+/// may have left the first segment with only its header; anything more means that the identity was
+/// lost.
 base::Result<void> FileStorage::checkUnused() const
 {
     BOOST_LEAF_AUTO (names, m_files.listFolder (m_folder));
@@ -99,9 +101,9 @@
         return {};
     BOOST_LEAF_AUTO (bytes, m_files.readFile (pathOf (first)));
     const ReadRecord header = readRecord (bytes, 0);
-    const bool isBegun =
+    const bool hasRecords =
         header.verdict == RecordVerdict::kWhole && header.nextOffset < bytes.size();
-    if (isBegun)
+    if (hasRecords)
         return corrupt (m_folder, "it holds a log but no identity");
     return {};
 }
@@ -145,13 +147,13 @@
                        m_files.open (pathOf (segmentName (m_segmentNumber)), OpenMode::kAppend));
     if (tornBytes > 0)
         BOOST_LEAF_CHECK (m_segment->truncate (m_segmentSize));
-    // A process that was killed may have left bytes and names that are not synced. They are acted
-    // upon from now on, so they must last.
+    // A process that was killed may have left bytes and names that are not synced. The recovered
+    // state depends on them from here on, so they must be durable.
     BOOST_LEAF_CHECK (m_segment->sync());
     return m_files.syncFolder (m_folder);
 }
 
-/// Number of the last segment that restates the whole log.
+/// Number of the last checkpoint segment.
 base::Result<std::uint64_t> FileStorage::findCheckpoint (
     const std::vector<std::uint64_t>& numbers) const
 {
@@ -161,14 +163,14 @@
         BOOST_LEAF_AUTO (bytes, m_files.readFile (path));
         BOOST_LEAF_AUTO (header, readSegmentHeader (path, bytes));
         if (header.number != *number)
-            return corrupt (path, "it is not the segment its name says");
+            return corrupt (path, "the number in its header does not match its file name");
         if (header.isCheckpoint)
             return *number;
     }
-    return corrupt (m_folder, "the beginning of its log is missing");
+    return corrupt (m_folder, "the log has no checkpoint segment to start from");
 }
 
-/// Replays a segment and returns how many bytes at its end are of an unfinished record.
+/// Replays a segment and returns the number of bytes of an incomplete record at its end.
 base::Result<std::uint64_t> FileStorage::replaySegment (std::uint64_t number, bool isLast)
 {
     const std::string path = pathOf (segmentName (number));
@@ -209,7 +211,7 @@
     return std::string (payload);
 }
 
-/// Removes unfinished files and what the last checkpoint made superfluous.
+/// Removes temporary files, and segments and snapshots that the last checkpoint replaced.
 base::Result<void> FileStorage::removeLeftovers()
 {
     BOOST_LEAF_AUTO (names, m_files.listFolder (m_folder));
@@ -222,7 +224,7 @@
     {
         const auto index = snapshotIndexOf (name);
         const bool isOldSnapshot = index.has_value() && *index != m_image.snapshotIndex();
-        if (isOldSnapshot || isUnfinished (name))
+        if (isOldSnapshot || isTemporary (name))
             BOOST_LEAF_CHECK (m_files.removeFile (pathOf (name)));
     }
     return {};
--- a/src/storage/FileStorageTest.cpp
+++ b/src/storage/FileStorageTest.cpp
@@ -19,7 +19,7 @@
 
 using base::ErrorKind;
 
-/// The whole error; none when it succeeds.
+/// The error with which `operation` fails; nullopt when it succeeds.
 template <class Operation>
 std::optional<base::Error> errorOf (Operation&& operation)
 {
@@ -33,7 +33,7 @@
         [] (const base::Error& error) { return Failure (error); });
 }
 
-/// The kind with which `operation` fails; none when it succeeds.
+/// The kind of error with which `operation` fails; nullopt when it succeeds.
 template <class Operation>
 std::optional<ErrorKind> failureOf (Operation&& operation)
 {
@@ -115,8 +115,8 @@
         file.put (static_cast<char> (byte ^ 0x55));
     }
 
-    /// Damages one byte of the last segment, in the record at `recordAt`: a start must refuse it
-    /// and name file and record. The byte is put back afterwards.
+    /// Damages one byte of the last segment, in the record at `recordAt`. Recovery must fail with a
+    /// message that names the file and the record's offset. The byte is restored afterwards.
     void expectDamageIsReported (std::uint64_t offset, std::uint64_t recordAt)
     {
         m_storage.reset();
@@ -172,7 +172,7 @@
     EXPECT_EQ (write ({ hardState ("x") }), ErrorKind::kStorageFailed);
 }
 
-TEST_F (FileStorageTest, KeepsWhatWasWritten)
+TEST_F (FileStorageTest, RecoversWrittenState)
 {
     start();
     ASSERT_EQ (write ({ hardState ("one"), entries (1, 5) }), std::nullopt);
@@ -201,7 +201,7 @@
     EXPECT_EQ (m_recovered.entries.front().index, 9U);
 }
 
-TEST_F (FileStorageTest, AReceivedSnapshotMayLeaveAGap)
+TEST_F (FileStorageTest, AcceptsAReceivedSnapshotBeyondTheLog)
 {
     start();
     ASSERT_EQ (write ({ entries (1, 10) }), std::nullopt);
@@ -270,7 +270,7 @@
     EXPECT_EQ (m_recovered.entries.size(), 9U);
 }
 
-TEST_F (FileStorageTest, RefusesDamageInALastRecordThatIsWhole)
+TEST_F (FileStorageTest, RefusesDamageInACompleteLastRecord)
 {
     start();
     ASSERT_EQ (write ({ entries (1, 3) }), std::nullopt);
@@ -279,13 +279,13 @@
     const auto end = std::filesystem::file_size (lastSegment());
     for (auto offset = first; offset < end; ++offset)
     {
-        // A length that reaches beyond the end looks like a torn write only if the header's own
-        // checksum fits, which one changed byte does not.
+        // A length beyond the end of the file counts as a torn write only when the header's
+        // checksum is valid, which it is not after one byte has changed.
         ASSERT_NO_FATAL_FAILURE (expectDamageIsReported (offset, first));
     }
 }
 
-TEST_F (FileStorageTest, CutsALastRecordOfWhichASectorWasNeverWritten)
+TEST_F (FileStorageTest, CutsALastRecordWithAnUnwrittenSector)
 {
     constexpr std::uint64_t kSector = 512;
     start();
@@ -355,7 +355,7 @@
     EXPECT_EQ (open(), ErrorKind::kStorageFormatUnknown);
 }
 
-TEST_F (FileStorageTest, OneProcessAFolder)
+TEST_F (FileStorageTest, RefusesAFolderThatIsLocked)
 {
     start();
     const auto second = failureOf (
@@ -367,12 +367,12 @@
     EXPECT_EQ (second, ErrorKind::kStorageLocked);
 }
 
-TEST_F (FileStorageTest, RemovesWhatACrashLeftBehind)
+TEST_F (FileStorageTest, RemovesLeftoversOfACrash)
 {
     start();
     ASSERT_EQ (write ({ entries (1, 2) }), std::nullopt);
     m_storage.reset();
-    // As after a crash between storing a snapshot and the checkpoint that refers to it.
+    // The state after a crash between storing a snapshot and the checkpoint that refers to it.
     std::ofstream (m_folder / snapshotName (2)) << "never referred to";
     std::ofstream (m_folder / (segmentName (2) + ".new")) << "unfinished";
     start();
--- a/src/storage/FileStorageTimingTest.cpp
+++ b/src/storage/FileStorageTimingTest.cpp
@@ -1,5 +1,5 @@
-// Prints how long storage takes beside the disk's own sync time. It asserts the results, never the
-// times: they belong to the machine.
+// Prints the time that storage takes next to the disk's own sync time. Only results are asserted,
+// because the times depend on the machine.
 
 #include <gtest/gtest.h>
 
--- a/src/storage/FileSystem.cpp
+++ b/src/storage/FileSystem.cpp
@@ -11,11 +11,11 @@
                                 const std::string& name, std::string_view bytes)
 {
     const std::string path = folder + "/" + name;
-    const std::string aside = unfinishedName (path);
-    BOOST_LEAF_AUTO (file, files.open (aside, OpenMode::kCreateEmpty));
+    const std::string temporaryPath = temporaryName (path);
+    BOOST_LEAF_AUTO (file, files.open (temporaryPath, OpenMode::kCreateEmpty));
     BOOST_LEAF_CHECK (file->append (bytes));
     BOOST_LEAF_CHECK (file->sync());
-    BOOST_LEAF_CHECK (files.renameFile (aside, path));
+    BOOST_LEAF_CHECK (files.renameFile (temporaryPath, path));
     return files.syncFolder (folder);
 }
 
--- a/src/storage/LogImage.cpp
+++ b/src/storage/LogImage.cpp
@@ -59,9 +59,10 @@
     const std::uint64_t last = m_entries.empty() ? m_snapshotIndex : m_entries.back().index;
     if (entry.index != last + 1)
     {
-        return base::fail (
-            base::ErrorKind::kStorageCorrupt,
-            "entry " + std::to_string (entry.index) + " follows entry " + std::to_string (last));
+        return base::fail (base::ErrorKind::kStorageCorrupt,
+                           "entry " + std::to_string (entry.index)
+                               + " does not continue the log, which ends at entry "
+                               + std::to_string (last));
     }
     m_entries.push_back (entry);
     return {};
--- a/src/storage/LogImage.h
+++ b/src/storage/LogImage.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Contents of the stored log, as the records written so far make it; the same code follows the
-/// writes and replays the records at start.
+/// In-memory image of the stored log, built from the records written so far. The same code applies
+/// records when they are written and when they are replayed at start.
 
 #include <boost/serialization/string.hpp>
 #include <boost/serialization/vector.hpp>
@@ -15,7 +15,7 @@
 namespace fernlift::storage
 {
 
-/// A StoredEntry in a record.
+/// Serialized form of a StoredEntry.
 struct EntryRecord
 {
     std::uint64_t index = 0;
@@ -28,7 +28,7 @@
     }
 };
 
-/// A WriteBatch without a snapshot, in a record.
+/// Serialized form of a WriteBatch, without its snapshot.
 struct BatchRecord
 {
     bool hasHardState = false;
@@ -43,7 +43,7 @@
     }
 };
 
-/// Several batches, written as one record: after a crash all of them are there or none.
+/// Several batches written as one record, so that after a crash either all or none are present.
 struct BatchesRecord
 {
     std::vector<BatchRecord> batches;
@@ -55,14 +55,14 @@
     }
 };
 
-/// Start of a segment. A checkpoint restates the whole log, so that earlier segments are not
-/// needed.
+/// First record of a segment. A checkpoint contains the whole log, so that earlier segments are no
+/// longer needed.
 struct SegmentHeader
 {
     std::uint64_t number = 0;
     bool isCheckpoint = false;
-    std::string hardState;            ///< Checkpoints only, as are the following.
-    std::uint64_t snapshotIndex = 0;  ///< 0: none.
+    std::string hardState;            ///< Set in checkpoints only, as are the fields below.
+    std::uint64_t snapshotIndex = 0;  ///< Last index that the snapshot covers; 0: no snapshot.
     std::vector<EntryRecord> entries;
 
     template <class Archive>
@@ -72,18 +72,18 @@
     }
 };
 
-/// Follows the records of the log, while they are written as well as when they are replayed, so
-/// that both ways give the same state. Threading: none; owned by FileStorage.
+/// State of the log after the records applied so far. Writing and replay both update it through
+/// the same functions, so that they give the same state. Not thread-safe; owned by FileStorage.
 class LogImage
 {
 public:
-    /// Takes over a checkpoint.
+    /// Replaces the state by the contents of a checkpoint.
     base::Result<void> load (const SegmentHeader& checkpoint);
     [[nodiscard]] SegmentHeader makeCheckpoint (std::uint64_t segmentNumber) const;
 
-    /// Follows one step; kStorageCorrupt when its entries do not follow on the log.
+    /// Applies one batch; kStorageCorrupt when its entries do not continue the log.
     base::Result<void> apply (const BatchRecord& batch);
-    /// Drops the entries that the snapshot covers.
+    /// Sets the index of the snapshot and drops the entries that it covers.
     void applySnapshot (std::uint64_t lastIndex);
 
     [[nodiscard]] const std::string& hardState() const { return m_hardState; }
@@ -93,9 +93,10 @@
 private:
     base::Result<void> append (const EntryRecord& entry);
 
-    std::string m_hardState;            ///< Empty until the first one is written.
-    std::uint64_t m_snapshotIndex = 0;  ///< 0: none; never goes back.
-    std::deque<EntryRecord> m_entries;  ///< After the snapshot, without a gap.
+    std::string m_hardState;  ///< Last hard state; empty until the first one is written.
+    std::uint64_t m_snapshotIndex =
+        0;  ///< Last index that the snapshot covers; 0: no snapshot. Never decreases.
+    std::deque<EntryRecord> m_entries;  ///< Contiguous entries after the snapshot.
 };
 
 }  // namespace fernlift::storage
--- a/src/storage/Record.cpp
+++ b/src/storage/Record.cpp
@@ -14,7 +14,7 @@
 
 static_assert (std::endian::native == std::endian::little, "files are little-endian");
 
-/// Disks write whole sectors: of a torn record a sector is there or not.
+/// Disks write whole sectors, so each sector of a torn record is either written or not.
 constexpr std::size_t kSectorBytes = 512;
 /// "FLR1" in the file.
 constexpr std::uint32_t kMagic = 0x31524C46;
@@ -26,7 +26,7 @@
     std::uint32_t kind = 0;
     std::uint32_t length = 0;
     std::uint32_t payloadChecksum = 0;
-    std::uint32_t headerChecksum = 0;  ///< Of the fields before it.
+    std::uint32_t headerChecksum = 0;  ///< Checksum of the fields above.
 };
 static_assert (sizeof (RecordHeader) == kRecordHeaderBytes);
 
@@ -35,7 +35,7 @@
     return { reinterpret_cast<const char*> (&header), offsetof (RecordHeader, headerChecksum) };
 }
 
-/// The header at `offset`, if it is whole and undamaged.
+/// The header at `offset`; nullopt when it is incomplete or damaged.
 std::optional<RecordHeader> readHeader (std::string_view bytes, std::size_t offset)
 {
     if (offset + kRecordHeaderBytes > bytes.size())
@@ -49,7 +49,7 @@
     return header;
 }
 
-/// The payload of a header at `offset`, if it is whole and undamaged.
+/// The payload after the header at `offset`; nullopt when it is incomplete or damaged.
 std::optional<std::string_view> readPayload (std::string_view bytes, std::size_t offset,
                                              const RecordHeader& header)
 {
@@ -62,9 +62,9 @@
     return payload;
 }
 
-/// Whether a part of the last record, at `offset`, was never written: its end is missing, or a
-/// sector of it reads as zeros. Damage to a record that was complete looks different, and cutting
-/// it off would lose what was acknowledged.
+/// Whether a part of the last record, at `offset`, was never written: its end is missing, or one of
+/// its sectors reads as zeros. Any other damage is to a record that was complete, and dropping that
+/// record would lose acknowledged writes.
 bool isPartMissing (std::string_view bytes, std::size_t offset,
                     const std::optional<RecordHeader>& header)
 {
--- a/src/storage/SimulatedFiles.h
+++ b/src/storage/SimulatedFiles.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Files in memory, for tests: a crash can be brought about at every operation that changes
-/// something, and what a crash leaves is chosen by the test. Also full and read-only disks.
+/// In-memory file system for tests. A crash can be injected at every modifying operation, and the
+/// test chooses which unsynced changes survive it. Also simulates full, read-only and failing
+/// disks.
 
 #include <cstdint>
 #include <map>
@@ -17,15 +18,15 @@
 namespace fernlift::storage
 {
 
-/// What is left of changes that were not synced.
+/// Which unsynced changes survive a crash.
 enum class CrashKind : std::uint8_t
 {
-    kProcessKilled,    ///< Everything; but nothing more is synced than before.
-    kNothingSurvives,  ///< Loss of power: only what was synced.
-    kPartSurvives,     ///< Loss of power: by chance a part of the bytes and of the names.
+    kProcessKilled,    ///< All of them; they remain unsynced.
+    kNothingSurvives,  ///< Power failure: none of them.
+    kPartSurvives,     ///< Power failure: a random part of the bytes and of the names.
 };
 
-/// Rules of the disk that a test breaks on purpose.
+/// Guarantees of the disk that a test disables.
 enum class DiskFault : std::uint8_t
 {
     kNone,
@@ -45,19 +46,19 @@
     base::Result<void> syncFolder (const std::string& folder) override;
     base::Result<std::unique_ptr<FileLock>> lockFile (const std::string& path) override;
 
-    /// Number of changing operations so far.
+    /// Number of modifying operations so far.
     [[nodiscard]] std::uint64_t steps() const { return m_steps; }
-    /// The process dies in operation number `step`, which is carried out in part; all later ones
-    /// fail.
+    /// Makes the process crash in modifying operation number `step`. An append at that step is
+    /// applied in part; all later operations fail.
     void crashAt (std::uint64_t step) { m_crashStep = step; }
     [[nodiscard]] bool hasCrashed() const { return m_hasCrashed; }
-    /// Makes the files what the next start of the process finds.
+    /// Reduces the files to those that a restarted process finds after a crash of `kind`.
     void restart (CrashKind kind, std::uint64_t seed);
     void setFault (DiskFault fault) { m_fault = fault; }
-    /// Bytes that may still be written before the disk is full.
-    void setRoom (std::optional<std::uint64_t> bytes) { m_room = bytes; }
+    /// Sets how many bytes can still be written before the disk is full; nullopt: no limit.
+    void setFreeBytes (std::optional<std::uint64_t> bytes) { m_freeBytes = bytes; }
     void setReadOnly (bool isReadOnly) { m_isReadOnly = isReadOnly; }
-    /// Every sync fails from now on, as on a broken disk.
+    /// Makes every later sync fail, as on a faulty disk.
     void setSyncFails (bool fails) { m_syncFails = fails; }
 
 private:
@@ -70,7 +71,7 @@
         std::string synced;
     };
     using Names = std::map<std::string, std::shared_ptr<Node>>;
-    /// One change of names, in the order in which they reach the disk.
+    /// One change of names in a folder. Changes reach the disk in the order in which they are made.
     struct NameChange
     {
         std::string folder;
@@ -79,15 +80,15 @@
         std::shared_ptr<Node> node;
     };
 
-    /// Counts a changing operation; fails after a crash, or at the one that crashes.
+    /// Counts a modifying operation; fails at the operation that crashes and at all later ones.
     base::Result<void> step (const std::string& path);
     base::Result<void> append (Node& node, const std::string& path, std::string_view bytes);
     base::Result<void> sync (Node& node, const std::string& path);
     static void apply (Names& names, const NameChange& change);
     void change (NameChange change);
 
-    Names m_names;        ///< Path to file, as the process sees it.
-    Names m_syncedNames;  ///< As after a loss of power.
+    Names m_names;        ///< Files by path, as the process sees them.
+    Names m_syncedNames;  ///< Files by path, as after a power failure.
     std::vector<NameChange> m_unsyncedNames;
     std::map<std::string, bool> m_locks;
     std::uint64_t m_steps = 0;
@@ -96,7 +97,7 @@
     bool m_isReadOnly = false;
     bool m_syncFails = false;
     DiskFault m_fault = DiskFault::kNone;
-    std::optional<std::uint64_t> m_room;
+    std::optional<std::uint64_t> m_freeBytes;
 };
 
 }  // namespace fernlift::storage
--- a/src/storage/SimulatedFilesTest.cpp
+++ b/src/storage/SimulatedFilesTest.cpp
@@ -61,34 +61,34 @@
     if (m_isReadOnly)
         return failure (path, "read-only file system");
     if (m_hasCrashed)
-        return failure (path, "the process is dead");
+        return failure (path, "operation after the simulated crash");
     ++m_steps;
     m_hasCrashed = m_steps == m_crashStep;
     if (m_hasCrashed)
-        return failure (path, "the process died");
+        return failure (path, "simulated crash of the process");
     return {};
 }
 
 base::Result<void> SimulatedFiles::append (Node& node, const std::string& path,
                                            std::string_view bytes)
 {
-    const bool wasDead = m_hasCrashed;
+    const bool hadCrashed = m_hasCrashed;
     auto outcome = step (path);
     if (! outcome)
     {
-        // The operation in which the process dies is carried out in part.
-        if (! wasDead && m_hasCrashed)
+        // The append at which the process crashes is applied in part.
+        if (! hadCrashed && m_hasCrashed)
             node.bytes += bytes.substr (0, bytes.size() / 2);
         return outcome;
     }
-    if (m_room && *m_room < bytes.size())
+    if (m_freeBytes && *m_freeBytes < bytes.size())
     {
-        node.bytes += bytes.substr (0, *m_room);
-        m_room = 0;
+        node.bytes += bytes.substr (0, *m_freeBytes);
+        m_freeBytes = 0;
         return base::fail (base::ErrorKind::kStorageFull, path + ": no space left");
     }
-    if (m_room)
-        *m_room -= bytes.size();
+    if (m_freeBytes)
+        *m_freeBytes -= bytes.size();
     node.bytes += bytes;
     return {};
 }
@@ -212,7 +212,7 @@
         apply (m_syncedNames, m_unsyncedNames[static_cast<std::size_t> (index)]);
     }
     m_unsyncedNames.clear();
-    // A folder whose name is lost takes its files along.
+    // Files in a folder whose name was lost are lost too.
     std::erase_if (m_syncedNames,
                    [&] (const auto& item)
                    {
--- a/src/storage/SystemFiles.cpp
+++ b/src/storage/SystemFiles.cpp
@@ -1,4 +1,4 @@
-// The file operations of storage by POSIX calls.
+// Implements FileSystem with POSIX calls.
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -29,7 +29,7 @@
     return base::fail (kind, step + " " + path + ": " + std::generic_category().message (code));
 }
 
-/// An open file descriptor.
+/// Owns a file descriptor; closes it when destroyed.
 class Descriptor
 {
 public:
