--- a/src/wire/Codec.h
+++ b/src/wire/Codec.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Encodes the typed messages between fernlift's processes with Boost.Serialization.
+/// Encodes and decodes typed messages between fernlift's processes with Boost.Serialization.
 
 #include <boost/archive/archive_exception.hpp>
 #include <boost/archive/binary_iarchive.hpp>
@@ -20,8 +20,7 @@
 namespace fernlift::wire
 {
 
-/// Bytes of any serializable value. The archive carries no header, so equal values give equal
-/// bytes.
+/// Encodes any serializable value. The archive has no header, so equal values give equal bytes.
 template <class Value>
 [[nodiscard]] std::string encodeValue (const Value& value)
 {
@@ -35,8 +34,9 @@
     return bytes;
 }
 
-/// Inverse of encodeValue; fails with kMessageInvalid on damaged bytes. Callers check integrity
-/// (checksum and length limit) before, so that a damaged count cannot ask for much memory.
+/// Inverse of encodeValue; fails with kMessageInvalid on damaged bytes. Callers must check
+/// integrity (checksum and length limit) first, so that a damaged element count cannot cause a
+/// large allocation.
 template <class Value>
 [[nodiscard]] base::Result<Value> decodeValue (std::string_view bytes)
 {
@@ -81,7 +81,7 @@
 
 }  // namespace detail
 
-/// Bytes of a message: one byte for the alternative of the variant, then its value.
+/// Encodes a message: one byte for the index of the variant's alternative, then its value.
 template <class Variant>
 [[nodiscard]] std::string encodeMessage (const Variant& message)
 {
--- a/src/wire/Frame.cpp
+++ b/src/wire/Frame.cpp
@@ -15,9 +15,9 @@
 //   0  magic
 //   1  version of the frame format
 //   2  channel
-//   3  form of the payload: plain or compressed
-//   4  length of the payload in that form, little endian
-//   8  checksum of the eight bytes above and of the payload in that form, little endian
+//   3  encoding of the payload: plain or compressed
+//   4  length of the encoded payload, little endian
+//   8  checksum of the eight bytes above and of the encoded payload, little endian
 constexpr char kMagic = '\xF1';
 constexpr char kVersion = 2;
 constexpr char kPlain = 0;
@@ -66,15 +66,16 @@
     const bool isKnownForm = header[kFormOffset] == kPlain || header[kFormOffset] == kCompressed;
     if (header[0] != kMagic || header[1] != kVersion || ! isKnownForm)
     {
-        return base::fail (ErrorKind::kMessageInvalid, "not a frame of this format");
+        return base::fail (ErrorKind::kMessageInvalid,
+                           "invalid frame header: unexpected magic, version or payload encoding");
     }
     if (! isKnownChannel (header[kChannelOffset]))
     {
-        return base::fail (ErrorKind::kMessageInvalid, "frame of an unknown channel");
+        return base::fail (ErrorKind::kMessageInvalid, "frame header names an unknown channel");
     }
     if (wordAt (header, kLengthOffset) > kMaximumFrameBytes)
     {
-        return base::fail (ErrorKind::kMessageInvalid, "frame above the size limit");
+        return base::fail (ErrorKind::kMessageInvalid, "frame exceeds the size limit");
     }
     return {};
 }
@@ -85,7 +86,8 @@
         return std::string (payload);
     std::optional<std::string> plain = base::decompress (payload, kMaximumFrameBytes);
     if (! plain)
-        return base::fail (base::ErrorKind::kMessageInvalid, "a compressed frame is damaged");
+        return base::fail (base::ErrorKind::kMessageInvalid,
+                           "payload of a compressed frame is damaged or exceeds the size limit");
     return std::move (*plain);
 }
 
@@ -124,7 +126,7 @@
         const std::string_view payload = rest.substr (kHeaderBytes, length);
         if (wordAt (rest, kPrefixBytes) != checksumOf (rest.substr (0, kPrefixBytes), payload))
         {
-            return base::fail (base::ErrorKind::kMessageInvalid, "frame with a bad checksum");
+            return base::fail (base::ErrorKind::kMessageInvalid, "frame checksum mismatch");
         }
         BOOST_LEAF_AUTO (plain, plainPayload (rest[kFormOffset], payload));
         frames.push_back ({ static_cast<Channel> (rest[kChannelOffset]), std::move (plain),
--- a/src/wire/Frame.h
+++ b/src/wire/Frame.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Frames on TCP between fernlift's processes: length, checksum and channel before each message.
+/// Framing of messages on TCP connections between fernlift's processes. A header with length,
+/// checksum and channel precedes each message.
 
 #include <cstdint>
 #include <string>
@@ -12,7 +13,7 @@
 namespace fernlift::wire
 {
 
-/// What a frame's payload is.
+/// Type of a frame's payload.
 enum class Channel : std::uint8_t
 {
     kMember = 1,              ///< consensus::Message
@@ -29,20 +30,20 @@
 
 constexpr std::size_t kMaximumFrameBytes = 64UL * 1024 * 1024;
 
-/// Large payloads are compressed.
+/// Encodes a frame; compresses large payloads.
 [[nodiscard]] std::string encodeFrame (Channel channel, std::string_view payload);
 
-/// Cuts a byte stream into frames. Holds at most one unfinished frame.
+/// Splits a byte stream into frames. Buffers at most one incomplete frame between calls.
 class FrameReader
 {
 public:
-    /// Adds received bytes; complete frames are appended to `frames`. Fails with kMessageInvalid on
-    /// a bad checksum, an unknown channel or a frame above the limit; the connection must then
-    /// close.
+    /// Processes received bytes and appends complete frames to `frames`. Fails with kMessageInvalid
+    /// on an unknown format or channel, a bad checksum, or a frame above the size limit; the
+    /// connection must then be closed.
     base::Result<void> feed (std::string_view bytes, std::vector<Frame>& frames);
 
 private:
-    std::string m_buffer;  ///< Bytes of the frame not yet complete.
+    std::string m_buffer;  ///< Bytes of the incomplete frame.
 };
 
 }  // namespace fernlift::wire
--- a/src/wire/FrameConnection.cpp
+++ b/src/wire/FrameConnection.cpp
@@ -69,7 +69,7 @@
                          m_options.unacknowledgedTimeout);
     if (m_options.idleTimeout > base::Duration::zero())
     {
-        runLater (m_options.idleTimeout, &FrameConnection::closeWhenSilent);
+        runLater (m_options.idleTimeout, &FrameConnection::closeWhenIdle);
     }
 }
 
@@ -79,14 +79,14 @@
         closeAndReport();
 }
 
-void FrameConnection::closeWhenSilent()
+void FrameConnection::closeWhenIdle()
 {
-    if (! std::exchange (m_hasReceivedSinceWatch, false))
+    if (! std::exchange (m_hasReceivedSinceIdleCheck, false))
     {
         closeAndReport();
         return;
     }
-    runLater (m_options.idleTimeout, &FrameConnection::closeWhenSilent);
+    runLater (m_options.idleTimeout, &FrameConnection::closeWhenIdle);
 }
 
 void FrameConnection::send (Channel channel, std::string_view payload)
@@ -124,7 +124,7 @@
     m_isClosed = true;
     m_socket->disconnect();
     m_socket->abort();
-    // The socket may be in the middle of emitting the signal that led here.
+    // The socket may still be emitting the signal that led to this call, so it is deleted later.
     m_socket.release()->deleteLater();
 }
 
@@ -152,15 +152,15 @@
 void FrameConnection::readFrames()
 {
     std::vector<Frame> frames;
-    bool isSound = true;
+    bool isValid = true;
     std::string chunk (kReadChunkBytes, '\0');
-    while (isSound && m_socket->bytesAvailable() > 0)
+    while (isValid && m_socket->bytesAvailable() > 0)
     {
         const qint64 count = m_socket->read (chunk.data(), static_cast<qint64> (chunk.size()));
         if (count <= 0)
             break;
-        m_hasReceivedSinceWatch = true;
-        isSound = base::handleErrors (
+        m_hasReceivedSinceIdleCheck = true;
+        isValid = base::handleErrors (
             [&]() -> base::Result<bool>
             {
                 const std::string_view received (chunk.data(), static_cast<std::size_t> (count));
@@ -171,7 +171,7 @@
     }
     const std::weak_ptr<bool> lifetime = m_lifetime;
     deliver (frames);
-    if (! isSound && ! lifetime.expired())
+    if (! isValid && ! lifetime.expired())
         closeAndReport();
 }
 
@@ -197,7 +197,7 @@
     if (m_isClosed)
         return;
     close();
-    // The handler may destroy this object, and with it the stored function.
+    // Copied, because the handler may destroy this object and with it the stored function.
     const std::function<void()> onClosed = m_handlers.onClosed;
     if (onClosed)
         onClosed();
--- a/src/wire/FrameConnection.h
+++ b/src/wire/FrameConnection.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One TCP connection that carries frames, on Qt's event loop.
+/// A TCP connection that carries frames, driven by Qt's event loop.
 
 #include <QTcpSocket>
 #include <array>
@@ -16,7 +16,7 @@
 namespace fernlift::wire
 {
 
-/// Messages and bytes of one channel, frame headers included.
+/// Message and byte counters of one channel, frame headers included.
 struct ChannelTraffic
 {
     std::uint64_t messagesIn = 0;
@@ -25,11 +25,10 @@
     std::uint64_t bytesOut = 0;
 };
 
-/// Traffic of all channels; several connections may share one.
+/// Traffic counters of all channels; several connections may share one object.
 class FrameTraffic
 {
 public:
-    /// The counters of `channel`.
     [[nodiscard]] ChannelTraffic& of (Channel channel)
     {
         return m_channels[static_cast<std::size_t> (channel) - 1];
@@ -47,13 +46,15 @@
 /// Limits of one connection.
 struct FrameConnectionOptions
 {
-    /// Bytes that may wait for a peer that does not read; more closes the connection.
+    /// Limit of unsent bytes; a send while more are queued closes the connection, so that a peer
+    /// that does not read cannot use unbounded memory.
     std::size_t maximumUnsentBytes = 16UL * 1024 * 1024;
-    /// The connection closes when sent bytes, or probes of it, stay unacknowledged for this long.
+    /// The connection closes when sent bytes or keep-alive probes stay unacknowledged for this
+    /// long.
     base::Duration unacknowledgedTimeout = base::milliseconds (3000);
-    /// `connectTo` gives up after this long.
+    /// Time after which `connectTo` gives up.
     base::Duration connectTimeout = base::milliseconds (1000);
-    /// The connection closes when nothing is received for this long; zero: never.
+    /// The connection closes when nothing is received for this long; zero: no limit.
     base::Duration idleTimeout{};
 };
 
@@ -70,41 +71,42 @@
         std::function<void()> onClosed;
     };
 
-    /// Takes over a connected socket. `traffic` may be null and must outlive the connection.
+    /// Takes ownership of a connected socket. `traffic` may be null; otherwise it must outlive the
+    /// connection.
     FrameConnection (std::unique_ptr<QTcpSocket> socket, FrameConnectionOptions options,
                      Handlers handlers, FrameTraffic* traffic);
     ~FrameConnection();
     FrameConnection (const FrameConnection&) = delete;
     FrameConnection& operator= (const FrameConnection&) = delete;
 
-    /// Begins to connect to `address`; `onConnected` or `onClosed` follows.
+    /// Starts connecting to `address`; `onConnected` or `onClosed` is called later.
     static std::unique_ptr<FrameConnection> connectTo (const base::SocketAddress& address,
                                                        FrameConnectionOptions options,
                                                        Handlers handlers, FrameTraffic* traffic);
 
-    /// Queues one frame. Does nothing when the connection isn't open; closes it when too many bytes
-    /// wait already.
+    /// Queues one frame. Does nothing when the connection is not open; closes it when too many
+    /// bytes are already queued.
     void send (Channel channel, std::string_view payload);
-    /// The same for a frame that is encoded already, for one that goes to many.
+    /// Queues a frame that is already encoded, so that a frame for many peers is encoded once.
     void sendFrame (Channel channel, std::string_view frame);
-    /// Hands what is queued to the system now instead of when control is back in the event loop.
+    /// Passes queued bytes to the operating system now instead of from the event loop.
     void flush();
-    /// Closes at once, without a call of `onClosed`. Frames not yet sent may be lost.
+    /// Closes the connection immediately, without calling `onClosed`. Unsent frames may be lost.
     void close();
     [[nodiscard]] bool isOpen() const;
-    /// Bytes that wait for the peer to read.
+    /// Number of bytes queued but not yet passed to the operating system.
     [[nodiscard]] std::size_t unsentBytes() const;
 
 private:
     void connectSignals();
     void configureSocket();
-    /// Runs `step` from the event loop after `delay`, unless the connection is closed by then.
+    /// Calls `step` from the event loop after `delay`, unless the connection has been closed.
     void runLater (base::Duration delay, void (FrameConnection::*step)());
     void readFrames();
     void deliver (std::vector<Frame>& frames);
     void closeAndReport();
     void closeUnlessConnected();
-    void closeWhenSilent();
+    void closeWhenIdle();
 
     std::unique_ptr<QTcpSocket> m_socket;
     FrameConnectionOptions m_options;
@@ -112,8 +114,8 @@
     FrameTraffic* m_traffic;
     FrameReader m_reader;
     bool m_isClosed = false;
-    bool m_hasReceivedSinceWatch = false;
-    /// Expires with the connection, so that handlers may destroy it.
+    bool m_hasReceivedSinceIdleCheck = false;
+    /// Expires when this object is destroyed, which may happen in a handler.
     std::shared_ptr<bool> m_lifetime = std::make_shared<bool> (true);
 };
 
--- a/src/wire/FrameConnectionTest.cpp
+++ b/src/wire/FrameConnectionTest.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-constexpr int kGuardMilliseconds = 20000;
+constexpr int kTestTimeoutMilliseconds = 20000;
 
-/// One connected pair of frame connections over a real socket.
+/// Provides a listening socket on loopback, to which the tests connect.
 class FrameConnectionTest : public testing::Test
 {
 protected:
@@ -35,7 +35,7 @@
     template <class Condition>
     bool waitFor (Condition condition)
     {
-        const QDeadlineTimer deadline (kGuardMilliseconds);
+        const QDeadlineTimer deadline (kTestTimeoutMilliseconds);
         while (! condition() && ! deadline.hasExpired())
         {
             QCoreApplication::processEvents (QEventLoop::WaitForMoreEvents | QEventLoop::AllEvents,
@@ -55,7 +55,7 @@
     QTcpServer m_server;
 };
 
-/// Bytes that a frame carries as they are.
+/// Random bytes, which a frame carries uncompressed.
 std::string incompressible (std::size_t size)
 {
     base::Random random (1);
@@ -93,7 +93,7 @@
     EXPECT_EQ (clientTraffic.of (Channel::kControllerToRouter).messagesIn, 1U);
 }
 
-TEST_F (FrameConnectionTest, closesWhenThePeerSendsSomethingElse)
+TEST_F (FrameConnectionTest, closesWhenThePeerSendsAnotherProtocol)
 {
     QTcpSocket raw;
     raw.connectToHost (QHostAddress::LocalHost, m_server.serverPort());
@@ -135,7 +135,7 @@
     EXPECT_TRUE (waitFor ([&] { return closed == 1; }));
 }
 
-TEST_F (FrameConnectionTest, closesWhenThePeerIsSilentForTooLong)
+TEST_F (FrameConnectionTest, closesAfterTheIdleTimeout)
 {
     auto client = FrameConnection::connectTo (address(), {}, {}, nullptr);
     FrameConnectionOptions options;
@@ -166,7 +166,7 @@
     EXPECT_EQ (received, 1);
 }
 
-TEST_F (FrameConnectionTest, reportsTheEndOfThePeer)
+TEST_F (FrameConnectionTest, reportsThatThePeerClosed)
 {
     auto client = FrameConnection::connectTo (address(), {}, {}, nullptr);
     int closed = 0;
--- a/src/wire/OptionalTail.h
+++ b/src/wire/OptionalTail.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * Fields that later versions add at the end of a message.
+ * Compatible extension of messages: fields that later versions add at the end.
  *
  * Processes of two versions run side by side while the machines of a cell are upgraded one after
- * the other. A reader takes the fields that it knows and leaves the rest of the bytes; one that
- * knows more fields than were written takes the missing ones as never set.
+ * the other. An older reader decodes the fields of its own version and ignores the remaining bytes.
+ * A newer reader gives fields that were not written their default values.
  */
 
 #include <boost/archive/archive_exception.hpp>
@@ -13,8 +13,9 @@
 namespace fernlift::wire
 {
 
-/** Reads or writes a field behind the last one that earlier versions know. The message must be the
-    whole payload: inside of another one there would be no end to notice.
+/** Reads or writes a field that was added after the first version of a message. The message must be
+    the whole payload: a missing field is detected by the end of the input, which a message nested
+    in another one does not have.
 */
 template <class Archive, class Value>
 void serializeTail (Archive& archive, Value& value)
