--- a/src/base/Compression.cpp
+++ b/src/base/Compression.cpp
@@ -25,12 +25,12 @@
 {
     if (compressed.size() < kSizeBytes)
         return std::nullopt;
-    const auto stated = qFromBigEndian<quint32> (compressed.data());
-    if (stated > maximumBytes)
+    const auto declaredSize = qFromBigEndian<quint32> (compressed.data());
+    if (declaredSize > maximumBytes)
         return std::nullopt;
     const QByteArray bytes = qUncompress (reinterpret_cast<const uchar*> (compressed.data()),
                                           static_cast<qsizetype> (compressed.size()));
-    if (static_cast<std::size_t> (bytes.size()) != stated)
+    if (static_cast<std::size_t> (bytes.size()) != declaredSize)
         return std::nullopt;
     return bytes.toStdString();
 }
--- a/src/base/Compression.h
+++ b/src/base/Compression.h
@@ -1,8 +1,9 @@
 #pragma once
 
 /**
- * Compression of large texts that several processes get, such as the operator's file: it shrinks to
- * about a tenth, and machines with slow links and little processor time handle each of them.
+ * Compression of large texts that are sent to several processes, such as the operator's
+ * configuration file. Such a file shrinks to about a tenth. Each copy is handled by machines with
+ * slow links and little processor time.
  */
 
 #include <cstddef>
@@ -13,13 +14,16 @@
 namespace fernlift::base
 {
 
-/** Below this, compressing takes longer than sending the bytes as they are. */
+/** Smallest input in bytes to compress; below it, compressing takes longer than sending the bytes
+    uncompressed. */
 constexpr std::size_t kWorthCompressing = 4096;
 
-/** Compressed bytes, by zlib at its fastest level. Equal inputs give equal outputs. */
+/** Compresses with zlib at its fastest level. Equal inputs give equal outputs. */
 [[nodiscard]] std::string compress (std::string_view bytes);
 
-/** Inverse of compress(); nothing when the bytes are damaged or state more than `maximumBytes`. */
+/** Inverse of compress(); nullopt when the bytes are damaged or declare a size above
+ * `maximumBytes`.
+ */
 [[nodiscard]] std::optional<std::string> decompress (std::string_view compressed,
                                                      std::size_t maximumBytes);
 
--- a/src/base/CompressionTest.cpp
+++ b/src/base/CompressionTest.cpp
@@ -10,13 +10,13 @@
 
 constexpr std::size_t kLimit = 1000;
 
-RC_GTEST_PROP (CompressionTest, GivesTheBytesBack, ())
+RC_GTEST_PROP (CompressionTest, RestoresTheInput, ())
 {
     const auto bytes = *rc::gen::container<std::string> (rc::gen::arbitrary<char>());
     RC_ASSERT (decompress (compress (bytes), kLimit) == bytes);
 }
 
-TEST (CompressionTest, RefusesWhatIsDamagedOrTooLarge)
+TEST (CompressionTest, RefusesDamagedOrTooLargeInput)
 {
     const std::string compressed = compress (std::string (kLimit, 'a'));
     EXPECT_LT (compressed.size(), kLimit / 10);
--- a/src/base/DecayingRate.h
+++ b/src/base/DecayingRate.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /**
- * A rate of events, weighted by how long ago they were.
+ * A rate of events with exponentially decaying weights.
  *
- * For what follows demand: how often a model is wanted, how much of its quota a tenant uses.
+ * Used to estimate demand: the request rate of a model, the use that a tenant makes of its quota.
  */
 
 #include <cmath>
@@ -13,18 +13,19 @@
 namespace fernlift::base
 {
 
-/** Pure: time is passed in. Threading: none. */
+/** Exponentially weighted event rate. Reads no clock: time is passed in. Not thread-safe. */
 class DecayingRate
 {
 public:
-    /** Notes `count` events. `memory` must be the same in all calls. */
+    /** Adds `count` events. `memory` is the time constant of the decay and must be the same in all
+        calls. */
     void add (double count, base::Duration memory, base::TimePoint now)
     {
         m_count = decayed (memory, now) + count;
         m_countedAt = now;
     }
 
-    /** Events a second over about the last `memory`. */
+    /** Events per second over roughly the last `memory`. */
     [[nodiscard]] double perSecond (base::Duration memory, base::TimePoint now) const
     {
         return decayed (memory, now) / std::chrono::duration<double> (memory).count();
@@ -37,7 +38,7 @@
         return m_count * std::exp (-age / std::chrono::duration<double> (memory));
     }
 
-    double m_count = 0;  ///< As of `m_countedAt`.
+    double m_count = 0;  ///< Decayed number of events at `m_countedAt`.
     base::TimePoint m_countedAt{};
 };
 
--- a/src/base/Error.h
+++ b/src/base/Error.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// The closed list of error kinds, with the table from kind to answer, and the `Result` type.
+/// The closed list of error kinds, the table that maps each kind to a response, and the `Result`
+/// type.
 
 #include <boost/leaf.hpp>
 #include <cstdint>
@@ -72,7 +73,7 @@
     kInternal,
 };
 
-/// What is known about whether the request's work was performed.
+/// Whether the work of a request is known to have been performed.
 enum class Execution : std::uint8_t
 {
     kNotRun,   ///< No back end performed it.
@@ -80,19 +81,20 @@
     kUnknown,  ///< It may or may not have been performed.
 };
 
-/// One row of the table from error kind to answer.
+/// One row of the table that maps error kinds to responses.
 struct ErrorTraits
 {
     ErrorKind kind;
-    std::string_view name;     ///< Stable name in answers, logs and metrics.
-    int httpStatus;            ///< Status code of the answer.
-    Execution execution;       ///< What the answer says when the request's own history is silent.
+    std::string_view name;  ///< Stable name in responses, logs and metrics.
+    int httpStatus;         ///< HTTP status code of the response.
+    Execution
+        execution;  ///< Value in the response when the request's own history does not determine it.
     bool retryable;            ///< Whether the caller may usefully send the request again.
     int exitCode;              ///< Exit code of a command that ends with this error.
     std::string_view meaning;  ///< One sentence for the documentation.
 };
 
-/// An error with its kind and a message for a person.
+/// An error with its kind and a human-readable message.
 struct Error
 {
     ErrorKind kind = ErrorKind::kInternal;
@@ -101,11 +103,11 @@
     bool operator== (const Error&) const = default;
 };
 
-/// The row of `kind`.
+/// The table row of `kind`.
 [[nodiscard]] const ErrorTraits& traitsOf (ErrorKind kind);
 /// All rows, in the order of the enumeration.
 [[nodiscard]] std::span<const ErrorTraits> allErrorTraits();
-/// "not_run", "ran" or "unknown".
+/// Name of the value in responses: "not_run", "ran" or "unknown".
 [[nodiscard]] std::string_view nameOf (Execution execution);
 
 template <class T>
@@ -117,8 +119,8 @@
     return boost::leaf::new_error (Error{ kind, std::move (message) });
 }
 
-/// Runs `operation` (which returns a `Result`) and returns its value, or what `onError` makes of
-/// the `Error` it failed with.
+/// Runs `operation` (which returns a `Result`) and returns its value, or the result of calling
+/// `onError` with the `Error` it failed with.
 template <class Operation, class OnError>
 auto handleErrors (Operation&& operation, OnError&& onError)
 {
@@ -129,9 +131,10 @@
         });
 }
 
-/// Runs `operation` (which returns a `Result`); when it fails, returns what `recover` makes of the
-/// `Error`: a value or another failure. Use it in place of boost::leaf::try_handle_some, which
-/// passes the first error on and loses one that its handler fails with.
+/// Runs `operation` (which returns a `Result`). When it fails, returns the result of calling
+/// `recover` with the `Error`: a value or another failure. Use it in place of
+/// boost::leaf::try_handle_some, which propagates the original error and drops the one that its
+/// handler fails with.
 template <class Operation, class Recover>
 auto recoverError (Operation&& operation, Recover&& recover) -> decltype (operation())
 {
--- a/src/base/ErrorTest.cpp
+++ b/src/base/ErrorTest.cpp
@@ -9,7 +9,7 @@
 
 Result<int> failing() { return fail (ErrorKind::kMessageInvalid, "inner"); }
 
-/// The error that `operation` ends with.
+/// The error with which `operation` fails.
 template <class Operation>
 Error errorOf (Operation operation)
 {
@@ -22,7 +22,7 @@
         [] (const Error& error) { return error; });
 }
 
-TEST (Error, recoverErrorPassesOnTheErrorOfItsHandler)
+TEST (Error, recoverErrorReturnsTheErrorOfItsHandler)
 {
     const auto operation = []
     {
--- a/src/base/HashShare.h
+++ b/src/base/HashShare.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// A draw that is the same for the same text at every process of one build.
+/// Pseudo-random selection by text: the same text gives the same number in every process of one
+/// build.
 
 #include <cstddef>
 #include <functional>
@@ -9,7 +10,7 @@
 namespace fernlift::base
 {
 
-/// From 0 to below 1, evenly spread over texts.
+/// Hashes `text` to a number in [0, 1), uniformly distributed over texts.
 [[nodiscard]] inline double hashShare (std::string_view text)
 {
     constexpr double kRange = 18446744073709551616.0;
--- a/src/base/Ids.h
+++ b/src/base/Ids.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Identifiers of the parts of a cell. Each is its own type, so that one cannot stand for another.
+/// Identifiers of the parts of a cell. Each has its own type, so that they cannot be mixed up.
 
 #include <boost/serialization/string.hpp>
 #include <compare>
@@ -13,7 +13,7 @@
 namespace fernlift::base
 {
 
-/// A name of one kind. `Tag` only tells the kinds apart.
+/// A strongly typed name. `Tag` only distinguishes the types.
 template <class Tag>
 struct Name
 {
@@ -23,7 +23,7 @@
     explicit Name (std::string text) : value (std::move (text)) {}
 
     [[nodiscard]] bool empty() const { return value.empty(); }
-    // clang-tidy 14 takes the zero of a defaulted comparison for a pointer.
+    // clang-tidy 14 mistakes the zero in a defaulted comparison for a null pointer.
     auto operator<=> (const Name&) const = default;  // NOLINT(modernize-use-nullptr)
 
     template <class Archive>
@@ -39,7 +39,7 @@
     return stream << name.value;
 }
 
-/// One controller quorum with the routers and runners it serves.
+/// Identifies a cell: one controller quorum with the routers and runners it serves.
 using CellId = Name<struct CellTag>;
 using ZoneName = Name<struct ZoneTag>;
 /// A model together with its version, as callers name it in the `model` field.
@@ -48,24 +48,26 @@
 using ApplicationName = Name<struct ApplicationTag>;
 /// Name of a request class of the catalogue, for example "urgent".
 using RequestClassName = Name<struct RequestClassTag>;
-/// A machine that runs a model engine or an application back end.
+/// Identifies a machine that runs a model engine or an application back end.
 using RunnerId = Name<struct RunnerTag>;
 using RouterId = Name<struct RouterTag>;
-/// Identifies one request of a caller through all its attempts.
+/// Identifies one request of a caller across all its attempts.
 using RequestId = Name<struct RequestTag>;
-/// `Idempotency-Key` of a caller.
+/// Value of a caller's `Idempotency-Key` header.
 using IdempotencyKey = Name<struct IdempotencyTag>;
 
-/// Identity of one controller's disk. A controller that lost its disk comes back under a new one.
+/// Identity of a controller's data folder. A controller that lost its disk rejoins under a new
+/// identity.
 using MemberId = std::uint64_t;
-/// Number a runner draws anew at each start; a restarted runner has nothing loaded.
+/// Number that a runner draws at each start. A new one shows a restart, after which the runner has
+/// nothing loaded.
 using Incarnation = std::uint64_t;
 /// Position in the replicated log; the first entry has index 1.
 using LogIndex = std::uint64_t;
 using Term = std::uint64_t;
-/// Fence of an order: the log index of the decision that made it, so it only grows.
+/// Fencing token of an order: the log index of the decision that issued it, so it only increases.
 using Fence = LogIndex;
-/// Number of one replica within a cell; unique for the life of the cell.
+/// Number of a replica; unique within a cell over the cell's lifetime.
 using ReplicaId = std::uint64_t;
 
 }  // namespace fernlift::base
--- a/src/base/Overloaded.h
+++ b/src/base/Overloaded.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A visitor for std::visit made of one function for each alternative.
+/// A visitor for std::visit, composed of one callable per alternative.
 
 namespace fernlift::base
 {
--- a/src/base/Random.h
+++ b/src/base/Random.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Random numbers that are the same for the same seed on every machine.
+/// Reproducible random numbers: a seed gives the same sequence on every machine.
 
 #include <boost/random/exponential_distribution.hpp>
 #include <boost/random/mersenne_twister.hpp>
@@ -11,22 +11,22 @@
 namespace fernlift::base
 {
 
-/// Source of random numbers, passed to decision code. Not safe for use by several threads.
+/// Random number generator that is passed to decision code. Not thread-safe.
 class Random
 {
 public:
     explicit Random (std::uint64_t seed) : m_engine (seed) {}
 
-    /// A whole number from `low` to `high`, both included. Requires low <= high.
+    /// A uniformly distributed integer in [low, high]. Requires low <= high.
     std::int64_t uniformInteger (std::int64_t low, std::int64_t high)
     {
         return boost::random::uniform_int_distribution<std::int64_t> (low, high) (m_engine);
     }
-    /// A real number in [0, 1).
+    /// A uniformly distributed real number in [0, 1).
     double uniformReal() { return boost::random::uniform_01<double>() (m_engine); }
-    /// True with the given probability.
+    /// Returns true with the given probability.
     bool chance (double probability) { return uniformReal() < probability; }
-    /// A draw from the exponential distribution with the given mean.
+    /// A sample of the exponential distribution with the given mean.
     double exponential (double mean)
     {
         return boost::random::exponential_distribution<double> (1.0 / mean) (m_engine);
--- a/src/base/SilentPeers.cpp
+++ b/src/base/SilentPeers.cpp
@@ -25,11 +25,11 @@
         static_cast<int> (std::chrono::duration_cast<seconds> (kProbeInterval).count());
     const auto probes = static_cast<int> (std::max<std::int64_t> (limit / kProbeInterval, 1));
     const bool hasLimit = setOption (descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, limitMs);
-    const bool probesOften = setOption (descriptor, IPPROTO_TCP, TCP_KEEPIDLE, interval)
-                             && setOption (descriptor, IPPROTO_TCP, TCP_KEEPINTVL, interval)
-                             && setOption (descriptor, IPPROTO_TCP, TCP_KEEPCNT, probes);
-    const bool probesAtAll = setOption (descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
-    return hasLimit && probesOften && probesAtAll;
+    const bool hasProbeInterval = setOption (descriptor, IPPROTO_TCP, TCP_KEEPIDLE, interval)
+                                  && setOption (descriptor, IPPROTO_TCP, TCP_KEEPINTVL, interval)
+                                  && setOption (descriptor, IPPROTO_TCP, TCP_KEEPCNT, probes);
+    const bool hasKeepAlive = setOption (descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
+    return hasLimit && hasProbeInterval && hasKeepAlive;
 }
 
 }  // namespace fernlift::base
--- a/src/base/SilentPeers.h
+++ b/src/base/SilentPeers.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * Finds TCP connections whose peer has fallen silent for good, without a reset: its machine is
- * gone, or something between has forgotten the connection.
+ * Detects TCP connections whose peer is gone without a reset, because its machine failed or a
+ * device on the path dropped the connection's state.
  *
- * Without it a connection that waits for an answer, or rests, stays open for hours. The end of a
- * connection that is found so looks like a reset.
+ * Without this detection, a connection that is idle or waits for a response stays open for hours.
+ * The owner of the socket sees a dead connection end like one that was reset.
  */
 
 #include "base/Time.h"
@@ -13,13 +13,13 @@
 namespace fernlift::base
 {
 
-/** A connection on which nothing passes is probed this often. Probes are 40 bytes each way, and
-   only of connections that carry nothing else. */
+/** Interval of TCP keep-alive probes. A probe is 40 bytes each way, and probes are sent only on
+    connections that are otherwise idle. */
 constexpr Duration kProbeInterval = seconds (1);
 
-/** The connection ends when what was sent, probes included, stays unacknowledged for `limit`; one
-   on which nothing passes, a probe later at most. Returns false when the system does not allow it.
- */
+/** Makes the operating system end the connection when sent bytes or probes stay unacknowledged for
+    `limit`; an idle connection ends at most one probe interval later. Returns false when the system
+    rejects an option. */
 bool endWhenSilent (int descriptor, Duration limit);
 
 }  // namespace fernlift::base
--- a/src/base/SilentPeersTest.cpp
+++ b/src/base/SilentPeersTest.cpp
@@ -1,5 +1,5 @@
-// The system acknowledges on loopback whatever the process behind a connection does, so that no
-// peer there can fall silent: what is asked of the system is checked, not what it makes of it.
+// On loopback the system acknowledges data whatever the peer process does, so a dead peer cannot be
+// produced there. The tests check the socket options that are set, not their effect.
 
 #include <gtest/gtest.h>
 #include <netinet/in.h>
@@ -22,7 +22,7 @@
     return value;
 }
 
-TEST (SilentPeersTest, AConnectionIsProbedAndEndsWithinTheLimit)
+TEST (SilentPeersTest, SetsProbesAndTimeoutForTheLimit)
 {
     const int descriptor = ::socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     ASSERT_GE (descriptor, 0);
@@ -35,7 +35,7 @@
     ::close (descriptor);
 }
 
-TEST (SilentPeersTest, AShortLimitLeavesOneProbe)
+TEST (SilentPeersTest, SetsOneProbeForAShortLimit)
 {
     const int descriptor = ::socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     ASSERT_GE (descriptor, 0);
@@ -44,7 +44,10 @@
     ::close (descriptor);
 }
 
-TEST (SilentPeersTest, WhatIsNoConnectionIsTold) { EXPECT_FALSE (endWhenSilent (-1, seconds (1))); }
+TEST (SilentPeersTest, ReportsAnInvalidDescriptor)
+{
+    EXPECT_FALSE (endWhenSilent (-1, seconds (1)));
+}
 
 }  // namespace
 }  // namespace fernlift::base
--- a/src/base/SocketAddress.h
+++ b/src/base/SocketAddress.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// An IP number with a port.
+/// An IPv4 address with a port.
 
 #include <boost/serialization/string.hpp>
 #include <compare>
@@ -14,19 +14,20 @@
 namespace fernlift::base
 {
 
-/// Numeric IPv4 address and port of a TCP endpoint. Names are never resolved.
+/// Numeric IPv4 address and port of a TCP endpoint. Host names are never resolved.
 struct SocketAddress
 {
     std::string host;
     std::uint16_t port = 0;
 
-    // clang-tidy 14 takes the zero of a defaulted comparison for a pointer.
+    // clang-tidy 14 mistakes the zero in a defaulted comparison for a null pointer.
     auto operator<=> (const SocketAddress&) const = default;  // NOLINT(modernize-use-nullptr)
-    /// "host:port".
+    /// Formats the address as "host:port".
     [[nodiscard]] std::string toString() const;
-    /// Parses "host:port"; fails with kInvalidRequest on anything but a numeric IPv4 and a port.
+    /// Parses "host:port"; fails with kInvalidRequest on anything but a numeric IPv4
+    /// address with a port.
     static Result<SocketAddress> parse (std::string_view text);
-    /// The same for texts of other processes, which may hold anything; none where parse() fails.
+    /// Parses untrusted text of another process; nullopt where parse() fails.
     [[nodiscard]] static std::optional<SocketAddress> tryParse (std::string_view text);
 
     template <class Archive>
--- a/src/base/SocketAddressTest.cpp
+++ b/src/base/SocketAddressTest.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-TEST (SocketAddress, triesTextsOfOtherProcesses)
+TEST (SocketAddress, tryParseRejectsInvalidText)
 {
     const auto address = SocketAddress::tryParse ("10.1.0.19:7200");
     ASSERT_TRUE (address);
--- a/src/base/Time.cpp
+++ b/src/base/Time.cpp
@@ -7,8 +7,9 @@
 
 TimePoint SystemClock::now() const
 {
-    // The steady clock of the C++ library stands still while the machine is suspended: a process
-    // that wakes after seconds would act on leases that are over for all others.
+    // The steady clock of the C++ library does not advance while the machine is suspended: a
+    // process that resumes after seconds would act on leases that have expired for all other
+    // processes.
     timespec time{};
     ::clock_gettime (CLOCK_BOOTTIME, &time);
     const auto sinceOrigin = seconds (time.tv_sec) + std::chrono::nanoseconds (time.tv_nsec);
--- a/src/base/Time.h
+++ b/src/base/Time.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Time as decision code sees it: always passed in, never read from the system.
+/// Types of time and clocks. Decision code never reads a clock: time is passed in.
 
 #include <chrono>
 #include <cstdint>
@@ -8,7 +8,7 @@
 namespace fernlift::base
 {
 
-/// Tag of the monotonic time line of one process (or of one simulation). Its origin is arbitrary.
+/// Clock type for the monotonic time of one process or one simulation. Its origin is arbitrary.
 struct MonotonicTimeline
 {
     using rep = std::int64_t;
@@ -25,31 +25,31 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Whole milliseconds of a duration, rounded down.
+/// Whole milliseconds of a duration; the fraction is dropped.
 constexpr std::int64_t toMilliseconds (Duration duration)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds> (duration).count();
 }
 
-/// Seconds of a duration, with their fraction.
+/// Seconds of a duration, including the fraction.
 constexpr double toSeconds (Duration duration)
 {
     return std::chrono::duration<double> (duration).count();
 }
 
-/// Milliseconds since the Unix epoch. Used for display and for windows that outlive a process;
-/// never for leases or timeouts.
+/// Milliseconds since the Unix epoch. Used for display and for time windows that outlive a
+/// process, never for leases or timeouts.
 using UnixMilliseconds = std::int64_t;
 
-/// Source of time for adapters. Decision code receives the values, not the clock.
+/// Source of time for the code that calls decision code, which receives values instead of a clock.
 class Clock
 {
 public:
     virtual ~Clock() = default;
-    /// Monotonic time of this process. Goes on while the machine is suspended: leases, quotas and
-    /// deadlines run out for everybody else meanwhile.
+    /// Monotonic time of this process. It advances while the machine is suspended, because leases,
+    /// quotas and deadlines keep running out for other processes meanwhile.
     [[nodiscard]] virtual TimePoint now() const = 0;
-    /// The same without the time for which the machine was suspended, by which timers fire.
+    /// Monotonic time without the time for which the machine was suspended; timers follow it.
     [[nodiscard]] virtual TimePoint runningTime() const { return now(); }
     /// Wall-clock time, which may step in either direction.
     [[nodiscard]] virtual UnixMilliseconds unixNow() const = 0;
@@ -64,11 +64,11 @@
     [[nodiscard]] UnixMilliseconds unixNow() const override;
 };
 
-/// Notices that the machine was suspended. Pure: time is passed in.
+/// Detects that the machine was suspended. Reads no clock: time is passed in.
 class SuspensionWatch
 {
 public:
-    /// How long the machine was suspended since the last call; zero when it was not.
+    /// Returns how long the machine was suspended since the last call; zero when it was not.
     Duration observe (TimePoint now, TimePoint runningTime)
     {
         const Duration ahead = now - runningTime;
@@ -79,11 +79,12 @@
     }
 
 private:
-    /// Between two readings of clocks a process may be held up; suspensions last for seconds.
+    /// Shorter differences are ignored: the process may be delayed between reading the two clocks,
+    /// while suspensions last for seconds.
     static constexpr Duration kShortestSuspension = milliseconds (50);
 
     bool m_isFirst = true;
-    Duration m_ahead{};  ///< Of `now` before `runningTime`, at the last call.
+    Duration m_ahead{};  ///< Difference of `now` and `runningTime` at the last call.
 };
 
 }  // namespace fernlift::base
--- a/src/base/TimeTest.cpp
+++ b/src/base/TimeTest.cpp
@@ -1,4 +1,5 @@
-// The clock of a process on a machine that is suspended for a while.
+// Guards against leases that outlast a suspension of the machine, because the clock did not count
+// it.
 
 #include <gtest/gtest.h>
 #include <sys/syscall.h>
@@ -11,13 +12,13 @@
 namespace
 {
 
-/// Time for which the machine was suspended, as the test pretends.
+/// Simulated duration of a suspension of the machine.
 timespec suspendedFor{ 0, 0 };
 
 }  // namespace
 
-/// In place of the C library's, also for the C++ library: the clock that counts suspended time is
-/// ahead of the steady one by what the test pretends.
+/// Replaces the C library's function, also for the C++ library: the clock that counts suspended
+/// time is ahead of the steady clock by the simulated suspension.
 extern "C" int clock_gettime (clockid_t id, timespec* time) noexcept  // NOLINT
 {
     const long result = ::syscall (SYS_clock_gettime, id, time);
@@ -43,10 +44,10 @@
     const TimePoint leaseUntil = clock.now() + seconds (2);
     EXPECT_LT (clock.now(), leaseUntil);
     suspendedFor.tv_sec = 5;
-    EXPECT_GE (clock.now(), leaseUntil) << "the lease is over for everybody else";
+    EXPECT_GE (clock.now(), leaseUntil) << "the lease has expired for all other processes";
 }
 
-TEST_F (SystemClockTest, TellsHowLongTheMachineWasSuspended)
+TEST_F (SystemClockTest, MeasuresHowLongTheMachineWasSuspended)
 {
     const SystemClock clock;
     SuspensionWatch watch;
--- a/src/base/TokenBucket.h
+++ b/src/base/TokenBucket.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /**
- * Bounds how often something is done: so often at once, and so often a second after that.
+ * Token bucket that limits the rate of an operation: a burst at once, then a steady rate.
  */
 
 #include <algorithm>
@@ -12,17 +12,17 @@
 namespace fernlift::base
 {
 
-/** Pure: time is passed in. Threading: none. */
+/** Reads no clock: time is passed in. Not thread-safe. */
 class TokenBucket
 {
 public:
-    /** Begins full. `burst` tokens may be taken at once, `perSecond` come back in a second. */
+    /** The bucket starts full. `burst` is its capacity; `perSecond` tokens are added per second. */
     TokenBucket (double burst, double perSecond)
         : m_burst (burst), m_perSecond (perSecond), m_tokens (burst)
     {
     }
 
-    /** Takes one token; false when there is none. */
+    /** Takes one token; false when none is available. */
     [[nodiscard]] bool take (TimePoint now)
     {
         const double gained = m_perSecond * toSeconds (now - std::exchange (m_countedAt, now));
@@ -36,7 +36,7 @@
 private:
     double m_burst;
     double m_perSecond;
-    double m_tokens;  ///< As of `m_countedAt`.
+    double m_tokens;  ///< Available tokens at `m_countedAt`.
     TimePoint m_countedAt{};
 };
 
--- a/src/base/TokenBucketTest.cpp
+++ b/src/base/TokenBucketTest.cpp
@@ -17,7 +17,7 @@
     return taken;
 }
 
-TEST (TokenBucketTest, TokensComeBackUpToTheBurst)
+TEST (TokenBucketTest, RefillsUpToTheBurst)
 {
     TokenBucket bucket (5, 2);
     EXPECT_EQ (takenAt (bucket, kStart), 5);
