--- a/src/cell/CellState.cpp
+++ b/src/cell/CellState.cpp
@@ -28,17 +28,18 @@
     return "unknown";
 }
 
-/// First bytes of a snapshot: a change of StoredState's layout needs another number.
+/// First bytes of a snapshot. Any change to the layout of StoredState requires a new number.
 constexpr std::string_view kSnapshotFormat = "fernlift cell 4\n";
-/// The same without the starts of instances, which their own layouts tell.
+/// Format without start times of instances. The class versions of the instance types tell the two
+/// layouts apart, so that both formats are decoded in the same way.
 constexpr std::string_view kFormatWithoutStarts = "fernlift cell 3\n";
-/// Without the table of suspects, too.
+/// Format without start times of instances and without the table of suspects.
 constexpr std::string_view kFormatWithoutSuspects = "fernlift cell 2\n";
 static_assert (kFormatWithoutStarts.size() == kSnapshotFormat.size());
 static_assert (kFormatWithoutSuspects.size() == kSnapshotFormat.size());
 
-/// Layout of a snapshot.
-/// The members are written from where they are: a copy of a large claim table takes long.
+/// Layout of a snapshot, for writing. Refers to the members of the state instead of copying them,
+/// because copying a large claim table is slow.
 struct StoredStateView
 {
     const ConfigurationIdentity& configuration;
@@ -59,7 +60,7 @@
     }
 };
 
-/// The layout before, to read into.
+/// Layout of format 2, for reading.
 struct EarlierStoredState
 {
     ConfigurationIdentity configuration;
@@ -79,7 +80,7 @@
     }
 };
 
-/// The same layout, to read into.
+/// Layout of formats 3 and 4, for reading.
 struct StoredState : EarlierStoredState
 {
     QuarantineTable quarantine;
@@ -99,7 +100,7 @@
     if (! bytes.starts_with (kFormatWithoutSuspects))
     {
         return base::fail (base::ErrorKind::kStorageFormatUnknown,
-                           "the state was not stored in format 2, 3 or 4 of this program");
+                           "snapshot has an unknown format; expected format 2, 3 or 4");
     }
     BOOST_LEAF_AUTO (earlier,
                      wire::decodeValue<EarlierStoredState> (bytes.substr (kSnapshotFormat.size())));
@@ -145,7 +146,7 @@
                         + std::to_string (command.incarnation);
         m_journal.add (std::move (record));
     }
-    noteReleased (index, command.proposedAt, released, "the runner restarted");
+    recordReleased (index, command.proposedAt, released, "the runner restarted");
     return ChangeResult{ changed };
 }
 
@@ -158,7 +159,7 @@
         m_journal.add ({ index, command.proposedAt, DecisionKind::kRunnerRemoved, "",
                          command.runner, 0, "granted", "the machine list no longer names it" });
     }
-    noteReleased (index, command.proposedAt, released, "the machine is gone");
+    recordReleased (index, command.proposedAt, released, "the machine is gone");
     return ChangeResult{ changed };
 }
 
@@ -200,7 +201,7 @@
     const Replica replica = *found;
     const bool changed = m_replicas.release (command.replica);
     if (changed)
-        noteReleased (index, command.proposedAt, { replica }, command.reason);
+        recordReleased (index, command.proposedAt, { replica }, command.reason);
     return ChangeResult{ changed };
 }
 
@@ -263,7 +264,7 @@
     bool changed = false;
     for (const InstanceHoldings& holdings : command.holdings)
     {
-        changed = m_instances.noteModels (holdings.instance, holdings.models, holdings.startedAt)
+        changed = m_instances.setModels (holdings.instance, holdings.models, holdings.startedAt)
                   || changed;
     }
     return ChangeResult{ changed };
@@ -307,8 +308,8 @@
     m_journal.add (std::move (record));
 }
 
-void CellState::noteReleased (base::LogIndex index, base::UnixMilliseconds at,
-                              const std::vector<Replica>& released, const std::string& reason)
+void CellState::recordReleased (base::LogIndex index, base::UnixMilliseconds at,
+                                const std::vector<Replica>& released, const std::string& reason)
 {
     for (const Replica& replica : released)
     {
@@ -338,7 +339,8 @@
     if (! m_configuration.restore (std::move (stored.configuration),
                                    std::move (stored.configurationText)))
     {
-        return base::fail (base::ErrorKind::kMessageInvalid, "stored configuration does not parse");
+        return base::fail (base::ErrorKind::kMessageInvalid,
+                           "configuration in the snapshot cannot be parsed");
     }
     m_replicas.replaceWith (std::move (stored.replicas));
     m_instances = std::move (stored.instances);
--- a/src/cell/CellState.h
+++ b/src/cell/CellState.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// The replicated state machine of a cell. Every controller applies the same commands in the same
-/// order and holds the same state.
+/// order and thus has the same state. Replication itself is left to the consensus module. Not
+/// thread-safe.
 
 #include <string>
 #include <string_view>
@@ -23,7 +24,7 @@
 namespace fernlift::cell
 {
 
-/// Answer to DecideLoad. When granted, the replica's id is the command's log index.
+/// Result of DecideLoad. If granted, the id of the replica is the log index of the command.
 struct LoadResult
 {
     LoadRefusal refusal = LoadRefusal::kNone;
@@ -31,7 +32,7 @@
     bool operator== (const LoadResult&) const = default;
 };
 
-/// Answer to DecideUnload.
+/// Result of DecideUnload.
 struct UnloadResult
 {
     UnloadRefusal refusal = UnloadRefusal::kNone;
@@ -39,7 +40,7 @@
     bool operator== (const UnloadResult&) const = default;
 };
 
-/// Answer to ClaimKeys: one answer a claim, in order.
+/// Result of ClaimKeys: one answer per claim, in the order of the claims.
 struct ClaimResult
 {
     std::vector<ClaimAnswer> answers;
@@ -47,7 +48,7 @@
     bool operator== (const ClaimResult&) const = default;
 };
 
-/// Answer to every other command.
+/// Result of every other command.
 struct ChangeResult
 {
     bool changed = false;
@@ -58,7 +59,7 @@
 using ApplyResult =
     std::variant<ConfigurationResult, LoadResult, UnloadResult, ClaimResult, ChangeResult>;
 
-/// The state. Deterministic: no clock, no randomness, no I/O.
+/// Deterministic: uses no clock, no randomness and no I/O.
 class CellState
 {
 public:
@@ -68,7 +69,7 @@
     {
     }
 
-    /// Applies the command at a log index. Indexes must grow from call to call.
+    /// Applies the command at a log index. Indexes must increase from call to call.
     ApplyResult apply (base::LogIndex index, const Command& command);
 
     [[nodiscard]] const ConfigurationState& configuration() const { return m_configuration; }
@@ -82,16 +83,15 @@
     [[nodiscard]] const ClaimTable& claims() const { return m_claims; }
     [[nodiscard]] const QuarantineTable& quarantine() const { return m_quarantine; }
     [[nodiscard]] const DecisionJournal& journal() const { return m_journal; }
-    /// Latest time any proposer stated; never goes back.
+    /// Latest time stated by any proposer; never decreases.
     [[nodiscard]] base::UnixMilliseconds time() const { return m_time; }
     [[nodiscard]] base::LogIndex appliedIndex() const { return m_appliedIndex; }
 
-    /// Bytes from which restore() makes an equal state; equal states give equal bytes.
+    /// Encodes the state for restore(). Equal states give equal bytes.
     [[nodiscard]] std::string encode() const;
-    /// Replaces the state. Fails and changes nothing on bytes that encode() did not make
-    /// (kMessageInvalid) or that another format's encode() made (kStorageFormatUnknown). The
-    /// formats before this one are read too: one knew no starts of instances, one no suspects
-    /// either.
+    /// Replaces the state with an encoded one. Fails without a change on damaged bytes
+    /// (kMessageInvalid) and on unknown formats (kStorageFormatUnknown). Also reads the two earlier
+    /// formats: format 3 has no start times of instances, format 2 has no suspects either.
     base::Result<void> restore (std::string_view bytes);
 
 private:
@@ -114,8 +114,8 @@
     ApplyResult applyCommand (base::LogIndex index, const ReleaseSuspects& command);
     void note (base::LogIndex index, base::UnixMilliseconds at, DecisionKind kind,
                const Replica* replica, std::string_view outcome, const std::string& reason);
-    void noteReleased (base::LogIndex index, base::UnixMilliseconds at,
-                       const std::vector<Replica>& released, const std::string& reason);
+    void recordReleased (base::LogIndex index, base::UnixMilliseconds at,
+                         const std::vector<Replica>& released, const std::string& reason);
 
     PlantedFault m_fault;
     ConfigurationState m_configuration;
--- a/src/cell/CellStateTest.cpp
+++ b/src/cell/CellStateTest.cpp
@@ -63,7 +63,7 @@
     RC_ASSERT (left.encode() == right.encode());
 }
 
-TEST (CellStateTest, RefusesOtherFormatsAndDamageWithoutChange)
+TEST (CellStateTest, RejectsUnknownFormatsAndDamagedBytesWithoutChange)
 {
     CellState state (&test::parseTestCatalogue);
     state.apply (1, test::configurationOf (6, "file", kStart));
@@ -78,21 +78,21 @@
     }
 }
 
-TEST (CellStateTest, TimeNeverGoesBack)
+TEST (CellStateTest, TimeNeverDecreases)
 {
     CellState state (&test::parseTestCatalogue);
     state.apply (1, test::observationOf ("r1", 1, kStart + 5000));
     state.apply (2, test::observationOf ("r2", 1, kStart));
     EXPECT_EQ (state.time(), kStart + 5000);
-    // A claim that was over at the latest time stated is refused, whatever its proposer's clock
-    // says.
+    // A claim that has expired at the latest stated time is refused even if the clock of its
+    // proposer is behind.
     const Claim claim{ base::IdempotencyKey ("k"), "digest", base::RouterId ("r"),
                        base::RequestId ("q"), kStart + 4999 };
     const auto result = std::get<ClaimResult> (state.apply (3, ClaimKeys{ { claim }, kStart }));
     EXPECT_EQ (result.answers.front().verdict, ClaimVerdict::kWindowPassed);
 }
 
-TEST (CellStateTest, JournalIsBoundedAndNamesEachLoadWithItsReason)
+TEST (CellStateTest, JournalIsBoundedAndRecordsLoadsWithTheirReasons)
 {
     CellState state (&test::parseTestCatalogue);
     state.apply (1, test::configurationOf (6, "file", kStart));
@@ -114,7 +114,7 @@
 
 // Figures for docs/design/replica-bound.md and at-most-once-claims.md.
 
-/// Bytes a further item adds to a snapshot.
+/// Prints the number of bytes that one item adds to a snapshot.
 void printGrowth (const char* item, std::size_t before, std::size_t after, std::size_t count)
 {
     std::cout << item << ": " << (after - before) / count << " bytes each in a snapshot\n";
@@ -131,7 +131,7 @@
     {
         state.apply (++index, test::observationOf ("runner-" + std::to_string (number), 1, kStart));
     }
-    // Each runner brings a journal record with it.
+    // Each runner also adds a journal record.
     const std::size_t withRunners = state.encode().size();
     printGrowth ("runner with its journal record", empty, withRunners, kItems);
     const Claim model{ base::IdempotencyKey (std::string (36, 'k')), std::string (64, 'd'),
--- a/src/cell/CellTestSupportTest.cpp
+++ b/src/cell/CellTestSupportTest.cpp
@@ -38,7 +38,7 @@
     return adapter;
 }
 
-/// Hands out parts of a word, each independent of the others.
+/// Splits a random word into independent parts.
 class WordParts
 {
 public:
@@ -59,7 +59,7 @@
     return base::RunnerId ("r" + std::to_string (number));
 }
 
-/// The id of some replica of the state, or one that does not exist.
+/// Picks the id of a replica of the state, or an id that does not exist.
 base::ReplicaId pickReplica (const CellState& state, WordParts& parts)
 {
     const auto& replicas = state.replicas().replicas();
@@ -136,7 +136,7 @@
     return catalogue.findModel (replica.model)->maxReplicas;
 }
 
-/// A load that was granted must fit the bound of its target and the memory of its runner.
+/// Checks that a granted load keeps the bound of its target and the memory of its runner.
 std::string violationOfLoad (const CellState& state, base::ReplicaId id)
 {
     const Replica& loaded = *state.replicas().findReplica (id);
@@ -165,22 +165,23 @@
     const Runner* runner = state.replicas().findRunner (replica.runner);
     if (runner == nullptr || runner->incarnation != replica.incarnation)
     {
-        return "a replica outlives its runner's incarnation";
+        return "a replica is kept after its runner's incarnation ended";
     }
     if (replica.fence > state.appliedIndex() || replica.id > replica.fence)
     {
-        return "a fence is not the index of a decision about its replica";
+        return "a replica has a fence outside the indexes of its decisions";
     }
     if (! replica.isAdapter())
         return "";
     const Replica* base = state.replicas().findReplica (replica.baseReplica);
-    const bool isCarried = base != nullptr && base->runner == replica.runner && ! base->isAdapter()
-                           && base->stage == ReplicaStage::kReady;
-    return isCarried ? "" : "an adapter without its base";
+    const bool hasBase = base != nullptr && base->runner == replica.runner && ! base->isAdapter()
+                         && base->stage == ReplicaStage::kReady;
+    return hasBase ? "" : "an adapter is loaded without a ready base replica";
 }
 
-/// A replica may be missing afterwards only for one of three proofs.
-bool mayBeGone (const Replica& replica, const Command& command)
+/// Whether the command justifies the removal of the replica: its release after an unload decision,
+/// the removal of its runner, or a new incarnation of its runner.
+bool mayBeRemoved (const Replica& replica, const Command& command)
 {
     if (const auto* released = std::get_if<ReplicaReleased> (&command))
     {
@@ -322,16 +323,16 @@
     for (const auto& [id, replica] : before.replicas)
     {
         const Replica* now = after.replicas().findReplica (id);
-        if (now == nullptr && ! mayBeGone (replica, command))
-            return "a replica vanished without proof";
+        if (now == nullptr && ! mayBeRemoved (replica, command))
+            return "a replica was removed without a command that justifies it";
         if (now != nullptr && now->fence < replica.fence)
-            return "a fence went back";
+            return "a fence decreased";
     }
     const ConfigurationIdentity& old = before.configuration;
     const ConfigurationIdentity& present = after.configuration().identity();
     const bool isReverted = present.version < old.version
                             || (present.version == old.version && present.digest != old.digest);
-    return isReverted ? "the configuration reverted" : "";
+    return isReverted ? "the configuration was replaced by an earlier or conflicting one" : "";
 }
 
 std::string runCommands (CellState& state, const std::vector<std::uint32_t>& words)
--- a/src/cell/ClaimTable.cpp
+++ b/src/cell/ClaimTable.cpp
@@ -5,7 +5,7 @@
 namespace
 {
 
-/// Verdict for a claim of a key that is already held.
+/// Verdict for a claim of a key that is already in the table.
 ClaimVerdict verdictFor (const ClaimRecord& held, const Claim& claim)
 {
     if (held.requestDigest != claim.requestDigest)
--- a/src/cell/ClaimTable.h
+++ b/src/cell/ClaimTable.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Idempotency keys held for requests that may run at most once.
+/// Idempotency keys of requests that may run at most once. Part of the replicated state; not
+/// thread-safe.
 
 #include <boost/serialization/map.hpp>
 #include <boost/serialization/string.hpp>
@@ -18,7 +19,7 @@
 namespace fernlift::cell
 {
 
-/// What is known of one claimed key.
+/// State of a claimed key.
 struct ClaimRecord
 {
     std::string requestDigest;
@@ -36,25 +37,26 @@
     }
 };
 
-/// The table. A key is kept until its expiry; when the table is full, new keys are refused and no
-/// held one is forgotten.
+/// Table of claimed keys. A key is kept until it expires. When the table is full, new keys are
+/// refused and no existing key is evicted.
 class ClaimTable
 {
 public:
-    /// Most keys held at once.
+    /// Maximum number of keys in the table.
     static constexpr std::size_t kMaximumKeys = 500'000;
-    /// A claim may not ask to be kept longer than this: the longest deadline of a class (one day)
-    /// and a window of up to another day.
+    /// Longest time for which a claim may be kept, in milliseconds: the longest deadline of a class
+    /// (one day) plus a window of up to another day.
     static constexpr base::UnixMilliseconds kMaximumLifetime = 172'800'000;
     static constexpr std::size_t kMaximumKeyBytes = 256;
-    /// Of the digest, the router and the request.
+    /// Limit for each of the digest, the router id and the request id.
     static constexpr std::size_t kMaximumFieldBytes = 512;
 
-    /// Decides one claim at state time `now`.
+    /// Decides a claim; `now` is the time of the replicated state.
     ClaimAnswer claim (const Claim& claim, base::UnixMilliseconds now);
-    /// Records an outcome; ignored unless it comes from the request that holds the key.
+    /// Records an outcome. Returns false and changes nothing unless it comes from the request that
+    /// holds the key and is more certain than the recorded one.
     bool record (const OutcomeRecord& outcome);
-    /// Forgets keys that expired before `now`.
+    /// Removes keys that expired before `now`.
     void expire (base::UnixMilliseconds now);
 
     [[nodiscard]] std::size_t size() const { return m_claims.size(); }
@@ -79,7 +81,8 @@
 
 private:
     std::map<base::IdempotencyKey, ClaimRecord> m_claims;
-    std::set<std::pair<base::UnixMilliseconds, base::IdempotencyKey>> m_expiries;  ///< Derived.
+    std::set<std::pair<base::UnixMilliseconds, base::IdempotencyKey>>
+        m_expiries;  ///< Derived from m_claims.
 };
 
 }  // namespace fernlift::cell
--- a/src/cell/ClaimTableTest.cpp
+++ b/src/cell/ClaimTableTest.cpp
@@ -63,12 +63,12 @@
     EXPECT_EQ (answer.httpStatus, 201);
     EXPECT_EQ (claim (claimOf ("lost", "second")), kOutcomeUnknown);
     EXPECT_EQ (claim (claimOf ("free", "second")), kGranted);
-    // A late outcome of the request that gave the key back does not touch its next holder.
+    // A late outcome of the request that released the key does not affect the next holder.
     EXPECT_FALSE (m_table.record (outcomeOf ("free", "first", ClaimOutcome::kNotRun)));
     EXPECT_EQ (claim (claimOf ("free", "third")), kInProgress);
 }
 
-TEST_F (ClaimTableTest, OutcomesOnlyGrowMoreCertain)
+TEST_F (ClaimTableTest, OutcomesOnlyBecomeMoreCertain)
 {
     claim (claimOf ("k", "first"));
     EXPECT_FALSE (m_table.record (outcomeOf ("k", "second", ClaimOutcome::kNotRun)));
@@ -88,7 +88,7 @@
     EXPECT_EQ (m_table.size(), 1U);
 }
 
-TEST_F (ClaimTableTest, KeyLivesUntilItsExpiryAndNoLonger)
+TEST_F (ClaimTableTest, KeyIsKeptExactlyUntilItsExpiry)
 {
     claim (claimOf ("k", "first"));
     EXPECT_EQ (claim (claimOf ("k", "second"), kExpiry), kInProgress);
@@ -109,12 +109,13 @@
     }
     ASSERT_EQ (m_table.size(), ClaimTable::kMaximumKeys);
     EXPECT_EQ (claim (claimOf ("one more", "first")), kTableFull);
-    EXPECT_EQ (claim (claimOf ("1", "first")), kGranted) << "a held key still gets its verdict";
+    EXPECT_EQ (claim (claimOf ("1", "first")), kGranted)
+        << "a claim of a held key must be answered even if the table is full";
     EXPECT_EQ (claim (claimOf ("one more", "first", kExpiry + 9), kExpiry + 1), kGranted);
 }
 
-/// Runs claims, outcomes and restarts from a snapshot; true when two requests got the same key
-/// without the first giving it back or its time running out.
+/// Runs claims, outcomes and restarts from a snapshot. Returns whether two requests were granted
+/// the same key although the first had not released it and it had not expired.
 bool grantsTwice (PlantedFault fault, const std::vector<std::uint32_t>& words)
 {
     CellState state (&test::parseTestCatalogue, fault);
--- a/src/cell/CommandCodec.cpp
+++ b/src/cell/CommandCodec.cpp
@@ -32,7 +32,8 @@
     const std::optional<std::string> plain =
         base::decompress (bytes.substr (1), wire::kMaximumFrameBytes);
     if (! plain)
-        return base::fail (base::ErrorKind::kMessageInvalid, "a compressed command is damaged");
+        return base::fail (base::ErrorKind::kMessageInvalid,
+                           "compressed command in the log cannot be decompressed");
     return wire::decodeMessage<Command> (*plain);
 }
 
--- a/src/cell/CommandCodec.h
+++ b/src/cell/CommandCodec.h
@@ -1,8 +1,9 @@
 #pragma once
 
 /**
- * Commands as entries of the replicated log. Large ones, which are those that hold an operator's
- * file, are compressed once, when they are proposed: every member writes, sends and keeps them so.
+ * Encodes commands as entries of the replicated log. Large commands, which are those that contain a
+ * configuration file, are compressed once, by the proposer; every member stores and sends the
+ * compressed bytes. Stateless; the functions may be called from any thread.
  */
 
 #include <string>
@@ -16,7 +17,7 @@
 
 [[nodiscard]] std::string encodeCommand (const Command& command);
 
-/** Inverse of encodeCommand; fails with kMessageInvalid. */
+/** Inverse of encodeCommand(). Fails with kMessageInvalid on bytes that it cannot decode. */
 [[nodiscard]] base::Result<Command> decodeCommand (std::string_view bytes);
 
 }  // namespace fernlift::cell
--- a/src/cell/CommandCodecTest.cpp
+++ b/src/cell/CommandCodecTest.cpp
@@ -18,7 +18,7 @@
         [] (const base::Error&) { return std::optional<ApplyConfiguration>(); });
 }
 
-TEST (CommandCodecTest, SmallAndLargeCommandsComeBack)
+TEST (CommandCodecTest, SmallAndLargeCommandsAreDecoded)
 {
     for (const std::size_t size : { 10UL, 100'000UL })
     {
@@ -30,13 +30,13 @@
     }
 }
 
-TEST (CommandCodecTest, ALargeFileTakesLittleRoomInTheLog)
+TEST (CommandCodecTest, LargeFilesAreCompressed)
 {
     const ApplyConfiguration command{ 7, "digest", std::string (100'000, 'x'), 5 };
     EXPECT_LT (encodeCommand (command).size(), 2000U);
 }
 
-TEST (CommandCodecTest, DamageIsAnError)
+TEST (CommandCodecTest, RejectsDamagedBytes)
 {
     std::string bytes = encodeCommand (ApplyConfiguration{ 7, "d", std::string (9000, 'x'), 5 });
     bytes[bytes.size() / 2] = static_cast<char> (bytes[bytes.size() / 2] ^ 0x55);
--- a/src/cell/Commands.h
+++ b/src/cell/Commands.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Commands of the replicated state machine of a cell: everything that is decided in a cell is one
-/// of these, in the order of the log.
+/// Commands of the replicated state machine of a cell. Every decision of a cell is one of these
+/// commands, applied in the order of the log. The layouts are stored in logs and must stay
+/// readable.
 
 #include <boost/serialization/string.hpp>
 #include <boost/serialization/vector.hpp>
@@ -19,7 +20,7 @@
 namespace fernlift::cell
 {
 
-/// Puts a configuration file in force, if its version allows.
+/// Activates a configuration file if its version is higher than the one in force.
 struct ApplyConfiguration
 {
     std::uint64_t version = 0;
@@ -34,7 +35,7 @@
     }
 };
 
-/// A runner was seen with this incarnation. Every replica of an earlier incarnation is gone.
+/// A runner was observed with this incarnation. Replicas of its other incarnations are removed.
 struct ObserveRunner
 {
     engine::Machine machine;
@@ -49,7 +50,7 @@
     }
 };
 
-/// The machine list no longer names the runner: its replicas are gone.
+/// The runner is no longer in the machine list: it is removed with its replicas.
 struct RemoveRunner
 {
     base::RunnerId runner;
@@ -62,15 +63,16 @@
     }
 };
 
-/// Decision to load. Applied only if the replica bound and the runner's memory allow it in the
-/// state it meets; the log index becomes the replica's id and the fence of the order.
+/// Decision to load a replica. Granted only if the replica bound and the runner's free memory allow
+/// it when the command is applied. The log index becomes the id of the replica and the fence of the
+/// order.
 struct DecideLoad
 {
     base::RunnerId runner;
     base::Incarnation incarnation = 0;
     base::ModelName model;
     base::AdapterName adapter;        ///< Empty for a base model.
-    base::ReplicaId baseReplica = 0;  ///< Adapters only.
+    base::ReplicaId baseReplica = 0;  ///< Replica of the base model; adapters only.
     std::string reason;
     base::UnixMilliseconds proposedAt = 0;
 
@@ -81,8 +83,8 @@
     }
 };
 
-/// Decision to unload a replica; the log index is the fence of the order. The replica still counts
-/// until ReplicaReleased.
+/// Decision to unload a replica. The log index becomes the fence of the order. The replica counts
+/// against its bound and reserves memory until ReplicaReleased.
 struct DecideUnload
 {
     base::ReplicaId replica = 0;
@@ -96,7 +98,7 @@
     }
 };
 
-/// The engine reported the replica ready.
+/// The engine reported that the replica is ready.
 struct ReplicaReady
 {
     base::ReplicaId replica = 0;
@@ -109,7 +111,7 @@
     }
 };
 
-/// The engine confirmed that the replica holds no memory (unloaded, or its load failed).
+/// The engine confirmed that the replica uses no memory: it was unloaded, or its load failed.
 struct ReplicaReleased
 {
     base::ReplicaId replica = 0;
@@ -123,7 +125,7 @@
     }
 };
 
-/// One claim of an idempotency key, before the request's bytes leave a router.
+/// Claim of an idempotency key, committed before the router sends any byte of the request.
 struct Claim
 {
     base::IdempotencyKey key;
@@ -139,7 +141,7 @@
     }
 };
 
-/// Group commit of claims.
+/// Claims that are committed as one group.
 struct ClaimKeys
 {
     std::vector<Claim> claims;
@@ -154,18 +156,18 @@
 
 enum class ClaimOutcome : std::uint8_t
 {
-    kPending,  ///< Claimed; nothing known yet.
+    kPending,  ///< Claimed; the outcome is not known yet.
     kRan,      ///< The back end answered.
-    kNotRun,   ///< Certainly not performed; the key is free again.
-    kUnknown,  ///< The answer was lost.
+    kNotRun,   ///< The request was certainly not performed; the key is free again.
+    kUnknown,  ///< The answer was lost; the request may have been performed.
 };
 
 struct OutcomeRecord
 {
     base::IdempotencyKey key;
-    base::RequestId request;  ///< Only the claim's own request may record its outcome.
+    base::RequestId request;  ///< Must be the request that holds the claim.
     ClaimOutcome outcome = ClaimOutcome::kUnknown;
-    std::int32_t httpStatus = 0;  ///< Of the back end's answer, when it ran.
+    std::int32_t httpStatus = 0;  ///< Status of the back end's answer; set if the request ran.
 
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
@@ -186,7 +188,7 @@
     }
 };
 
-/// Marks a runner as draining by an operator's wish, or takes the mark away.
+/// Starts or ends draining of a runner on an operator's request.
 struct SetDraining
 {
     base::RunnerId runner;
@@ -213,14 +215,14 @@
     }
 };
 
-/// A registered runner said that it is leaving: it gets no new requests.
+/// A registered runner reported that it is leaving: it receives no new requests.
 struct DrainInstance
 {
-    static constexpr unsigned kStartVersion = 1;  ///< Of the layout, that has `startedAt`.
+    static constexpr unsigned kStartVersion = 1;  ///< First layout version with `startedAt`.
 
     std::string instance;
     base::UnixMilliseconds proposedAt = 0;
-    base::UnixMilliseconds startedAt = 0;  ///< Of the incarnation; 0: the one that is known.
+    base::UnixMilliseconds startedAt = 0;  ///< Start of the incarnation; 0: the known incarnation.
 
     template <class Archive>
     void serialize (Archive& archive, unsigned version)
@@ -231,15 +233,15 @@
     }
 };
 
-/// A registered runner is gone: it said so, or was silent for long.
+/// A registered runner is removed because it deregistered or sent no heartbeat for too long.
 struct RemoveInstance
 {
-    static constexpr unsigned kStartVersion = 1;  ///< Of the layout, that has `startedAt`.
+    static constexpr unsigned kStartVersion = 1;  ///< First layout version with `startedAt`.
 
     std::string instance;
-    bool isDeregistered = false;  ///< It said so itself; final.
+    bool isDeregistered = false;  ///< The runner deregistered itself, which is final.
     base::UnixMilliseconds proposedAt = 0;
-    base::UnixMilliseconds startedAt = 0;  ///< Of the incarnation; 0: the one that is known.
+    base::UnixMilliseconds startedAt = 0;  ///< Start of the incarnation; 0: the known incarnation.
 
     template <class Archive>
     void serialize (Archive& archive, unsigned version)
@@ -250,14 +252,14 @@
     }
 };
 
-/// What one registered runner holds.
+/// Models that one registered runner holds.
 struct InstanceHoldings
 {
-    static constexpr unsigned kStartVersion = 1;  ///< Of the layout, that has `startedAt`.
+    static constexpr unsigned kStartVersion = 1;  ///< First layout version with `startedAt`.
 
     std::string instance;
     std::vector<HeldModel> models;
-    base::UnixMilliseconds startedAt = 0;  ///< Of the incarnation; 0: the one that is known.
+    base::UnixMilliseconds startedAt = 0;  ///< Start of the incarnation; 0: the known incarnation.
 
     template <class Archive>
     void serialize (Archive& archive, unsigned version)
@@ -268,7 +270,8 @@
     }
 };
 
-/// The leader's knowledge of what runners hold, so that the next leader has it at once.
+/// Models that runners hold according to the leader. Replicated so that the next leader has them
+/// immediately.
 struct NoteHoldings
 {
     std::vector<InstanceHoldings> holdings;
@@ -285,7 +288,7 @@
 struct NotedOrder
 {
     std::string instance;
-    bool isFromStore = false;  ///< A load that takes from the weight store's rate.
+    bool isFromStore = false;  ///< A load that counts against the load rate of the weight store.
 
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
@@ -294,8 +297,9 @@
     }
 };
 
-/// Committed before the orders leave, so that the next leader knows which engines may have had one
-/// lately. Changes no state; members note when they apply it.
+/// Committed before the orders are sent, so that the next leader can tell which engines may have
+/// received one recently. Does not change the state; each member records the time at which it
+/// applies the command.
 struct NoteOrders
 {
     std::vector<NotedOrder> orders;
@@ -308,11 +312,11 @@
     }
 };
 
-/// Requests under which runners ended, and which turned out to be harmless.
+/// Runner crashes with the requests that were running, and requests that were cleared of suspicion.
 struct NoteSuspects
 {
     std::vector<RunnerEnd> ends;
-    std::vector<std::string> acquitted;  ///< Digests.
+    std::vector<std::string> acquitted;  ///< Digests of the cleared requests.
     base::UnixMilliseconds proposedAt = 0;
 
     template <class Archive>
@@ -322,10 +326,10 @@
     }
 };
 
-/// An operator lets requests out of quarantine.
+/// An operator releases requests from quarantine.
 struct ReleaseSuspects
 {
-    std::vector<std::string> digests;  ///< Empty: all.
+    std::vector<std::string> digests;  ///< Requests to release; empty: all.
     base::UnixMilliseconds proposedAt = 0;
 
     template <class Archive>
--- a/src/cell/ConfigurationDelta.cpp
+++ b/src/cell/ConfigurationDelta.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/// A kept part costs about as many bytes on the wire (its position, its length, two lengths of
-/// strings).
+/// Shortest segment that is looked up in the base: a kept part takes about as many bytes on the
+/// wire (its position, its length and two lengths of strings).
 constexpr std::size_t kShortestKept = 32;
 
 std::size_t commonPrefix (std::string_view left, std::string_view right)
@@ -26,7 +26,7 @@
     return static_cast<std::size_t> (differing.first - left.rbegin());
 }
 
-/// Takes the first segment off `text`.
+/// Removes and returns the first segment of `text`.
 std::string_view takeSegment (std::string_view& text)
 {
     const std::size_t end = text.find_first_of ("}\n");
@@ -36,7 +36,7 @@
     return segment;
 }
 
-/// Where each long segment of the base stands first.
+/// Position of the first occurrence of each long segment of the base.
 std::unordered_map<std::string_view, std::size_t> positionsOf (std::string_view base)
 {
     std::unordered_map<std::string_view, std::size_t> positions;
@@ -51,7 +51,7 @@
     return positions;
 }
 
-/// Builds the list of pieces from its begin to its end.
+/// Builds the list of pieces in order.
 class PieceList
 {
 public:
@@ -72,8 +72,8 @@
             m_pieces.emplace_back();
         m_pieces.back().text += text;
     }
-    /// Whether the base goes on with `segment` where the last piece ends.
-    [[nodiscard]] bool goesOnWith (std::string_view segment) const
+    /// Whether `segment` follows the end of the last piece in the base.
+    [[nodiscard]] bool continuesWith (std::string_view segment) const
     {
         return ! m_pieces.empty() && m_pieces.back().text.empty()
                && m_base.substr (endOfLast()).starts_with (segment);
@@ -108,7 +108,7 @@
     {
         const std::string_view segment = takeSegment (rest);
         const auto found = positions.find (segment);
-        if (pieces.goesOnWith (segment))
+        if (pieces.continuesWith (segment))
             pieces.keep (pieces.endOfLast(), segment.size());
         else if (found != positions.end())
             pieces.keep (found->second, segment.size());
--- a/src/cell/ConfigurationDelta.h
+++ b/src/cell/ConfigurationDelta.h
@@ -1,11 +1,12 @@
 #pragma once
 
 /**
- * The text of a configuration as a change of another one, and back.
+ * Encodes the text of a configuration as a difference to another one, and decodes it.
  *
- * Routers that hold one of the last configurations are told what changed. A change of the operator
- * often moves a few routes that stand far apart, so that a change is a list of pieces: parts that
- * are kept, each followed by new text.
+ * Routers that hold one of the last configurations receive only the difference. Operators often
+ * change a few routes that are far apart, so that a difference is a list of pieces: parts of the
+ * base that are kept, each followed by new text. Stateless; the functions may be called from any
+ * thread.
  */
 
 #include <cstdint>
@@ -19,25 +20,26 @@
 namespace fernlift::cell
 {
 
-/// A configuration as a router holds it.
+/// Configuration that a router holds.
 struct HeldConfiguration
 {
-    std::uint64_t version = 0;  ///< 0: none.
+    std::uint64_t version = 0;  ///< 0: no configuration.
     std::string digest;
     std::string text;
 };
 
-/** Pieces of `base` that make up `text`. Takes time in proportion to both; what is kept is found
-   where whole segments, which end after a closing brace or a line, are the same.
+/** Returns the pieces that produce `text` from `base`, in time linear in both. Parts are kept where
+   whole segments are equal; a segment ends after a closing brace or at the end of a line.
 */
 [[nodiscard]] std::vector<TextPiece> piecesBetween (std::string_view base, std::string_view text);
 
-/** The text that the pieces of `base` make up; nothing when one is not within `base`. */
+/** Returns the text that the pieces produce from `base`, or nothing if a piece exceeds `base`. */
 [[nodiscard]] std::optional<std::string> joinPieces (std::string_view base,
                                                      const std::vector<TextPiece>& pieces);
 
-/// The whole text that an update stands for; nothing when it does not follow on the one held, or
-/// when the text does not have the update's digest.
+/// Returns the complete text of the configuration in an update. Returns nothing if the update is a
+/// difference to another configuration than the one held, or if the text that it produces does not
+/// match the digest of the update.
 [[nodiscard]] std::optional<std::string> wholeText (const ConfigurationUpdate& update,
                                                     const HeldConfiguration& held);
 
--- a/src/cell/ConfigurationDeltaTest.cpp
+++ b/src/cell/ConfigurationDeltaTest.cpp
@@ -38,7 +38,7 @@
     return bytes;
 }
 
-TEST (ConfigurationDeltaTest, ChangesFarApartCostWhatTheyChange)
+TEST (ConfigurationDeltaTest, DistantChangesCostOnlyTheChangedText)
 {
     std::vector<std::string> routes = manyRoutes();
     const std::string base = textOf (routes);
@@ -63,7 +63,7 @@
     EXPECT_LT (newBytes (pieces), 100U);
 }
 
-TEST (ConfigurationDeltaTest, APieceBeyondTheBaseIsRefused)
+TEST (ConfigurationDeltaTest, RejectsPiecesBeyondTheBase)
 {
     EXPECT_EQ (joinPieces ("base", { { 2, 2, "x" } }), "sex");
     EXPECT_EQ (joinPieces ("base", { { 2, 3, "x" } }), std::nullopt);
@@ -71,7 +71,7 @@
     EXPECT_EQ (joinPieces ("base", { { 1, ~std::uint64_t{ 0 }, "x" } }), std::nullopt);
 }
 
-RC_GTEST_PROP (ConfigurationDeltaTest, ThePiecesGiveTheNewText, ())
+RC_GTEST_PROP (ConfigurationDeltaTest, PiecesProduceTheNewText, ())
 {
     const auto segment = rc::gen::element<std::string> (
         "a", "b", "}", "\n", "a segment that is long enough to be kept 1}",
--- a/src/cell/ConfigurationLeasesTest.cpp
+++ b/src/cell/ConfigurationLeasesTest.cpp
@@ -41,7 +41,7 @@
     EXPECT_EQ (m_leases.endUpTo (5), m_now + seconds (2));
 }
 
-TEST_F (ConfigurationLeasesTest, LeasesThatAreOverAreForgotten)
+TEST_F (ConfigurationLeasesTest, RemovesExpiredLeases)
 {
     m_leases.extend (5, m_now + seconds (2), m_now);
     m_leases.extend (6, m_now + seconds (4), m_now + seconds (2));
--- a/src/cell/ConfigurationState.cpp
+++ b/src/cell/ConfigurationState.cpp
@@ -9,7 +9,8 @@
 namespace
 {
 
-/// Files that are proposed at once are few; each may be large.
+/// Limit for the catalogues of pending proposals: few files are proposed at the same time, and each
+/// may be large.
 constexpr std::size_t kMostParsed = 8;
 
 }  // namespace
@@ -37,7 +38,7 @@
 
 std::optional<config::Catalogue> ConfigurationState::parse (const ApplyConfiguration& command)
 {
-    // The digest names the text, so that what was parsed before is what would be parsed now.
+    // The digest identifies the text, so that the kept catalogue equals the result of parsing.
     if (auto known = m_parsed.extract (command.digest))
         return std::move (known.mapped());
     return m_parser (command.text).catalogue;
--- a/src/cell/ConfigurationState.h
+++ b/src/cell/ConfigurationState.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// The configuration in force in a cell and the rule by which a proposed one replaces it.
+/// The configuration in force in a cell, and the rule by which a proposed configuration replaces
+/// it. Part of the replicated state; not thread-safe.
 
 #include <boost/serialization/string.hpp>
 #include <cstdint>
@@ -18,11 +19,11 @@
 namespace fernlift::cell
 {
 
-/// What became of a proposed configuration.
+/// Result of proposing a configuration.
 enum class ConfigurationOutcome : std::uint8_t
 {
-    kAccepted,   ///< It is now in force.
-    kUnchanged,  ///< Version and digest equal those in force: the earlier answer again.
+    kAccepted,   ///< The configuration is now in force.
+    kUnchanged,  ///< Version and digest equal those in force; the earlier result is returned.
     kConflict,   ///< Another file with this version was accepted before.
     kStale,      ///< The version is lower than the one in force.
     kInvalid,    ///< The text does not parse or does not carry the stated version and digest.
@@ -44,7 +45,7 @@
     }
 };
 
-/// Answer to ApplyConfiguration; `inForce` names the winner.
+/// Result of ApplyConfiguration; `inForce` identifies the configuration in force afterwards.
 struct ConfigurationResult
 {
     ConfigurationOutcome outcome = ConfigurationOutcome::kInvalid;
@@ -53,10 +54,10 @@
     bool operator== (const ConfigurationResult&) const = default;
 };
 
-/// Parses a catalogue file; replaceable so that tests can build catalogues in code.
+/// Parser of catalogue files; replaceable so that tests can build catalogues in code.
 using CatalogueParser = config::CatalogueOutcome (*) (std::string_view text);
 
-/// The configuration in force, as text and parsed.
+/// Keeps the configuration in force, both as text and parsed.
 class ConfigurationState
 {
 public:
@@ -66,18 +67,19 @@
     }
 
     ConfigurationResult apply (base::LogIndex index, const ApplyConfiguration& command);
-    /// The proposer has parsed this text already: apply() need not do it again.
+    /// Keeps the catalogue that the proposer has parsed, so that apply() need not parse the text
+    /// again.
     void keepParsed (std::string digest, config::Catalogue catalogue);
 
     [[nodiscard]] const ConfigurationIdentity& identity() const { return m_identity; }
     [[nodiscard]] const std::string& text() const { return m_text; }
-    /// The parsed file; null while none is in force.
+    /// The parsed configuration; null while none is in force.
     [[nodiscard]] const config::Catalogue* catalogue() const
     {
         return m_catalogue ? &*m_catalogue : nullptr;
     }
 
-    /// Replaces the state with a stored one. Returns false when the text does not parse.
+    /// Replaces the state with a stored one. Returns false if the text cannot be parsed.
     bool restore (ConfigurationIdentity identity, std::string text);
 
 private:
@@ -89,7 +91,8 @@
     ConfigurationIdentity m_identity;
     std::string m_text;
     std::optional<config::Catalogue> m_catalogue;
-    std::map<std::string, config::Catalogue> m_parsed;  ///< By digest; a few at most.
+    std::map<std::string, config::Catalogue>
+        m_parsed;  ///< Catalogues of keepParsed() by digest; only a few.
 };
 
 }  // namespace fernlift::cell
--- a/src/cell/ConfigurationStateTest.cpp
+++ b/src/cell/ConfigurationStateTest.cpp
@@ -51,7 +51,7 @@
     EXPECT_EQ (again.inForce.acceptedIndex, 1U);
 }
 
-TEST_F (ConfigurationStateTest, ConflictNamesTheWinner)
+TEST_F (ConfigurationStateTest, ConflictReportsTheConfigurationInForce)
 {
     const ConfigurationResult winner = apply (3, "file");
     const ConfigurationResult loser = apply (3, "other", kStart + 5);
@@ -62,10 +62,10 @@
     EXPECT_EQ (m_state.text(), "3 file");
 }
 
-TEST_F (ConfigurationByVersionOnlyTest, IsNoticedByTheConflict)
+TEST_F (ConfigurationByVersionOnlyTest, AcceptsAnotherFileWithTheSameVersion)
 {
     apply (3, "file");
-    EXPECT_EQ (apply (3, "other").outcome, kUnchanged) << "the planted fault shows no longer";
+    EXPECT_EQ (apply (3, "other").outcome, kUnchanged) << "the planted fault has no effect";
 }
 
 TEST_F (ConfigurationStateTest, LowerVersionIsStaleEvenWhenItWasInForce)
@@ -78,7 +78,7 @@
     EXPECT_EQ (m_state.catalogue()->version, 4U);
 }
 
-TEST_F (ConfigurationStateTest, NothingIsAppliedByHalf)
+TEST_F (ConfigurationStateTest, NothingIsAppliedPartially)
 {
     apply (3, "file");
     ApplyConfiguration otherDigest = configurationOf (4, "file", kStart);
--- a/src/cell/ControllerLink.cpp
+++ b/src/cell/ControllerLink.cpp
@@ -22,7 +22,7 @@
 {
     if (auto named = base::SocketAddress::tryParse (address))
     {
-        // Should it fail, the one after it is tried.
+        // If this connection fails, the next address of the list is tried.
         const auto found = std::ranges::find (m_controllers, *named);
         if (found != m_controllers.end())
             m_nextIndex =
@@ -75,7 +75,7 @@
             if (frame.channel != wire::Channel::kControllerToRouter)
             {
                 return base::fail (base::ErrorKind::kMessageInvalid,
-                                   "a router does not take this channel");
+                                   "frame on a channel other than controller-to-router");
             }
             BOOST_LEAF_AUTO (decoded, wire::decodeMessage<ControllerToRouter> (frame.payload));
             return std::optional (std::move (decoded));
--- a/src/cell/ControllerLink.h
+++ b/src/cell/ControllerLink.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// The router's one connection to a controller.
+/// The connection of a router to a controller. A router has at most one at a time; which controller
+/// it connects to is decided by ControllerSession. Runs in the thread of its event loop.
 
 #include <functional>
 #include <memory>
@@ -24,19 +25,20 @@
         std::function<void()> onLost;
     };
 
-    /// `firstIndex` chooses the first of the configured addresses, so that routers spread. Without
-    /// any, only named addresses are connected to.
+    /// `firstIndex` selects the configured address that is tried first, so that routers distribute
+    /// themselves over the controllers. With an empty list, connect() needs an address.
     ControllerLink (std::vector<base::SocketAddress> controllers, std::size_t firstIndex,
                     Handlers handlers);
 
-    /// Closes the connection and opens one to `address`; empty: the next configured.
+    /// Closes the connection and opens one to `address`, or to the next configured controller if
+    /// `address` is empty.
     void connect (const std::string& address);
-    /// Replaces the addresses that are tried in turn, the first one next; does nothing with an
-    /// empty list or the one that is known.
+    /// Replaces the addresses that are tried in turn, beginning with the first. Does nothing if the
+    /// list is empty or unchanged.
     void setControllers (std::vector<base::SocketAddress> controllers);
-    /// Returns the bytes of the message; does nothing without a connection.
+    /// Returns the size of the message in bytes; does nothing and returns 0 without a connection.
     std::size_t send (const RouterToController& message);
-    /// Address that the connection goes to, or went to last.
+    /// Address of the current connection, or of the last one.
     [[nodiscard]] const base::SocketAddress& address() const { return m_address; }
     void close();
     [[nodiscard]] const wire::FrameTraffic& traffic() const { return m_traffic; }
--- a/src/cell/ControllerSession.cpp
+++ b/src/cell/ControllerSession.cpp
@@ -8,18 +8,20 @@
 namespace
 {
 
-/// How long an opened connection may take before another address is tried.
+/// Time-out for opening a connection; another address is tried after it.
 constexpr base::Duration kConnectLimit = base::milliseconds (400);
-/// A controller that knows no leader may be cut off from it: another one is asked after this.
-constexpr base::Duration kLeaderNewsLimit = base::milliseconds (400);
-/// Waits before the next connection, so that a cell without a leader is not flooded.
+/// Time after which another controller is tried if the current one has no leader, because it may be
+/// partitioned from the leader.
+constexpr base::Duration kLeaderWaitLimit = base::milliseconds (400);
+/// Delays before the next connection, which limit the rate of connections to a cell without a
+/// leader.
 constexpr base::Duration kRedirectDelay = base::milliseconds (10);
 constexpr base::Duration kShortestDelay = base::milliseconds (50);
 constexpr base::Duration kLongestDelay = base::milliseconds (150);
-/// The same, in shares of it, for a router that has not found a leader since its start: callers
-/// wait for its first configuration.
+/// Divisor of the delay for a router that has not found a leader since its start. It retries sooner
+/// because callers wait for its first configuration.
 constexpr int kFirstDelayShare = 3;
-/// A leader that has not answered a request by then may be gone.
+/// Time-out for an answer of the leader; after it the leader may have failed.
 constexpr base::Duration kReplyLimit = base::milliseconds (660);
 constexpr int kRequestsInLease = 3;
 
@@ -57,10 +59,10 @@
 {
     if (! reply.leaderAddress.empty())
         scheduleConnect (now + kRedirectDelay, reply.leaderAddress);
-    else if (m_highestTerm != 0 && m_leaderNewsLimitAfterLoss < kLeaderNewsLimit)
-        scheduleConnect (now + m_leaderNewsLimitAfterLoss, "");
+    else if (m_highestTerm != 0 && m_leaderWaitLimitAfterLoss < kLeaderWaitLimit)
+        scheduleConnect (now + m_leaderWaitLimitAfterLoss, "");
     else
-        scheduleConnect (now + kLeaderNewsLimit + randomDelay (random), "");
+        scheduleConnect (now + kLeaderWaitLimit + randomDelay (random), "");
 }
 
 void ControllerSession::onGrant (const LeaseGrant& grant)
@@ -102,10 +104,11 @@
     }
     const bool isSilent =
         ! m_unanswered.empty()
-        && now - std::max (m_unanswered.begin()->second, m_heardAt) >= kReplyLimit;
+        && now - std::max (m_unanswered.begin()->second, m_lastMessageAt) >= kReplyLimit;
     if (isSilent)
     {
-        // Another controller may have become the leader; the lease leaves time to find it.
+        // Another controller may have become the leader. The current lease remains valid long
+        // enough to find it.
         scheduleConnect (now + kConnectLimit, "");
         return ConnectController{};
     }
--- a/src/cell/ControllerSessionTest.cpp
+++ b/src/cell/ControllerSessionTest.cpp
@@ -12,7 +12,7 @@
 class ControllerSessionTest : public ::testing::Test
 {
 protected:
-    /// Address of the connection that is due; none when none is.
+    /// Address of the connection that is due, if any.
     std::optional<std::string> connectionDue()
     {
         const auto due = m_session.poll (m_now);
@@ -31,7 +31,7 @@
     ControllerSession m_session{ m_now, ControllerSession::kQuickAfterLoss };
 };
 
-TEST_F (ControllerSessionTest, GoesToTheLeaderThatAFollowerNames)
+TEST_F (ControllerSessionTest, ConnectsToTheLeaderNamedByAFollower)
 {
     connect();
     m_session.onNotLeader ({ "10.0.0.2:7" }, m_now, m_random);
@@ -39,18 +39,19 @@
     EXPECT_EQ (connectionDue(), "10.0.0.2:7");
 }
 
-TEST_F (ControllerSessionTest, StaysForAWhileAtAControllerThatKnowsNoLeader)
+TEST_F (ControllerSessionTest, StaysForAWhileAtAControllerWithoutALeader)
 {
     connect();
     m_session.onNotLeader ({ "" }, m_now, m_random);
     m_now += milliseconds (300);
-    EXPECT_EQ (connectionDue(), std::nullopt) << "it tells as soon as it knows";
+    EXPECT_EQ (connectionDue(), std::nullopt)
+        << "the controller reports the leader as soon as it has one";
     m_session.onNotLeader ({ "10.0.0.3:7" }, m_now, m_random);
     m_now += milliseconds (10);
     EXPECT_EQ (connectionDue(), "10.0.0.3:7");
 }
 
-TEST_F (ControllerSessionTest, AsksAnotherControllerWhenTheFirstOneLearnsOfNoLeader)
+TEST_F (ControllerSessionTest, TriesAnotherControllerIfTheFirstFindsNoLeader)
 {
     connect();
     m_session.onNotLeader ({ "" }, m_now, m_random);
@@ -58,7 +59,7 @@
     EXPECT_EQ (connectionDue(), "");
 }
 
-TEST_F (ControllerSessionTest, LooksForAnotherLeaderSoonAfterARequestWithoutAnAnswer)
+TEST_F (ControllerSessionTest, TriesAnotherControllerAfterAnUnansweredRequest)
 {
     connect();
     const auto request = m_session.poll (m_now);
@@ -69,7 +70,7 @@
     EXPECT_EQ (connectionDue(), "");
 }
 
-TEST_F (ControllerSessionTest, StaysAtALeaderThatSendsButGrantsNoLeaseForAMoment)
+TEST_F (ControllerSessionTest, StaysAtALeaderThatSendsMessagesButGrantsNoLease)
 {
     connect();
     const auto request = m_session.poll (m_now);
@@ -82,7 +83,7 @@
     EXPECT_EQ (connectionDue(), "");
 }
 
-TEST_F (ControllerSessionTest, TriesAgainSoonUntilItHasFoundALeaderOnce)
+TEST_F (ControllerSessionTest, RetriesSoonerUntilItHasFoundALeader)
 {
     connect();
     m_session.onLost (m_now, m_random);
@@ -94,12 +95,13 @@
     m_session.onGrant ({ std::get<LeaseRequest> (*request).sequence, 1, "d", 1, 600, 0 });
     m_session.onLost (m_now, m_random);
     m_now += milliseconds (49);
-    EXPECT_FALSE (connectionDue()) << "a cell without a leader is not flooded";
+    EXPECT_FALSE (connectionDue())
+        << "the rate of connections to a cell without a leader must be limited";
     m_now += milliseconds (101);
     EXPECT_TRUE (connectionDue());
 }
 
-TEST_F (ControllerSessionTest, LeavesControllersWithoutALeaderSoonWhenItHadFoundOneBefore)
+TEST_F (ControllerSessionTest, LeavesControllersWithoutALeaderSoonAfterHavingFoundOne)
 {
     connect();
     const auto request = m_session.poll (m_now);
@@ -113,10 +115,11 @@
         ASSERT_EQ (connectionDue(), "");
         m_session.onConnected (m_now);
     }
-    EXPECT_LE (m_now - lostAt, milliseconds (600)) << "four of nine controllers may be cut off";
+    EXPECT_LE (m_now - lostAt, milliseconds (600))
+        << "four of nine controllers may be partitioned from the leader";
 }
 
-TEST_F (ControllerSessionTest, GivesUpAConnectionThatDoesNotComeUp)
+TEST_F (ControllerSessionTest, GivesUpAConnectionThatIsNotEstablished)
 {
     ASSERT_TRUE (connectionDue());
     m_now += milliseconds (399);
--- a/src/cell/DecisionJournal.h
+++ b/src/cell/DecisionJournal.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// The last decisions of a cell with their reasons, for operators who ask why.
+/// Bounded history of the decisions of a cell with their reasons, for operators. Part of the
+/// replicated state.
 
 #include <boost/serialization/deque.hpp>
 #include <boost/serialization/string.hpp>
@@ -28,17 +29,17 @@
 };
 [[nodiscard]] std::string_view nameOf (DecisionKind kind);
 
-/// One decision and what became of it.
+/// One decision and its outcome.
 struct DecisionRecord
 {
     base::LogIndex index = 0;
     base::UnixMilliseconds at = 0;
     DecisionKind kind = DecisionKind::kConfiguration;
-    std::string target;  ///< Model or adapter; empty when the decision is about none.
+    std::string target;  ///< Model or adapter; empty if the decision concerns neither.
     base::RunnerId runner;
     base::ReplicaId replica = 0;
-    std::string outcome;  ///< "granted" or the refusal.
-    std::string reason;   ///< Why it was proposed.
+    std::string outcome;  ///< "granted", or the reason of the refusal.
+    std::string reason;   ///< Reason given by the proposer.
 
     bool operator== (const DecisionRecord&) const = default;
     template <class Archive>
@@ -53,7 +54,7 @@
 {
 public:
     static constexpr std::size_t kMaximumRecords = 2000;
-    /// A longer reason is cut.
+    /// Longer reasons are truncated.
     static constexpr std::size_t kMaximumReasonBytes = 1000;
 
     void add (DecisionRecord record);
--- a/src/cell/EarlierLayoutsTest.cpp
+++ b/src/cell/EarlierLayoutsTest.cpp
@@ -1,6 +1,6 @@
 /**
- * Bytes that earlier versions stored, snapshots and commands of the log, are read as they were
- * meant. Written by the version before instances told their starts.
+ * Tests that snapshots and log commands stored by earlier versions are decoded correctly. The bytes
+ * were written by the last version without start times of instances.
  */
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// i-1 registered and drains, i-2 is deregistered.
+/// Snapshot in which i-1 is registered and draining, and i-2 has deregistered.
 constexpr std::string_view kSnapshotOfFormat3 =
     "6665726e6c6966742063656c6c20330a000000000000000000000000000000000000000000000000"
     "00000000000000000000000000000000000000000000000000000000000000000000000000000000"
@@ -74,7 +74,7 @@
         [] (const base::Error&) { return false; });
 }
 
-TEST (EarlierLayoutsTest, ASnapshotWithoutStartsIsRead)
+TEST (EarlierLayoutsTest, ReadsSnapshotsWithoutStartTimes)
 {
     CellState state;
     ASSERT_TRUE (restores (state, bytesOf (kSnapshotOfFormat3)));
@@ -84,13 +84,13 @@
     EXPECT_TRUE (instance->isDraining);
     EXPECT_EQ (instance->models, (std::vector<HeldModel>{ { "m", 1, { "a" } } }));
     EXPECT_TRUE (state.instances().isDeregistered ("i-2"));
-    // What is stored next is read again.
+    // The state can be stored in the current format and read again.
     CellState again;
     ASSERT_TRUE (restores (again, state.encode()));
     EXPECT_EQ (again.instances(), state.instances());
 }
 
-TEST (EarlierLayoutsTest, CommandsWithoutStartsAreRead)
+TEST (EarlierLayoutsTest, ReadsCommandsWithoutStartTimes)
 {
     const auto add = decode<AddInstance> (kAddInstance);
     EXPECT_EQ (add.instance.address, "10.0.0.1:80");
--- a/src/cell/InstanceLoadMessages.h
+++ b/src/cell/InstanceLoadMessages.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /**
- * Messages by which routers share what they know of the load and the speed of registered runners:
- * a router reports to its controller, a controller that does not lead adds its routers up for the
- * leader, and the sum goes back to all routers. See docs/design/runner-loads.md.
+ * Messages by which routers share the load and the speed of registered runners. A router reports to
+ * its controller, a controller that does not lead sends the sum of its routers to the leader, and
+ * the leader sends the sum over all routers back to them. See docs/design/runner-loads.md.
  */
 
 #include <boost/serialization/string.hpp>
@@ -17,22 +17,24 @@
 namespace fernlift::cell
 {
 
-/** Speeds and slowdowns are told in percent of the usual. */
+/** Nominal value of speeds and slowdowns, which are percentages. */
 constexpr std::uint32_t kUsualPercent = 100;
-/** Speeds and slowdowns beyond these are no help to tell runners apart. */
+/** Bounds of speeds and slowdowns. Values beyond them do not help to distinguish runners. */
 constexpr std::uint32_t kLeastPercent = 10;
 constexpr std::uint32_t kMostPercent = 1000;
-/** A machine's slowdown says nothing any more after this time: what shares the machine with a
-   runner comes and goes within half a second or so.
+/** Time after which a reported slowdown is outdated. Other load on the machine of a runner changes
+   within about half a second.
 */
 constexpr base::Duration kSlowdownLife = base::milliseconds (600);
 
-/** What the sender, or the routers that it speaks for, have at one runner; absolute. */
+/** Requests that the sender, or the routers that it represents, have at one runner. Absolute
+   values, not differences.
+*/
 struct InstanceUse
 {
     std::string instance;
-    std::uint32_t inFlight = 0;      ///< Requests that are not answered whole.
-    std::uint64_t unreadTokens = 0;  ///< Of their prompts whose answer has not begun.
+    std::uint32_t inFlight = 0;      ///< Requests without a complete answer.
+    std::uint64_t unreadTokens = 0;  ///< Prompt tokens of the requests whose answer has not begun.
 
     bool operator== (const InstanceUse&) const = default;
     template <class Archive>
@@ -42,15 +44,15 @@
     }
 };
 
-/** Pauses between events of streams, since the last report. They tell how fast a runner works:
-   unlike the time to the first event they hold no wait in its queue.
+/** Intervals between events of streams since the last report. They measure the speed of a runner:
+   unlike the time to the first event, they do not include time in its queue.
 */
 struct InstancePace
 {
     std::string instance;
     std::string model;
     std::uint32_t pauses = 0;
-    /** Sum of the pauses, each divided by the slowdown that the runner stated last. */
+    /** Sum of the intervals, each divided by the slowdown that the runner reported last. */
     std::uint64_t microseconds = 0;
 
     bool operator== (const InstancePace&) const = default;
@@ -61,14 +63,14 @@
     }
 };
 
-/** How long work takes on the machine of a runner for the moment, as the runner stated: 100 is the
-    usual of its service. A runner that is always slower than others states so too.
+/** Current duration of work on the machine of a runner, as the runner reported it: 100 is nominal
+    for its service. A runner that is permanently slower than others reports that too.
 */
 struct InstanceSlowdown
 {
     std::string instance;
-    std::uint32_t percent = kUsualPercent;  ///< 250: two and a half times as long as usual.
-    std::int64_t ageMilliseconds = 0;       ///< Since the runner stated it.
+    std::uint32_t percent = kUsualPercent;  ///< 250: work takes 2.5 times its nominal duration.
+    std::int64_t ageMilliseconds = 0;       ///< Time since the runner reported it.
 
     bool operator== (const InstanceSlowdown&) const = default;
     template <class Archive>
@@ -78,7 +80,7 @@
     }
 };
 
-/** What changed since the sender's last report on the same connection. */
+/** Changes since the sender's last report on the same connection. */
 struct InstanceLoadReport
 {
     std::vector<InstanceUse> uses;
@@ -92,16 +94,16 @@
     }
 };
 
-/** What all routers together know of one runner. */
+/** Load and speed of one runner, over all routers. */
 struct InstanceLoad
 {
     std::string instance;
     std::uint32_t inFlight = 0;
     std::uint64_t unreadTokens = 0;
-    /** Work done in the same time apart from slow moments: 100 is the usual of its service. */
+    /** Work done per unit of time, temporary slowdowns excluded: 100 is nominal for its service. */
     std::uint32_t speedPercent = kUsualPercent;
-    /** How much longer work takes for the moment than is usual on this runner. Work that is usual
-        everywhere takes slowdownPercent / speedPercent times as long here.
+    /** Current duration of work relative to the typical duration on this runner. Relative to a
+        nominal runner, work takes slowdownPercent / speedPercent times as long.
     */
     std::uint32_t slowdownPercent = kUsualPercent;
     std::int64_t slowdownAgeMilliseconds = 0;
@@ -115,10 +117,12 @@
     }
 };
 
-/** Rows that changed; the first on a connection holds all that differ from an idle runner. */
+/** Rows that changed. The first update on a connection contains every row that differs from that of
+   an idle runner of nominal speed.
+*/
 struct InstanceLoadUpdate
 {
-    bool isWhole = false;  ///< Runners that it does not name are idle and of usual speed.
+    bool isWhole = false;  ///< Runners without a row are idle and of nominal speed.
     std::vector<InstanceLoad> loads;
 
     template <class Archive>
--- a/src/cell/InstanceRateMessages.h
+++ b/src/cell/InstanceRateMessages.h
@@ -1,13 +1,13 @@
 #pragma once
 
 /**
- * Messages by which all routers together keep to the rates that runners state in their answers. A
- * router reports what a runner stated; the leader tells all routers which runners are limited, and
- * grants permits for single requests to them. A controller that does not lead passes all of it on.
- * See docs/design/runner-rates.md.
+ * Messages for enforcing, over all routers together, the rate limits that runners state in their
+ * answers. A router reports the limit that a runner stated. The leader sends the table of limited
+ * runners to all routers and grants permits for single requests to them. Controllers that do not
+ * lead forward these messages. See docs/design/runner-rates.md.
  *
- * They go only to a peer that is known to read them: to a controller once it has sent an
- * InstanceRateUpdate, to a router or relay whose hello has the feature.
+ * The messages are sent only to peers that support them: to a controller that has sent an
+ * InstanceRateUpdate, and to a router or relay whose hello has the feature bit.
  */
 
 #include <boost/serialization/string.hpp>
@@ -23,20 +23,22 @@
 namespace fernlift::cell
 {
 
-/** A runner that gets no request states nothing, so that the end of its need would never be heard
-   of: one that states less gets a request in 10 s all the same.
+/** Lowest rate that is enforced. A runner reports the end of its limit only in an answer, so that a
+   runner without requests would stay limited forever. Runners that state a lower rate still receive
+   one request in 10 s.
 */
 constexpr double kLeastRatePerSecond = 0.1;
 
-/** What one answer of a runner told of its rate. */
+/** Rate limit stated, or not stated, in one answer of a runner. */
 struct InstanceRateStatement
 {
     std::string instance;
-    base::UnixMilliseconds startedAt = 0;  ///< Of the incarnation; 0: it does not tell.
+    base::UnixMilliseconds startedAt = 0;  ///< Start of the incarnation; 0: not stated.
     bool isLimited = false;                ///< False: the answer states no rate.
-    double perSecond = 0;                  ///< When limited.
-    /** Limited: since the answer came. Else: since its request was sent, so that it says nothing of
-        the time before.
+    double perSecond = 0;                  ///< Requests per second; set if isLimited.
+    /** If limited: time since the answer arrived. Otherwise: time since the request was sent,
+        because answers overtake one another: only the answer to a request that was sent after the
+        last answer with a limit shows that the limit has ended.
     */
     std::int64_t ageMilliseconds = 0;
 
@@ -59,13 +61,13 @@
     }
 };
 
-/** A runner that takes so many requests a second from all routers. */
+/** Rate limit of a runner, for the requests of all routers together. */
 struct InstanceRate
 {
     std::string instance;
     base::UnixMilliseconds startedAt = 0;
     double perSecond = 0;
-    std::int64_t ageMilliseconds = 0;  ///< Since an answer stated it last, as far as known.
+    std::int64_t ageMilliseconds = 0;  ///< Time since the last known answer that stated it.
 
     bool operator== (const InstanceRate&) const = default;
     template <class Archive>
@@ -75,13 +77,13 @@
     }
 };
 
-/** All limited runners. The first message on a connection, then whenever they change. */
+/** All limited runners. Sent first on a connection, and again after every change. */
 struct InstanceRateUpdate
 {
-    base::Term term = 0;        ///< Of the leader that the table comes from; 0: none yet.
-    std::uint64_t version = 0;  ///< Of the table; versions count within one term.
-    /** Whether the leader grants permits. One of an earlier version does not: each router then
-        keeps to its own share of a rate.
+    base::Term term = 0;        ///< Term of the leader that sent the table; 0: no table yet.
+    std::uint64_t version = 0;  ///< Version of the table; counted within one term.
+    /** Whether the leader grants permits. Leaders of earlier program versions do not; each router
+        then limits itself to its own share of a rate.
     */
     bool isGranting = true;
     std::vector<InstanceRate> limited;
@@ -93,7 +95,7 @@
     }
 };
 
-/** Asks for permits; the account of each claim is a runner, its units are requests. */
+/** Requests permits. The account of each claim is a runner, its units are requests. */
 struct InstancePermitRequest
 {
     QuotaRequest claims;
@@ -105,7 +107,7 @@
     }
 };
 
-/** Answer to the request of that sequence. */
+/** Answer to the InstancePermitRequest with the same sequence. */
 struct InstancePermitGrant
 {
     QuotaGrant grant;
--- a/src/cell/PlantedFault.h
+++ b/src/cell/PlantedFault.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Faults that tests switch on to show that their checks can fail. Production code never sets one.
+/// Faults that tests inject to show that their checks detect them. Production code never sets one.
 
 #include <cstdint>
 
@@ -10,13 +10,13 @@
 enum class PlantedFault : std::uint8_t
 {
     kNone,
-    kOrderWithoutFence,           ///< Orders carry the greatest fence instead of their decision's.
-    kReplicaReleasedOnSilence,    ///< A runner that stops answering is taken as gone.
-    kConfigurationByVersionOnly,  ///< Equal versions count as equal files.
-    kLeaseWithoutLeaderLease,     ///< Routers get leases from a controller that may be deposed.
-    kStaleRead,                   ///< Any controller answers reads of what is in force.
-    kMemoryCountedWhenReady,      ///< A replica reserves no memory before it is ready.
-    kClaimsNotSnapshotted,        ///< A snapshot holds no claims.
+    kOrderWithoutFence,  ///< Orders carry the greatest fence instead of the fence of the decision.
+    kReplicaReleasedOnSilence,    ///< Replicas of a runner that stops answering are released.
+    kConfigurationByVersionOnly,  ///< Files with equal versions are treated as equal.
+    kLeaseWithoutLeaderLease,  ///< Leases are granted by a controller that may have been deposed.
+    kStaleRead,                ///< Any controller answers reads of the configuration in force.
+    kMemoryCountedWhenReady,   ///< A replica reserves memory only once it is ready.
+    kClaimsNotSnapshotted,     ///< Snapshots omit the claims.
 };
 
 }  // namespace fernlift::cell
--- a/src/cell/QuarantineMessages.h
+++ b/src/cell/QuarantineMessages.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * Messages by which routers and controllers tell each other of requests under which runners ended.
- * See docs/design/quarantine.md.
+ * Messages by which routers and controllers exchange the requests that were running when a runner
+ * crashed. See docs/design/quarantine.md.
  */
 
 #include <boost/serialization/string.hpp>
@@ -16,14 +16,14 @@
 namespace fernlift::cell
 {
 
-/** A runner ended while a request was there, as the router saw it that had sent the request. */
+/** A runner crashed while it ran a request, as observed by the router that had sent the request. */
 struct RunnerEndReport
 {
     RequestIdentity request;
     std::string instance;  ///< Incarnation::name().
-    // Before the report was sent: clocks of processes are not compared.
-    std::int64_t sentAgoMilliseconds = 0;   ///< When the request went to the runner.
-    std::int64_t endedAgoMilliseconds = 0;  ///< When the runner's end was noticed.
+    // Times are relative to the sending of the report, because clocks of processes differ.
+    std::int64_t sentAgoMilliseconds = 0;   ///< Time since the request was sent to the runner.
+    std::int64_t endedAgoMilliseconds = 0;  ///< Time since the crash was detected.
 
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
@@ -32,13 +32,13 @@
     }
 };
 
-/** From a router; sent again until a SuspectUpdate shows that it was taken. Towards routers: what
-   the leader was told and the log takes long to agree on; acquittals are not in it.
+/** From a router: crashes and clearances, sent again until a SuspectUpdate contains them. To a
+   router: crashes that were reported to the leader but are slow to commit, without clearances.
 */
 struct SuspectReport
 {
     std::vector<RunnerEndReport> ends;
-    /** Digests of requests that a runner has answered whole: they end no runner. */
+    /** Digests of requests that a runner has answered completely, so that they are cleared. */
     std::vector<std::string> acquitted;
 
     template <class Archive>
@@ -48,12 +48,12 @@
     }
 };
 
-/** What routers know of one request. */
+/** Suspect as it is sent to routers. */
 struct SuspectRow
 {
     RequestIdentity request;
-    std::uint32_t ends = 0;              ///< Runners that ended under it one after the other.
-    std::vector<std::string> instances;  ///< Incarnations that ended under it, up to a bound.
+    std::uint32_t ends = 0;              ///< Consecutive runner crashes.
+    std::vector<std::string> instances;  ///< Incarnations that crashed, up to a bound.
 
     bool operator== (const SuspectRow&) const = default;
     template <class Archive>
@@ -63,13 +63,13 @@
     }
 };
 
-/** Change of the table of suspects; fromVersion 0 replaces it whole. */
+/** Change of the table of suspects; fromVersion 0 replaces the whole table. */
 struct SuspectUpdate
 {
     std::uint64_t fromVersion = 0;
-    std::uint64_t toVersion = 0;  ///< Rises over all controllers and leaders.
+    std::uint64_t toVersion = 0;  ///< Increases over all controllers and leaders.
     std::vector<SuspectRow> upserts;
-    std::vector<std::string> removals;  ///< Digests.
+    std::vector<std::string> removals;  ///< Digests of the removed suspects.
 
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
--- a/src/cell/QuarantineTable.cpp
+++ b/src/cell/QuarantineTable.cpp
@@ -15,20 +15,21 @@
                                        : QuarantineTable::kSuspectLifetime);
 }
 
-/// Whether the end at this place adds nothing to the successive ones.
-bool isSuperfluous (const Suspect& suspect, std::size_t position)
+/// Whether the crash at this position does not add to the consecutive crashes.
+bool isRedundantCrash (const Suspect& suspect, std::size_t position)
 {
     Suspect without = suspect;
     without.ends.erase (without.ends.begin() + static_cast<std::ptrdiff_t> (position));
-    return without.successiveEnds() == suspect.successiveEnds();
+    return without.consecutiveCrashes() == suspect.consecutiveCrashes();
 }
 
-/// Drops one end that does not count. Nothing when all do: the request is in quarantine then.
-void dropSuperfluous (Suspect& suspect)
+/// Removes one crash that does not count. Does nothing if all count, since the request is in
+/// quarantine then.
+void dropRedundantCrash (Suspect& suspect)
 {
     for (std::size_t position = 0; position < suspect.ends.size(); ++position)
     {
-        if (! isSuperfluous (suspect, position))
+        if (! isRedundantCrash (suspect, position))
             continue;
         suspect.ends.erase (suspect.ends.begin() + static_cast<std::ptrdiff_t> (position));
         return;
@@ -37,9 +38,10 @@
 
 }  // namespace
 
-std::uint32_t Suspect::successiveEnds() const
+std::uint32_t Suspect::consecutiveCrashes() const
 {
-    // The most stretches of time that do not overlap: always take the one that ends first.
+    // Interval scheduling: repeatedly choosing the interval that ends first gives the largest set
+    // of intervals that do not overlap.
     std::vector<RunnerEnd> byEnd = ends;
     std::ranges::sort (byEnd, {}, &RunnerEnd::endedAt);
     std::uint32_t count = 0;
@@ -80,10 +82,10 @@
     }
     Suspect& suspect = found->second;
     if (suspect.ends.size() >= kMostEnds)
-        dropSuperfluous (suspect);
+        dropRedundantCrash (suspect);
     if (suspect.ends.size() < kMostEnds)
         suspect.ends.push_back (end);
-    suspect.successive = suspect.successiveEnds();
+    suspect.successive = suspect.consecutiveCrashes();
     suspect.lastEndAt = std::max (suspect.lastEndAt, end.endedAt);
     suspect.changedAt = index;
     m_version = index;
--- a/src/cell/QuarantineTable.h
+++ b/src/cell/QuarantineTable.h
@@ -1,15 +1,14 @@
 #pragma once
 
 /**
- * Requests under which runners ended, as the cell has agreed on them.
+ * Replicated table of the requests that were running when runners crashed.
  *
- * A runner that ends takes down all the requests that it runs, so that each of them is a suspect.
- * The one that ended it shows by ending the next runner too. A request under which
- * kEndsBeforeQuarantine runners ended one after the other is in quarantine: it is passed on to no
- * runner.
+ * A crash of a runner interrupts all requests that it runs, so that each of them is a suspect. The
+ * request that caused the crash also crashes the next runner. A request with kEndsBeforeQuarantine
+ * consecutive runner crashes is in quarantine: it is not forwarded to any runner.
  *
- * Only ends that follow one another count. Runners that end at the same time, as those of a lost
- * rack do, are one end for a request of which copies ran at several of them.
+ * Only consecutive crashes count. Runners that crash at the same time, such as those of a lost
+ * rack, count as one crash for a request of which copies ran on several of them.
  */
 
 #include <boost/serialization/map.hpp>
@@ -29,24 +28,25 @@
 namespace fernlift::cell
 {
 
-/** With two, a request that was at a crashed runner and, when sent again, at another one that
-   crashed for reasons of its own would be refused.
+/** Consecutive crashes that lead to quarantine. With two, a harmless request would be refused if it
+   ran on a crashed runner and, when sent again, on another one that crashed for its own reasons.
 */
 constexpr std::uint32_t kEndsBeforeQuarantine = 3;
 
-/** Routers are told of a request from so many ends on. All requests of a runner that ends have one,
-    and hardly any of them a second: at 300 routers and 3,000 runners, telling them all of each took
-   the controllers' time and the links between regions, and 56 in 100 requests were refused.
+/** Consecutive crashes from which a suspect is sent to routers. All requests of a crashed runner
+   have one crash, and hardly any of them a second. With 300 routers and 3,000 runners, sending all
+   of these suspects to all routers overloaded the controllers and the links between regions, and
+   56 % of the requests were refused.
 */
 constexpr std::uint32_t kEndsBeforeSharing = 2;
 
-/** A runner that ended while a request was there, in time of the cell. */
+/** Crash of a runner while it ran a request. Times are times of the cell. */
 struct RunnerEnd
 {
     RequestIdentity request;
     std::string instance;
-    base::UnixMilliseconds sentAt = 0;   ///< When the request went to the runner.
-    base::UnixMilliseconds endedAt = 0;  ///< Never before sentAt.
+    base::UnixMilliseconds sentAt = 0;   ///< Time at which the request was sent to the runner.
+    base::UnixMilliseconds endedAt = 0;  ///< Time of the crash; never before sentAt.
 
     bool operator== (const RunnerEnd&) const = default;
     template <class Archive>
@@ -56,20 +56,20 @@
     }
 };
 
-/** A request under which runners ended. */
+/** A request that was running when runners crashed. */
 struct Suspect
 {
     RequestIdentity request;
-    /** In the order in which they became known, one of each instance; at most kMostEnds. */
+    /** Crashes in the order in which they were reported, one per instance; at most kMostEnds. */
     std::vector<RunnerEnd> ends;
     base::UnixMilliseconds lastEndAt = 0;
     base::LogIndex changedAt = 0;
-    std::uint32_t successive = 0;  ///< successiveEnds() of the ends held.
+    std::uint32_t successive = 0;  ///< Stored result of consecutiveCrashes().
 
-    /** Most ends of which each began after the one before: the order in which they became known
-       does not matter.
+    /** Largest number of crashes of which each began (the request was sent) after the previous one.
+       Independent of the order in which they were reported.
     */
-    [[nodiscard]] std::uint32_t successiveEnds() const;
+    [[nodiscard]] std::uint32_t consecutiveCrashes() const;
     [[nodiscard]] bool isInQuarantine() const { return successive >= kEndsBeforeQuarantine; }
     [[nodiscard]] bool isShared() const { return successive >= kEndsBeforeSharing; }
     [[nodiscard]] SuspectRow row() const;
@@ -83,37 +83,44 @@
     }
 };
 
-/** Deterministic: no clock, no randomness. Threading: none; owned by one CellState. */
+/** Deterministic: uses no clock and no randomness. Not thread-safe; owned by one CellState. */
 class QuarantineTable
 {
 public:
-    /** More suspects than these are not kept: of those with the fewest ends the oldest make way. A
-        row takes some 300 bytes, so that the table stays under 1.3 MB at controllers and routers.
+    /** Maximum number of suspects. When the table is full, the oldest of those with the fewest
+        crashes is evicted. A row takes about 300 bytes, so that the table stays below 1.3 MB at
+        controllers and routers.
     */
     static constexpr std::size_t kMostSuspects = 4096;
     static constexpr std::size_t kMostEnds = 8;
-    /** After the last end. Repeats of a request that ends runners came after 0.2 to 2.9 s. */
+    /** Lifetime in milliseconds after the last crash. Requests that crash runners were repeated
+       after 0.2 to 2.9 s.
+    */
     static constexpr base::UnixMilliseconds kSuspectLifetime = 600'000;
-    /** The same in quarantine: once it is over the request may end three runners more. */
+    /** Lifetime in milliseconds of a suspect in quarantine. After it, the request may crash three
+       more runners.
+    */
     static constexpr base::UnixMilliseconds kQuarantineLifetime = 3'600'000;
 
-    /** Notes an end; false when it was known. `index` must not be below earlier ones. */
+    /** Records a crash; returns false if it was known. `index` must not decrease between calls. */
     bool note (base::LogIndex index, const RunnerEnd& end);
-    /** Forgets a request; false when it was unknown. */
+    /** Removes a request; returns false if it was unknown. */
     bool release (base::LogIndex index, const std::string& digest);
-    /** Forgets all. */
+    /** Removes all requests; returns false if there was none. */
     bool releaseAll (base::LogIndex index);
-    /** Forgets those whose lifetime is over at `time`. */
+    /** Removes the suspects whose lifetime has ended at `time`; returns whether there were any. */
     bool expire (base::LogIndex index, base::UnixMilliseconds time);
 
     [[nodiscard]] const Suspect* find (const std::string& digest) const;
-    /** By digest. */
+    /** All suspects by digest. */
     [[nodiscard]] const std::map<std::string, Suspect>& all() const { return m_suspects; }
     /** Log index of the last change; 0: never changed. */
     [[nodiscard]] base::LogIndex version() const { return m_version; }
-    /** What changed of shared suspects since a version; all of them when that is not known. */
+    /** Changes of shared suspects since `version`, or all shared suspects if the changes since then
+       are not known.
+    */
     [[nodiscard]] SuspectUpdate updateSince (base::LogIndex version) const;
-    /** Whether a lifetime is over at `time`. */
+    /** Whether the lifetime of any suspect has ended at `time`. */
     [[nodiscard]] bool hasExpired (base::UnixMilliseconds time) const;
 
     template <class Archive>
@@ -133,10 +140,10 @@
 
     std::map<std::string, Suspect> m_suspects;
     base::LogIndex m_version = 0;
-    // Not stored: routers of a restarted member get the whole table.
+    // Not stored: after a restart of the member its routers receive the whole table.
     std::map<std::string, base::LogIndex>
-        m_removedAt;  ///< Of shared ones; never more than kMostSuspects.
-    /** Removals are known since this version. Of a restored table that is its own version. */
+        m_removedAt;  ///< Removals of shared suspects; at most kMostSuspects.
+    /** Version since which all removals are known; for a restored table, its own version. */
     base::LogIndex m_removalsKnownSince = 0;
 };
 
--- a/src/cell/QuarantineTableTest.cpp
+++ b/src/cell/QuarantineTableTest.cpp
@@ -1,4 +1,4 @@
-// Requests under which runners ended, as the cell has agreed on them.
+// Tests counting, expiry, eviction and updates of requests that were running when runners crashed.
 
 #include <gtest/gtest.h>
 
@@ -19,7 +19,7 @@
     return { { 1, request }, instance, sentAt, endedAt };
 }
 
-TEST (QuarantineTableTest, ThreeEndsOneAfterTheOtherLeadToQuarantine)
+TEST (QuarantineTableTest, ThreeConsecutiveCrashesLeadToQuarantine)
 {
     QuarantineTable table;
     EXPECT_TRUE (table.note (1, endOf ("r", "a", 0, 50)));
@@ -29,24 +29,24 @@
     EXPECT_TRUE (table.find ("r")->isInQuarantine());
 }
 
-TEST (QuarantineTableTest, RunnersThatEndTogetherAreOneEnd)
+TEST (QuarantineTableTest, SimultaneousCrashesCountAsOne)
 {
     QuarantineTable table;
     for (int copy = 0; copy < 6; ++copy)
         table.note (1, endOf ("r", "rack" + std::to_string (copy), copy, 100));
-    EXPECT_EQ (table.find ("r")->successiveEnds(), 1);
+    EXPECT_EQ (table.find ("r")->consecutiveCrashes(), 1);
 }
 
-TEST (QuarantineTableTest, OneEndThatIsReportedTwiceCountsOnce)
+TEST (QuarantineTableTest, ACrashReportedTwiceCountsOnce)
 {
     QuarantineTable table;
     EXPECT_TRUE (table.note (1, endOf ("r", "a", 0, 50)));
     EXPECT_FALSE (table.note (2, endOf ("r", "a", 60, 110)));
-    EXPECT_EQ (table.find ("r")->successiveEnds(), 1);
+    EXPECT_EQ (table.find ("r")->consecutiveCrashes(), 1);
     EXPECT_EQ (table.version(), 1);
 }
 
-TEST (QuarantineTableTest, TheOrderInWhichEndsBecomeKnownDoesNotMatter)
+TEST (QuarantineTableTest, OrderOfReportsDoesNotMatter)
 {
     std::vector<RunnerEnd> ends{ endOf ("r", "a", 0, 50), endOf ("r", "b", 10, 60),
                                  endOf ("r", "c", 55, 90), endOf ("r", "d", 95, 120) };
@@ -57,11 +57,11 @@
         QuarantineTable table;
         for (const RunnerEnd& end : ends)
             table.note (1, end);
-        EXPECT_EQ (table.find ("r")->successiveEnds(), 3);
+        EXPECT_EQ (table.find ("r")->consecutiveCrashes(), 3);
     }
 }
 
-TEST (QuarantineTableTest, ManyEndsAtOnceLeaveRoomForThoseThatFollow)
+TEST (QuarantineTableTest, ManySimultaneousCrashesDoNotDisplaceLaterOnes)
 {
     QuarantineTable table;
     for (int copy = 0; copy < 20; ++copy)
@@ -72,7 +72,7 @@
     EXPECT_LE (table.find ("r")->ends.size(), QuarantineTable::kMostEnds);
 }
 
-TEST (QuarantineTableTest, AReleasedRequestBeginsAnew)
+TEST (QuarantineTableTest, AReleasedRequestStartsWithoutCrashes)
 {
     QuarantineTable table;
     table.note (1, endOf ("r", "a", 0, 50));
@@ -80,10 +80,10 @@
     EXPECT_FALSE (table.release (3, "r"));
     EXPECT_EQ (table.find ("r"), nullptr);
     table.note (4, endOf ("r", "b", 60, 110));
-    EXPECT_EQ (table.find ("r")->successiveEnds(), 1);
+    EXPECT_EQ (table.find ("r")->consecutiveCrashes(), 1);
 }
 
-TEST (QuarantineTableTest, SuspectsAreForgottenSoonerThanThoseInQuarantine)
+TEST (QuarantineTableTest, SuspectsExpireSoonerThanRequestsInQuarantine)
 {
     QuarantineTable table;
     table.note (1, endOf ("once", "a", 0, 50));
@@ -97,7 +97,7 @@
     EXPECT_TRUE (table.all().empty());
 }
 
-TEST (QuarantineTableTest, AFullTableForgetsTheOldestWithTheFewestEnds)
+TEST (QuarantineTableTest, AFullTableEvictsTheOldestWithTheFewestCrashes)
 {
     QuarantineTable table;
     for (int end = 0; end < 3; ++end)
@@ -110,7 +110,7 @@
     EXPECT_EQ (table.find ("s0"), nullptr);
 }
 
-TEST (QuarantineTableTest, AnUpdateHoldsWhatChangedSinceAVersion)
+TEST (QuarantineTableTest, AnUpdateContainsTheChangesSinceAVersion)
 {
     QuarantineTable table;
     table.note (4, endOf ("r", "a", 0, 50));
@@ -130,7 +130,7 @@
     EXPECT_EQ (change.removals, std::vector<std::string>{ "r" });
 }
 
-TEST (QuarantineTableTest, RequestsWithOneEndAreNotToldToAllRouters)
+TEST (QuarantineTableTest, RequestsWithOneCrashAreNotSentToRouters)
 {
     QuarantineTable table;
     table.note (5, endOf ("r", "a", 0, 50));
@@ -140,7 +140,7 @@
     EXPECT_EQ (table.version(), 6);
 }
 
-TEST (QuarantineTableTest, ARestoredTableTellsTheWholeToRoutersThatHoldAnEarlierOne)
+TEST (QuarantineTableTest, ARestoredTableIsSentWholeToRoutersWithAnEarlierVersion)
 {
     QuarantineTable table;
     table.note (4, endOf ("r", "a", 0, 50));
@@ -152,7 +152,8 @@
     auto restored = wire::decodeValue<QuarantineTable> (wire::encodeValue (table));
     ASSERT_TRUE (restored);
     EXPECT_EQ (restored.value().version(), 7);
-    EXPECT_EQ (restored.value().updateSince (6).fromVersion, 0) << "removals before are not known";
+    EXPECT_EQ (restored.value().updateSince (6).fromVersion, 0)
+        << "removals before the restored version are not known";
 }
 
 }  // namespace
--- a/src/cell/QuotaMessages.h
+++ b/src/cell/QuotaMessages.h
@@ -1,8 +1,9 @@
 #pragma once
 
 /**
- * Messages by which routers draw on the quotas of tenants: a router asks its controller, a
- * controller that does not lead asks the leader. See docs/design/quotas.md.
+ * Messages by which routers request units of the quotas of tenants. A router sends its request to
+ * its controller; a controller that does not lead requests the units from the leader. See
+ * docs/design/quotas.md.
  */
 
 #include <boost/serialization/string.hpp>
@@ -14,11 +15,11 @@
 namespace fernlift::cell
 {
 
-/** Units of one limit that are asked for. */
+/** Units requested from one limit. */
 struct QuotaNeed
 {
-    std::string account;                ///< Tenant, or what else has a limit.
-    std::vector<std::uint64_t> claims;  ///< Units of each request that waits, the oldest first.
+    std::string account;                ///< Tenant, or another holder of a limit.
+    std::vector<std::uint64_t> claims;  ///< Units of each waiting request, oldest first.
 
     bool operator== (const QuotaNeed&) const = default;
     template <class Archive>
@@ -30,7 +31,7 @@
 
 struct QuotaRequest
 {
-    std::uint64_t sequence = 0;  ///< Of the sender, on this connection.
+    std::uint64_t sequence = 0;  ///< Sequence number of the sender on this connection.
     std::vector<QuotaNeed> needs;
 
     template <class Archive>
@@ -40,14 +41,15 @@
     }
 };
 
-/** Units that the receiver may use, and nobody else. */
+/** Units for the exclusive use of the receiver. */
 struct QuotaAllowance
 {
     std::string account;
-    std::uint64_t units = 0;  ///< Of all claims that are granted; each is whole or not at all.
-    /// They may be used until this long after the request was SENT; then they are lost.
+    std::uint64_t units = 0;  ///< Sum of the granted claims; no claim is granted in part.
+    /// Time after the request was SENT at which unused units expire.
     std::int64_t lifetimeMilliseconds = 0;
-    /// When not all claims could be granted: until the others can be, if nobody comes before.
+    /// If not all claims were granted: estimated time until the others can be granted, assuming no
+    /// competing requests.
     std::int64_t waitMilliseconds = 0;
 
     bool operator== (const QuotaAllowance&) const = default;
@@ -58,7 +60,8 @@
     }
 };
 
-/** Answer to the request of that sequence: one allowance for each need, also of 0 units. */
+/** Answer to the QuotaRequest with the same sequence: one allowance per need, possibly of 0 units.
+ */
 struct QuotaGrant
 {
     std::uint64_t sequence = 0;
--- a/src/cell/ReleasedMessagesTest.cpp
+++ b/src/cell/ReleasedMessagesTest.cpp
@@ -1,11 +1,11 @@
 /**
- * Messages keep the bytes that the last release gave them, so that processes of both versions
- * understand each other while the machines of a cell are upgraded one after the other. The bytes
- * were written by the released code.
+ * Tests that the encoding of messages is compatible with the last release, so that both versions
+ * can communicate during a rolling upgrade of a cell. The expected bytes were written by the
+ * released code.
  *
- * A test that fails here means that a cell could not be upgraded without a stop. What is new goes
- * into a message of its own, to peers that say they read it, or behind the last field of one
- * (wire/OptionalTail.h).
+ * A failure means that a cell cannot be upgraded without downtime. New data must go into a new
+ * message, which is sent only to peers that announce support for it, or behind the last field of an
+ * existing message (wire/OptionalTail.h).
  */
 
 #include <gtest/gtest.h>
@@ -193,7 +193,7 @@
     for (std::size_t each = 0; each < kCount; ++each)
     {
         EXPECT_EQ (samples[each].first, released[each].name);
-        // Fields that came later stand behind the others.
+        // Fields that were added later are appended to the released ones.
         EXPECT_TRUE (hexOf (samples[each].second).starts_with (released[each].hex))
             << released[each].name << " is now " << hexOf (samples[each].second);
     }
@@ -214,13 +214,14 @@
     expectReleasedBytes (samplesBetweenMembers(), kBetweenMembers);
 }
 
-/// Members of both versions apply them, and one that is rolled back reads its log again.
+/// Members of both versions apply the same commands, and a member that is rolled back to the last
+/// release reads its log again.
 TEST (ReleasedMessagesTest, CommandsOfTheLogKeepTheirBytes)
 {
     expectReleasedBytes (samplesOfCommands(), kCommands);
 }
 
-/// A member that is rolled back reads its snapshot again.
+/// A member that is rolled back to the last release reads its snapshot again.
 TEST (ReleasedMessagesTest, SnapshotsKeepTheirBytes)
 {
     const std::string snapshot = sampleSnapshot();
@@ -237,21 +238,21 @@
     EXPECT_EQ (state.encode(), snapshot);
 }
 
-TEST (ReleasedMessagesTest, OnlyTheGreetingHasGrown)
+TEST (ReleasedMessagesTest, OnlyRouterHelloHasNewFields)
 {
-    const auto expectOneGrown = [] (const auto& samples, const auto& released)
+    const auto expectOnlyHelloGrown = [] (const auto& samples, const auto& released)
     {
         for (std::size_t each = 0; each < samples.size(); ++each)
         {
-            const bool isGreeting = samples[each].first == "RouterHello";
-            EXPECT_EQ (hexOf (samples[each].second).size() > released[each].hex.size(), isGreeting)
+            const bool isHello = samples[each].first == "RouterHello";
+            EXPECT_EQ (hexOf (samples[each].second).size() > released[each].hex.size(), isHello)
                 << samples[each].first;
         }
     };
-    expectOneGrown (samplesFromRouters(), kFromRouters);
-    expectOneGrown (samplesToRouters(), kToRouters);
-    expectOneGrown (samplesBetweenMembers(), kBetweenMembers);
-    expectOneGrown (samplesOfCommands(), kCommands);
+    expectOnlyHelloGrown (samplesFromRouters(), kFromRouters);
+    expectOnlyHelloGrown (samplesToRouters(), kToRouters);
+    expectOnlyHelloGrown (samplesBetweenMembers(), kBetweenMembers);
+    expectOnlyHelloGrown (samplesOfCommands(), kCommands);
 }
 
 }  // namespace
--- a/src/cell/ReleasedMessagesTestSupport.h
+++ b/src/cell/ReleasedMessagesTestSupport.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Tests: one message and command of each kind that released versions know, with an element in each
-/// list so that the layout of what it holds shows too.
+/// Test support: one sample of each message and command that the last release knows. Each list has
+/// an element, so that the layout of the elements is checked, too.
 
 #include <string>
 #include <utility>
@@ -175,7 +175,7 @@
     };
 }
 
-/// A snapshot of a state with instances: one that drains, and one that has left.
+/// Returns a snapshot of a state with a draining instance and a deregistered one.
 inline std::string sampleSnapshot()
 {
     CellState state;
--- a/src/cell/ReplicaTable.cpp
+++ b/src/cell/ReplicaTable.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::size_t kFormerIncarnationsKept = 16;
+constexpr std::size_t kMaxFormerIncarnations = 16;
 
 bool isFormer (const Runner& runner, base::Incarnation incarnation)
 {
@@ -16,10 +16,10 @@
     return std::find (former.begin(), former.end(), incarnation) != former.end();
 }
 
-void rememberFormer (Runner& runner)
+void addFormerIncarnation (Runner& runner)
 {
     runner.formerIncarnations.push_back (runner.incarnation);
-    if (runner.formerIncarnations.size() > kFormerIncarnationsKept)
+    if (runner.formerIncarnations.size() > kMaxFormerIncarnations)
     {
         runner.formerIncarnations.erase (runner.formerIncarnations.begin());
     }
@@ -63,7 +63,7 @@
             return "granted";
         case UnloadRefusal::kUnknownReplica:
             return "unknown_replica";
-        case UnloadRefusal::kAdaptersRide:
+        case UnloadRefusal::kHasAdapters:
             return "adapters_ride";
     }
     return "unknown";
@@ -85,7 +85,7 @@
     if (runner.incarnation != command.incarnation)
     {
         eraseAllOn (command.machine.runner, released);
-        rememberFormer (runner);
+        addFormerIncarnation (runner);
         runner.incarnation = command.incarnation;
         runner.isLeaving = command.isLeaving;
     }
@@ -123,7 +123,7 @@
     if (refusal == LoadRefusal::kNone)
         refusal = checkRunner (command, *catalogue);
     if (refusal == LoadRefusal::kNone)
-        refusal = checkRoom (command, requirement);
+        refusal = checkCapacity (command, requirement);
     if (refusal != LoadRefusal::kNone)
         return refusal;
     Replica replica;
@@ -184,8 +184,8 @@
     return LoadRefusal::kNone;
 }
 
-LoadRefusal ReplicaTable::checkRoom (const DecideLoad& command,
-                                     const Requirement& requirement) const
+LoadRefusal ReplicaTable::checkCapacity (const DecideLoad& command,
+                                         const Requirement& requirement) const
 {
     const std::string& target =
         command.adapter.empty() ? command.model.value : command.adapter.value;
@@ -194,7 +194,7 @@
         return LoadRefusal::kReplicaBound;
     }
     const engine::Megabytes total = findRunner (command.runner)->machine.memory;
-    const engine::Megabytes reserved = memoryInTheWay (command.runner);
+    const engine::Megabytes reserved = unavailableMemory (command.runner);
     if (reserved > total || requirement.memory > total - reserved)
         return LoadRefusal::kMemory;
     return LoadRefusal::kNone;
@@ -206,7 +206,7 @@
     if (found == m_replicas.end())
         return UnloadRefusal::kUnknownReplica;
     if (hasAdapters (replica))
-        return UnloadRefusal::kAdaptersRide;
+        return UnloadRefusal::kHasAdapters;
     found->second.stage = ReplicaStage::kUnloading;
     found->second.fence = index;
     return UnloadRefusal::kNone;
@@ -262,7 +262,7 @@
     return found == m_uses.end() ? 0 : found->second.reserved;
 }
 
-engine::Megabytes ReplicaTable::memoryInTheWay (const base::RunnerId& runner) const
+engine::Megabytes ReplicaTable::unavailableMemory (const base::RunnerId& runner) const
 {
     if (m_fault != PlantedFault::kMemoryCountedWhenReady)
         return reservedMemory (runner);
--- a/src/cell/ReplicaTableTest.cpp
+++ b/src/cell/ReplicaTableTest.cpp
@@ -12,7 +12,7 @@
 using test::kRunnerMemory;
 using test::kStart;
 
-/// Version 6 is the catalogue without any change.
+/// Version 6 selects the unmodified test catalogue.
 constexpr std::uint64_t kPlainVersion = 6;
 constexpr std::size_t kSequences = 1000;
 constexpr std::size_t kCommands = 400;
@@ -65,7 +65,7 @@
     RC_ASSERT (test::runCommands (state, words) == "");
 }
 
-/// First violation in many random sequences, empty when there is none.
+/// Returns the first violation in many random command sequences, or an empty string.
 std::string violationWith (PlantedFault fault)
 {
     base::Random random (20261202);
@@ -89,7 +89,7 @@
     EXPECT_NE (violationWith (PlantedFault::kMemoryCountedWhenReady), "");
 }
 
-TEST_F (ReplicaTableTest, LoadAndUnloadCountAtTheirWorst)
+TEST_F (ReplicaTableTest, LoadingAndUnloadingReplicasCountFully)
 {
     EXPECT_EQ (load ("r1", "a"), LoadRefusal::kNone);
     const base::ReplicaId first = m_index;
@@ -128,9 +128,9 @@
     EXPECT_EQ (load ("r1", "a", "x", base), LoadRefusal::kNone);
     const base::ReplicaId adapter = m_index;
     EXPECT_EQ (reserved ("r1"), 500U);
-    EXPECT_EQ (unload (base), UnloadRefusal::kAdaptersRide);
+    EXPECT_EQ (unload (base), UnloadRefusal::kHasAdapters);
     unload (adapter);
-    EXPECT_EQ (unload (base), UnloadRefusal::kAdaptersRide);
+    EXPECT_EQ (unload (base), UnloadRefusal::kHasAdapters);
     release (adapter);
     EXPECT_EQ (unload (base), UnloadRefusal::kNone);
     EXPECT_EQ (load ("r1", "a", "x", base), LoadRefusal::kBaseNotReady);
@@ -144,7 +144,7 @@
     EXPECT_EQ (m_state.replicas().findReplica (lost), nullptr);
     EXPECT_EQ (reserved ("r1"), 0U);
     EXPECT_EQ (load ("r1", "a"), LoadRefusal::kWrongIncarnation);
-    // A late sign of the former incarnation changes nothing.
+    // A delayed observation of the former incarnation changes nothing.
     ASSERT_EQ (load ("r1", "a", "", 0, 2), LoadRefusal::kNone);
     const base::ReplicaId present = m_index;
     EXPECT_FALSE (std::get<ChangeResult> (apply (test::observationOf ("r1", 1, kStart))).changed);
--- a/src/cell/RequestIdentity.h
+++ b/src/cell/RequestIdentity.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /**
- * Identity of a request as far as its work goes: the same for every repeat of it by its caller, at
- * whatever router.
+ * Identity of the work of a request: the same for every repetition of the request by its caller, at
+ * any router.
  */
 
 #include <boost/serialization/string.hpp>
@@ -14,16 +14,16 @@
 
 struct RequestIdentity
 {
-    /** Cheap to compute, and the same for equal requests: tells whether the digest is worth
-        computing.
+    /** Fingerprint that is cheap to compute and equal for equal requests. The digest is computed
+        only if the fingerprint matches.
     */
     std::uint64_t outline = 0;
     /** 32 hexadecimal digits of a SHA-256 over the caller, the method, the host, the target and the
-        body: nobody can make a request that is taken for another caller's.
+        body. Being cryptographic, it cannot be forged to match the request of another caller.
     */
     std::string digest;
 
-    // clang-tidy 14 takes the zero of a defaulted comparison for a pointer.
+    // clang-tidy 14 mistakes the zero of a defaulted comparison for a null pointer.
     auto operator<=> (const RequestIdentity&) const = default;  // NOLINT(modernize-use-nullptr)
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
--- a/src/cell/RouterMessages.h
+++ b/src/cell/RouterMessages.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Messages between a router and the leader of its cell.
+/// Messages between a router and the leader of its cell. A controller that does not lead may act as
+/// a relay: it serves routers on behalf of the leader, to which it sends the same messages.
 
 #include <boost/serialization/string.hpp>
 #include <boost/serialization/vector.hpp>
@@ -22,12 +23,12 @@
 namespace fernlift::cell
 {
 
-/// What a router or relay reads beyond the messages that all versions know; bits.
+/// Bits for the messages that a router or relay supports beyond those known to all versions.
 enum RouterFeature : std::uint32_t
 {
     kReadsInstanceRates = 1U << 0U,  ///< InstanceRateUpdate and InstancePermitGrant.
-    /// A relay that knows which of its routers can go on with their table of instances when another
-    /// leader goes on with it.
+    /// The relay tracks which of its routers may keep their table of instances when a new leader
+    /// continues that table.
     kFollowsTableOfNextLeader = 1U << 1U,
 };
 
@@ -38,18 +39,19 @@
     base::CellId cell;
     base::ZoneName zone;
     std::string address;                     ///< "ip:port" of its HTTP interface.
-    std::uint64_t configurationVersion = 0;  ///< 0: none yet.
+    std::uint64_t configurationVersion = 0;  ///< 0: no configuration yet.
     std::string configurationDigest;
-    base::Term replicaTableTerm = 0;        ///< Of the leader that sent the replica table held.
+    base::Term replicaTableTerm = 0;  ///< Term of the leader that sent the replica table held.
     std::uint64_t replicaTableVersion = 0;  ///< 0: no table is held.
-    /// It serves without a lease and may begin with what a controller that does not lead last knew.
+    /// The router serves without a lease and may start with the last known state of a controller
+    /// that does not lead.
     bool acceptsLastKnownState = false;
-    /// A controller that serves routers on behalf of the leader, not a router. `router` then names
-    /// one life of its process: leases that an earlier life granted go on without it.
+    /// The sender is a relay, not a router. `router` then identifies one run of its process: leases
+    /// granted by an earlier run stay valid without it.
     bool isRelay = false;
-    base::Term instanceTerm = 0;        ///< Of the leader that sent the table of instances held.
-    std::uint64_t instanceVersion = 0;  ///< 0: no table of instances is held.
-    std::uint32_t features = 0;         ///< Of RouterFeature; 0 from versions without it.
+    base::Term instanceTerm = 0;        ///< Term of the leader that sent the instance table held.
+    std::uint64_t instanceVersion = 0;  ///< 0: no instance table is held.
+    std::uint32_t features = 0;         ///< Bits of RouterFeature; 0 from versions without it.
 
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
@@ -61,22 +63,22 @@
     }
 };
 
-/// Asks for a lease on the configuration; sent every third of the lease's length.
+/// Requests a lease on the configuration. Sent every third of the lease duration.
 struct LeaseRequest
 {
     std::uint64_t sequence = 0;
-    std::uint64_t configurationVersion = 0;  ///< In force at the router.
+    std::uint64_t configurationVersion = 0;  ///< Version in force at the router.
     std::string configurationDigest;
     std::uint64_t replicaTableVersion = 0;  ///< Last ReplicaUpdate applied.
-    /// A change came that does not fit the configuration in force.
+    /// The router received a difference to another configuration than the one in force.
     bool needsWholeConfiguration = false;
-    base::Term instanceTerm = 0;        ///< Of the leader that sent the table of instances held.
+    base::Term instanceTerm = 0;        ///< Term of the leader that sent the instance table held.
     std::uint64_t instanceVersion = 0;  ///< Last InstanceUpdate applied.
-    // Of a relay, whose other fields state the least that any of its routers may serve by:
-    /// Table of instances that it holds, and without which it renews no router's lease where the
-    /// leader requires it.
+    // From a relay only; its other fields state the minimum over its routers.
+    /// Version of the instance table that the relay holds. Where the leader requires a version, the
+    /// relay renews no lease of a router without it.
     std::uint64_t heldInstanceVersion = 0;
-    std::uint32_t routers = 0;  ///< That it serves.
+    std::uint32_t routers = 0;  ///< Number of routers that the relay serves.
 
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
@@ -86,16 +88,17 @@
     }
 };
 
-/// Requests that wait at one router for one model, adapter included; absolute, not a difference.
+/// Requests at one router for one model or adapter. Absolute values, not differences.
 struct Demand
 {
     std::string target;  ///< Model or adapter name.
     std::uint32_t waiting = 0;
     std::uint32_t running = 0;
-    int mostUrgent = 9;          ///< Smallest urgency among the waiting.
-    std::uint32_t arrivals = 0;  ///< Since the router's previous report of this target.
+    int mostUrgent = 9;          ///< Smallest urgency value of the waiting requests.
+    std::uint32_t arrivals = 0;  ///< Arrivals since the router's previous report of this target.
     std::int64_t oldestWaitMilliseconds = 0;
-    std::int64_t nearestDeadlineMilliseconds = 0;  ///< From now; of the waiting.
+    std::int64_t nearestDeadlineMilliseconds =
+        0;  ///< Time left to the nearest deadline of the waiting requests.
 
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
@@ -105,9 +108,9 @@
     }
 };
 
-/// Sent at once when the first request waits for a target without a ready replica, and then at a
-/// steady interval. Holds the targets whose demand has changed much since they were last reported,
-/// those for which requests wait, and now and then the others.
+/// Sent immediately when the first request waits for a target without a ready replica, and then at
+/// a fixed interval. Contains the targets whose demand has changed significantly since their last
+/// report, those for which requests wait, and from time to time the others.
 struct DemandReport
 {
     std::vector<Demand> demands;
@@ -119,7 +122,7 @@
     }
 };
 
-/// Asks to commit claims; answered by ClaimReply with the same sequence.
+/// Requests that claims are committed. Answered by a ClaimReply with the same sequence.
 struct ClaimRequest
 {
     std::uint64_t sequence = 0;
@@ -143,7 +146,7 @@
     }
 };
 
-/// A router saw a sign that a runner is leaving (in an answer of the runner itself).
+/// A router received an answer in which a runner announced that it is leaving.
 struct RunnerLeavingSeen
 {
     base::RunnerId runner;
@@ -156,17 +159,17 @@
     }
 };
 
-/// Forwarded requests for one model (and adapter) of a service at one router.
+/// Requests at one router for one model or adapter of a service.
 struct EngineDemand
 {
     std::string service;
     std::string model;
-    std::string adapter;             ///< Empty: the model itself.
-    std::uint32_t waiting = 0;       ///< For a runner that holds it.
-    std::uint32_t running = 0;       ///< At runners.
-    std::uint32_t arrivals = 0;      ///< Since the router's previous report.
-    std::uint32_t unread = 0;        ///< Of the running, whose answer has not begun.
-    std::uint64_t promptTokens = 0;  ///< Of the arrivals.
+    std::string adapter;             ///< Empty: the base model.
+    std::uint32_t waiting = 0;       ///< Requests that wait for a runner that holds the model.
+    std::uint32_t running = 0;       ///< Requests at runners.
+    std::uint32_t arrivals = 0;      ///< Arrivals since the router's previous report.
+    std::uint32_t unread = 0;        ///< Running requests whose answer has not begun.
+    std::uint64_t promptTokens = 0;  ///< Prompt tokens of the arrivals.
 
     bool operator== (const EngineDemand&) const = default;
     template <class Archive>
@@ -176,7 +179,7 @@
     }
 };
 
-/// Sent at once when a request begins to wait, and at a steady interval while there is demand.
+/// Sent immediately when a request starts to wait, and at a fixed interval while there is demand.
 struct EngineDemandReport
 {
     std::vector<EngineDemand> demands;
@@ -188,7 +191,7 @@
     }
 };
 
-/// A router found that a registered runner takes no connections, or that another one answers at its
+/// A registered runner accepts no connections of a router, or another runner answers at its
 /// address.
 struct InstanceUnreachable
 {
@@ -201,18 +204,19 @@
     }
 };
 
-/// What a runner told in a heartbeat to a controller that does not lead.
+/// Heartbeat of a runner that a controller which does not lead received and relays to the leader.
 struct InstanceSighting
 {
     std::string instance;
-    std::uint64_t sequence = 0;  ///< Of the heartbeat.
-    bool hasHoldings = false;    ///< Without: they are as this controller told them last.
+    std::uint64_t sequence = 0;  ///< Sequence number of the heartbeat.
+    bool hasHoldings =
+        false;  ///< False: the held models are unchanged since this relay's last report.
     std::vector<HeldModel> models;
-    std::vector<std::string> inMemory;  ///< Models it can load from its host memory.
-    std::vector<std::string> onDisk;    ///< Models it can load from its own disk.
-    /// The instance itself, as long as the cell does not know this incarnation; else empty.
+    std::vector<std::string> inMemory;  ///< Models that the runner can load from its host memory.
+    std::vector<std::string> onDisk;    ///< Models that the runner can load from its own disk.
+    /// The instance itself while the cell does not have this incarnation; otherwise empty.
     std::vector<ServiceInstance> first{};
-    base::UnixMilliseconds startedAt = 0;  ///< Of the incarnation; 0: it does not tell.
+    base::UnixMilliseconds startedAt = 0;  ///< Start of the incarnation; 0: not reported.
 
     bool operator== (const InstanceSighting&) const = default;
     template <class Archive>
@@ -222,7 +226,7 @@
     }
 };
 
-/// Heartbeats that a relay took since its last message of this kind.
+/// Heartbeats that a relay received since its last message of this type.
 struct InstanceSightings
 {
     std::vector<InstanceSighting> sightings;
@@ -234,12 +238,12 @@
     }
 };
 
-/// A controller that is not a voter asks to become one. Sent until it is.
+/// Request of a controller to become a voter. Sent repeatedly until it is one.
 struct MemberJoinRequest
 {
     base::CellId cell;
     consensus::Member member;
-    bool isFounding = false;  ///< It starts with the cell, and replaces no other member.
+    bool isFounding = false;  ///< The controller starts with the cell and replaces no member.
 
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
@@ -254,7 +258,7 @@
                  InstanceSightings, QuotaRequest, SuspectReport, InstanceLoadReport,
                  InstanceRateReport, InstancePermitRequest>;
 
-/// This controller does not lead; try `leaderAddress` ("ip:port", empty when unknown).
+/// This controller does not lead. `leaderAddress` is "ip:port" of the leader, empty if unknown.
 struct NotLeaderReply
 {
     std::string leaderAddress;
@@ -266,12 +270,12 @@
     }
 };
 
-/// A stretch of a text that is told as a change of another one, the base: a part of the base, then
-/// new text.
+/// Piece of a text that is encoded as a difference to another text, the base: a part of the base
+/// followed by new text.
 struct TextPiece
 {
     std::uint64_t keptFrom = 0;   ///< Position in the base.
-    std::uint64_t keptBytes = 0;  ///< 0: nothing of the base.
+    std::uint64_t keptBytes = 0;  ///< 0: no part of the base.
     std::string text;
 
     bool operator== (const TextPiece&) const = default;
@@ -282,14 +286,14 @@
     }
 };
 
-/// The configuration in force: whole, or as a change of the one that the router holds.
+/// The configuration in force, either complete or as a difference to the one that the router holds.
 struct ConfigurationUpdate
 {
     std::uint64_t version = 0;
     std::string digest;
-    std::string text;  ///< Whole; empty when it is a change.
-    std::uint64_t baseVersion =
-        0;  ///< 0: `text` is whole. Else `pieces` are of this version's text.
+    std::string text;  ///< Complete text; empty for a difference.
+    /// 0: `text` is complete. Otherwise the version of the text that `pieces` refer to.
+    std::uint64_t baseVersion = 0;
     std::string baseDigest{};
     std::vector<TextPiece> pieces{};
 
@@ -300,8 +304,8 @@
     }
 };
 
-/// The configuration named is in force until `duration` after the router SENT the request with this
-/// sequence. A router without a valid lease admits no new request.
+/// Lease on a configuration. It is valid for `durationMilliseconds` after the router SENT the
+/// request with this sequence. A router without a valid lease admits no new requests.
 struct LeaseGrant
 {
     std::uint64_t sequence = 0;
@@ -310,7 +314,7 @@
     base::Term term = 0;
     std::int64_t durationMilliseconds = 0;
     std::uint64_t replicaTableVersion = 0;
-    base::UnixMilliseconds cellTime = 0;  ///< Of the leader; claims expire by this clock.
+    base::UnixMilliseconds cellTime = 0;  ///< Clock of the leader, by which claims expire.
 
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
@@ -320,7 +324,7 @@
     }
 };
 
-/// One replica that routers may use, or one application runner (model empty).
+/// One replica that routers may use, or one application runner.
 struct RoutableReplica
 {
     base::ReplicaId replica = 0;  ///< 0 for an application runner.
@@ -330,12 +334,12 @@
     std::string address;  ///< "ip:port".
     std::string target;   ///< Model, adapter or application name.
     bool isApplication = false;
-    std::string baseModel;    ///< Adapters: the model they ride on.
-    std::uint32_t slots = 0;  ///< Requests the runner can run at once.
-    std::uint32_t load = 0;   ///< Running and waiting requests; lags, small changes are left out.
-    std::uint32_t credits =
-        0;  ///< Requests there at once of a router that has stated demand for it.
-    std::uint32_t entryCredits = 0;  ///< The same for a router that has not.
+    std::string baseModel;    ///< Adapters only: the base model.
+    std::uint32_t slots = 0;  ///< Maximum number of concurrent requests of the runner.
+    std::uint32_t load = 0;   ///< Running and waiting requests; delayed, without small changes.
+    /// Maximum number of concurrent requests from a router that has reported demand for the target.
+    std::uint32_t credits = 0;
+    std::uint32_t entryCredits = 0;  ///< Same limit for a router that has not reported demand.
 
     bool operator== (const RoutableReplica&) const = default;
     template <class Archive>
@@ -346,7 +350,7 @@
     }
 };
 
-/// New load of a runner, for all its rows.
+/// New load of a runner, for all rows of the runner.
 struct RunnerLoad
 {
     base::RunnerId runner;
@@ -360,11 +364,11 @@
     }
 };
 
-/// What the leader expects of a target without a ready replica, for Retry-After.
+/// Estimate of the leader for a target without a ready replica; used for Retry-After.
 struct TargetEstimate
 {
     std::string target;
-    bool canBeServed = true;               ///< False: no runner may hold it now.
+    bool canBeServed = true;               ///< False: currently no runner may hold the target.
     std::int64_t readyInMilliseconds = 0;  ///< Expected time until a replica is ready.
 
     bool operator== (const TargetEstimate&) const = default;
@@ -375,16 +379,17 @@
     }
 };
 
-/// Change of the replica table from `fromVersion` to `toVersion`; fromVersion 0 replaces it whole.
+/// Change of the replica table from `fromVersion` to `toVersion`; fromVersion 0 replaces the whole
+/// table.
 struct ReplicaUpdate
 {
     std::uint64_t fromVersion = 0;
     std::uint64_t toVersion = 0;
     std::vector<RoutableReplica> upserts;   ///< Keyed by (replica, runner, target).
     std::vector<RoutableReplica> removals;  ///< Only the key fields are set.
-    std::vector<TargetEstimate> estimates;  ///< Replaces the estimates of the named targets.
-    std::vector<RunnerLoad> loads;  ///< Of runners whose rows are the same but for the load.
-    base::Term term = 0;            ///< Of the leader; versions count within one term.
+    std::vector<TargetEstimate> estimates;  ///< Replaces the estimates of these targets.
+    std::vector<RunnerLoad> loads;  ///< Loads of runners whose rows are otherwise unchanged.
+    base::Term term = 0;            ///< Term of the leader; versions count within one term.
 
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
@@ -396,12 +401,12 @@
 enum class ClaimVerdict : std::uint8_t
 {
     kGranted,         ///< The caller may send the request once.
-    kInProgress,      ///< Another request holds the key; its outcome is not known yet.
+    kInProgress,      ///< Another request holds the key and its outcome is not known yet.
     kAlreadyRan,      ///< A request with this key was performed.
     kOutcomeUnknown,  ///< A request with this key may have been performed.
-    kConflict,        ///< The key was used for a different request.
+    kConflict,        ///< The key was used for a request with other content.
     kWindowPassed,    ///< The request is older than the window in which keys are kept.
-    kTableFull,       ///< Too many keys are held; nothing was claimed and nothing may be sent.
+    kTableFull,       ///< The table is full; nothing was claimed, so the request must not be sent.
 };
 
 struct ClaimAnswer
@@ -409,7 +414,7 @@
     base::IdempotencyKey key;
     base::RequestId request;
     ClaimVerdict verdict = ClaimVerdict::kGranted;
-    std::int32_t httpStatus = 0;  ///< Of the earlier answer, for kAlreadyRan.
+    std::int32_t httpStatus = 0;  ///< Status of the earlier answer; set for kAlreadyRan.
 
     bool operator== (const ClaimAnswer&) const = default;
     template <class Archive>
@@ -419,8 +424,8 @@
     }
 };
 
-/// Sent only once the claims are committed. No reply means unknown: the router then treats each
-/// claim as held by itself without having sent anything, and reports kNotRun.
+/// Sent only after the claims are committed. Without a reply, their outcome is unknown: the router
+/// then treats each claim as its own, sends none of the requests, and reports kNotRun.
 struct ClaimReply
 {
     std::uint64_t sequence = 0;
@@ -433,7 +438,7 @@
     }
 };
 
-/// One registered runner as routers see it.
+/// Registered runner in the instance table of routers.
 struct RoutableInstance
 {
     ServiceInstance instance;
@@ -447,8 +452,8 @@
     }
 };
 
-/// Term of a table that a controller sends to a router that knows nothing yet, from the state that
-/// it last knew itself. The table of any leader replaces it.
+/// Term of a table that a controller sends, from its own last known state, to a router that has no
+/// table yet. The table of any leader replaces it.
 constexpr base::Term kTermOfLastKnownState = 0;
 
 /// A controller that routers may connect to.
@@ -456,7 +461,7 @@
 {
     std::string peerAddress;  ///< "ip:port".
     std::string zone;
-    bool isLeader = false;  ///< Has more to do than the others.
+    bool isLeader = false;  ///< The leader has a higher load than the other controllers.
 
     bool operator== (const ControllerEndpoint&) const = default;
     template <class Archive>
@@ -466,17 +471,17 @@
     }
 };
 
-/// Change of the table of registered runners; fromVersion 0 replaces it whole.
+/// Change of the table of registered runners; fromVersion 0 replaces the whole table.
 struct InstanceUpdate
 {
-    base::Term term = 0;  ///< Of the leader that began the table; versions count within it.
+    base::Term term = 0;  ///< Term of the leader that began the table; versions count within it.
     std::uint64_t fromVersion = 0;
     std::uint64_t toVersion = 0;
     std::vector<RoutableInstance> upserts;
-    std::vector<std::string> removals;  ///< Ids.
+    std::vector<std::string> removals;  ///< Ids of the removed instances.
     std::vector<ControllerEndpoint> controllers;
-    std::uint32_t routers = 1;  ///< Of the cell.
-    /// The leader waits to hear that it is applied: the router states it at once.
+    std::uint32_t routers = 1;  ///< Number of routers of the cell.
+    /// The leader waits until the update is applied: the router confirms it immediately.
     bool mustConfirm = false;
 
     template <class Archive>
@@ -489,7 +494,7 @@
 /// Answer to MemberJoinRequest.
 struct MemberJoinReply
 {
-    bool isVoter = false;  ///< The sender is a voter now, as this leader has committed it.
+    bool isVoter = false;  ///< The leader has committed the requester as a voter.
 
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
--- a/src/cell/ServiceInstances.cpp
+++ b/src/cell/ServiceInstances.cpp
@@ -56,7 +56,7 @@
 bool ServiceInstances::isNews (const ServiceInstance& instance) const
 {
     const ServiceInstance* known = find (instance.id);
-    // One that is known without its start is told of its start, too.
+    // A start time that was missing so far is a change, too.
     return known == nullptr ? ! isDeregistered (instance.id, instance.startedAt)
                             : known->startedAt < instance.startedAt;
 }
@@ -94,8 +94,8 @@
     return true;
 }
 
-bool ServiceInstances::noteModels (const std::string& id, const std::vector<HeldModel>& models,
-                                   base::UnixMilliseconds startedAt)
+bool ServiceInstances::setModels (const std::string& id, const std::vector<HeldModel>& models,
+                                  base::UnixMilliseconds startedAt)
 {
     ServiceInstance* instance = findFor (id, startedAt);
     if (instance == nullptr || (instance->isReported && instance->models == models))
@@ -120,7 +120,7 @@
         return wasKnown;
     const std::uint64_t next = m_deregistered.empty() ? 1 : m_deregistered.rbegin()->first + 1;
     m_deregistered.emplace (next, std::move (removed));
-    if (m_deregistered.size() > kRememberedDeregistrations)
+    if (m_deregistered.size() > kMaxDeregistrations)
         m_deregistered.erase (m_deregistered.begin());
     return wasKnown;
 }
--- a/src/cell/ServiceInstances.h
+++ b/src/cell/ServiceInstances.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The runners that registered themselves by heartbeat, as the cell has agreed on them.
+/// Replicated table of the runners that registered themselves by heartbeat. Not thread-safe.
 
 #include <boost/serialization/map.hpp>
 #include <boost/serialization/string.hpp>
@@ -32,25 +32,25 @@
     }
 };
 
-/// Orders models and adapters by name, so that the same holdings are told in the same way by
-/// whoever tells them.
+/// Sorts models and adapters by name, so that equal lists of held models compare equal regardless
+/// of their sender.
 [[nodiscard]] std::vector<HeldModel> inOrder (std::vector<HeldModel> models);
 
-/// One start of a runner. A restarted runner is another instance, or a later incarnation of the
-/// same one: what was known of the earlier one does not hold for it.
+/// One run of a runner. A restarted runner is another instance, or a later incarnation of the same
+/// instance; the state of the earlier incarnation does not apply to it.
 struct ServiceInstance
 {
-    static constexpr unsigned kStartVersion = 1;  ///< Of the layout, that has `startedAt`.
+    static constexpr unsigned kStartVersion = 1;  ///< First layout version with `startedAt`.
 
     std::string id;
     std::string service;
     std::string address;  ///< "ip:port".
     std::string zone;
-    std::uint32_t slots = 1;  ///< Requests it can run at once.
-    bool isDraining = false;  ///< Gets no new requests.
-    bool isReported = false;  ///< `models` is known.
+    std::uint32_t slots = 1;  ///< Maximum number of concurrent requests.
+    bool isDraining = false;  ///< Receives no new requests.
+    bool isReported = false;  ///< Whether the runner has reported its models.
     std::vector<HeldModel> models;
-    base::UnixMilliseconds startedAt = 0;  ///< Of this incarnation; 0: it does not tell.
+    base::UnixMilliseconds startedAt = 0;  ///< Start of this incarnation; 0: not reported.
 
     bool operator== (const ServiceInstance&) const = default;
     template <class Archive>
@@ -62,22 +62,22 @@
     }
 };
 
-/// Whether a message of an incarnation started at `left` comes from an earlier one than that
-/// started at `right`. Incarnations that do not tell when they started cannot be told apart.
+/// Whether the incarnation that started at `left` is earlier than the one that started at `right`.
+/// False if `left` is 0: incarnations without a start time cannot be distinguished.
 [[nodiscard]] constexpr bool isEarlierIncarnation (base::UnixMilliseconds left,
                                                    base::UnixMilliseconds right)
 {
     return left != 0 && left < right;
 }
 
-/// Names one incarnation of an instance in evidence about it: a later one did nothing of what an
-/// earlier one did.
+/// Identifies one incarnation of an instance in crash reports, because a crash of an earlier
+/// incarnation is no crash of a later one.
 struct Incarnation
 {
     std::string id;
-    base::UnixMilliseconds startedAt = 0;  ///< 0: it does not tell.
+    base::UnixMilliseconds startedAt = 0;  ///< Start of the incarnation; 0: not reported.
 
-    /// "ID@START", or the id alone.
+    /// "ID@START", or the id alone if the start is not reported.
     [[nodiscard]] std::string name() const;
     /// Inverse of name().
     [[nodiscard]] static Incarnation fromName (std::string_view name);
@@ -85,11 +85,11 @@
     bool operator== (const Incarnation&) const = default;
 };
 
-/// An instance that said that it ends.
+/// An instance that deregistered itself.
 struct Deregistration
 {
     std::string id;
-    base::UnixMilliseconds startedAt = 0;  ///< 0: not known; the next one that tells is another.
+    base::UnixMilliseconds startedAt = 0;  ///< 0: unknown; any incarnation with a start is later.
 
     bool operator== (const Deregistration&) const = default;
     template <class Archive>
@@ -99,34 +99,34 @@
     }
 };
 
-/// Replicated table of instances. Draining and deregistration are final for an incarnation of an
-/// instance: a late message never brings it back. Where an incarnation is named by its start, 0 is
-/// the one that is known, and an earlier one changes nothing.
+/// Table of instances. Draining and deregistration are final for an incarnation of an instance: a
+/// late message never reverts them. Where a function takes the start of an incarnation, 0 stands
+/// for the known incarnation, and the start of an earlier incarnation changes nothing.
 class ServiceInstances
 {
 public:
-    static constexpr unsigned kStartVersion = 1;  ///< Of the layout, that tells incarnations apart.
+    static constexpr unsigned kStartVersion = 1;  ///< First layout that distinguishes incarnations.
 
-    /// Adds an instance, or puts a later incarnation in the place of the known one; false when it
-    /// is known or deregistered before. Another instance at the same address stays until it is
-    /// removed: which of the two is gone shows only when one answers.
+    /// Adds an instance, or replaces the known incarnation by a later one. Returns false if the
+    /// incarnation is known or has deregistered. Another instance at the same address is kept until
+    /// it is removed, because only an answer shows which of the two still runs.
     bool add (const ServiceInstance& instance);
     /// Whether add() would change anything.
     [[nodiscard]] bool isNews (const ServiceInstance& instance) const;
-    /// Marks an instance as draining; false when it is unknown or drains already.
+    /// Marks an instance as draining; returns false if it is unknown or already draining.
     bool drain (const std::string& id, base::UnixMilliseconds startedAt = 0);
-    /// Notes what an instance holds; false when it is unknown or that was known.
-    bool noteModels (const std::string& id, const std::vector<HeldModel>& models,
-                     base::UnixMilliseconds startedAt = 0);
-    /// Removes an instance; false when it was unknown. An incarnation that is removed as
-    /// deregistered is never added again.
+    /// Sets the models that an instance holds; returns false if the instance is unknown or the
+    /// models are unchanged.
+    bool setModels (const std::string& id, const std::vector<HeldModel>& models,
+                    base::UnixMilliseconds startedAt = 0);
+    /// Removes an instance; returns false if it was unknown. An incarnation that is removed as
+    /// deregistered is not added again.
     bool remove (const std::string& id, bool isDeregistered, base::UnixMilliseconds startedAt = 0);
 
     [[nodiscard]] const ServiceInstance* find (const std::string& id) const;
-    /// Start of the incarnation that is known, or was the last one to be deregistered; 0: not
-    /// known.
+    /// Start of the known incarnation, or else of the last one that deregistered; 0: unknown.
     [[nodiscard]] base::UnixMilliseconds lastStartOf (const std::string& id) const;
-    /// Whether an instance said lately that it ends; a later incarnation of it has not.
+    /// Whether this incarnation of the instance, or a later one, deregistered recently.
     [[nodiscard]] bool isDeregistered (const std::string& id,
                                        base::UnixMilliseconds startedAt = 0) const;
     [[nodiscard]] const std::map<std::string, ServiceInstance>& all() const { return m_instances; }
@@ -143,9 +143,9 @@
     }
 
 private:
-    static constexpr std::size_t kRememberedDeregistrations = 256;
+    static constexpr std::size_t kMaxDeregistrations = 256;
 
-    /// Earlier layouts hold ids alone.
+    /// Reads the earlier layout, which contains only ids.
     template <class Archive>
     void readDeregisteredIds (Archive& archive)
     {
@@ -155,12 +155,12 @@
         for (auto& [order, id] : ids)
             m_deregistered[order] = { std::move (id), 0 };
     }
-    /// The incarnation that is known, unless `startedAt` names an earlier one.
+    /// Returns the known incarnation, or null if `startedAt` belongs to an earlier one.
     [[nodiscard]] ServiceInstance* findFor (const std::string& id,
                                             base::UnixMilliseconds startedAt);
 
     std::map<std::string, ServiceInstance> m_instances;
-    /// Deregistered lately, by the order of removal.
+    /// Recent deregistrations in the order of removal.
     std::map<std::uint64_t, Deregistration> m_deregistered;
 };
 
--- a/src/cell/ServiceInstancesTest.cpp
+++ b/src/cell/ServiceInstancesTest.cpp
@@ -27,7 +27,7 @@
     EXPECT_TRUE (instances.find ("i-1")->isDraining);
 }
 
-TEST (ServiceInstancesTest, ALateHeartbeatDoesNotBringADeregisteredInstanceBack)
+TEST (ServiceInstancesTest, ALateHeartbeatDoesNotRestoreADeregisteredInstance)
 {
     ServiceInstances instances;
     instances.add (instanceOf ("i-1"));
@@ -50,21 +50,21 @@
     EXPECT_FALSE (instances.add (instanceOf ("i-1")));
 }
 
-TEST (ServiceInstancesTest, HoldingsAreNotedOnce)
+TEST (ServiceInstancesTest, UnchangedModelsAreNoChange)
 {
     ServiceInstances instances;
     instances.add (instanceOf ("i-1"));
     const std::vector<HeldModel> models{ { "m", 1, { "a1" } } };
-    EXPECT_TRUE (instances.noteModels ("i-1", models));
-    EXPECT_FALSE (instances.noteModels ("i-1", models));
-    EXPECT_FALSE (instances.noteModels ("i-2", models));
+    EXPECT_TRUE (instances.setModels ("i-1", models));
+    EXPECT_FALSE (instances.setModels ("i-1", models));
+    EXPECT_FALSE (instances.setModels ("i-2", models));
 }
 
 TEST (ServiceInstancesTest, SurvivesEncoding)
 {
     ServiceInstances instances;
     instances.add (instanceOf ("i-1"));
-    instances.noteModels ("i-1", { { "m", 2, { "a1", "a2" } } });
+    instances.setModels ("i-1", { { "m", 2, { "a1", "a2" } } });
     instances.drain ("i-1");
     instances.remove ("i-2", true);
     auto decoded = wire::decodeValue<ServiceInstances> (wire::encodeValue (instances));
@@ -79,28 +79,28 @@
     return instance;
 }
 
-TEST (ServiceInstancesTest, NothingOfAnEarlierIncarnationHolds)
+TEST (ServiceInstancesTest, ALaterIncarnationInheritsNoState)
 {
     ServiceInstances instances;
     EXPECT_TRUE (instances.add (incarnationOf ("i-1", 1000)));
-    instances.noteModels ("i-1", { { "m", 1, {} } }, 1000);
+    instances.setModels ("i-1", { { "m", 1, {} } }, 1000);
     instances.drain ("i-1", 1000);
     EXPECT_TRUE (instances.add (incarnationOf ("i-1", 2000)));
     EXPECT_EQ (*instances.find ("i-1"), incarnationOf ("i-1", 2000));
 }
 
-TEST (ServiceInstancesTest, WhatAnEarlierIncarnationSaidLateChangesNothing)
+TEST (ServiceInstancesTest, LateMessagesOfAnEarlierIncarnationChangeNothing)
 {
     ServiceInstances instances;
     instances.add (incarnationOf ("i-1", 2000));
     EXPECT_FALSE (instances.add (incarnationOf ("i-1", 1000)));
     EXPECT_FALSE (instances.drain ("i-1", 1000));
-    EXPECT_FALSE (instances.noteModels ("i-1", { { "m", 1, {} } }, 1000));
+    EXPECT_FALSE (instances.setModels ("i-1", { { "m", 1, {} } }, 1000));
     EXPECT_FALSE (instances.remove ("i-1", true, 1000));
     EXPECT_EQ (*instances.find ("i-1"), incarnationOf ("i-1", 2000));
 }
 
-TEST (ServiceInstancesTest, OnlyALaterIncarnationComesBackAfterADeregistration)
+TEST (ServiceInstancesTest, OnlyALaterIncarnationIsAddedAfterADeregistration)
 {
     ServiceInstances instances;
     instances.add (incarnationOf ("i-1", 1000));
@@ -111,7 +111,7 @@
     EXPECT_TRUE (instances.add (incarnationOf ("i-1", 2000)));
 }
 
-TEST (ServiceInstancesTest, AStartThatIsToldLaterIsNoted)
+TEST (ServiceInstancesTest, AStartTimeReportedLaterIsAdded)
 {
     ServiceInstances instances;
     instances.add (instanceOf ("i-1"));
@@ -121,7 +121,7 @@
     EXPECT_EQ (instances.find ("i-1")->startedAt, 1000);
 }
 
-TEST (ServiceInstancesTest, AnIncarnationIsReadFromItsName)
+TEST (ServiceInstancesTest, ParsesIncarnationsFromTheirNames)
 {
     for (const Incarnation& incarnation :
          { Incarnation{ "i-1", 0 }, Incarnation{ "i-1", 1764728322123 }, Incarnation{ "a@b", 0 },
