--- a/src/consensus/ClusterFaultsTest.cpp
+++ b/src/consensus/ClusterFaultsTest.cpp
@@ -1,4 +1,4 @@
-// The faults that a simulated cluster is put through.
+// Faults that ClusterSimulation injects into a simulated cluster.
 
 #include <algorithm>
 #include <array>
@@ -35,17 +35,23 @@
 void ClusterSimulation::injectFault()
 {
     using Fault = void (ClusterSimulation::*)();
-    constexpr std::array<Fault, 17> kFaults{
-        &ClusterSimulation::cutRandomly,    &ClusterSimulation::cutRandomly,
-        &ClusterSimulation::cutRandomly,    &ClusterSimulation::freezeRandomly,
-        &ClusterSimulation::crashRandomly,  &ClusterSimulation::crashRandomly,
-        &ClusterSimulation::crashRandomly,  &ClusterSimulation::powerLoss,
-        &ClusterSimulation::slowDisk,       &ClusterSimulation::loseDisk,
-        &ClusterSimulation::changeMembers,  &ClusterSimulation::transferLeadership,
-        &ClusterSimulation::disturbNetwork, &ClusterSimulation::disturbNetwork,
-        &ClusterSimulation::deafenFollower, &ClusterSimulation::deafenFollower,
-        &ClusterSimulation::failDisk
-    };
+    constexpr std::array<Fault, 17> kFaults{ &ClusterSimulation::cutRandomly,
+                                             &ClusterSimulation::cutRandomly,
+                                             &ClusterSimulation::cutRandomly,
+                                             &ClusterSimulation::freezeRandomly,
+                                             &ClusterSimulation::crashRandomly,
+                                             &ClusterSimulation::crashRandomly,
+                                             &ClusterSimulation::crashRandomly,
+                                             &ClusterSimulation::powerLoss,
+                                             &ClusterSimulation::slowDisk,
+                                             &ClusterSimulation::loseDisk,
+                                             &ClusterSimulation::changeMembers,
+                                             &ClusterSimulation::transferLeadership,
+                                             &ClusterSimulation::disturbNetwork,
+                                             &ClusterSimulation::disturbNetwork,
+                                             &ClusterSimulation::blockLeaderToFollower,
+                                             &ClusterSimulation::blockLeaderToFollower,
+                                             &ClusterSimulation::failDisk };
     const auto chosen = m_random.uniformInteger (0, static_cast<std::int64_t> (kFaults.size()) - 1);
     (this->*kFaults[static_cast<std::size_t> (chosen)])();
 }
@@ -57,7 +63,7 @@
     if (process == nullptr)
         return;
     if (m_random.chance (0.5))
-        m_quietUntil = m_now + randomDuration (300, 900);
+        m_proposalsPausedUntil = m_now + randomDuration (300, 900);
     if (m_random.chance (0.4))
     {
         isolateWithMinority (process->id);
@@ -87,7 +93,7 @@
            });
 }
 
-/// Parts the member and a few others from the rest.
+/// Partitions the member and a random few others from the rest.
 void ClusterSimulation::isolateWithMinority (MemberId member)
 {
     std::set<MemberId> side{ member };
@@ -115,13 +121,13 @@
            });
 }
 
-void ClusterSimulation::isolateLeaderOf (const Process& campaigner)
+void ClusterSimulation::isolateLeaderDuringCampaign (const Process& campaigner)
 {
     const Process* leader = findLeader();
     if (leader == nullptr || leader->id == campaigner.id)
         return;
     count ("leaders cut off during a campaign");
-    m_quietUntil = m_now;
+    m_proposalsPausedUntil = m_now;
     std::set<std::pair<MemberId, MemberId>> cuts;
     for (const auto& [id, other] : m_processes)
     {
@@ -137,7 +143,7 @@
            });
 }
 
-void ClusterSimulation::deafenFollower()
+void ClusterSimulation::blockLeaderToFollower()
 {
     const Process* leader = findLeader();
     const Process* follower = randomProcess();
@@ -146,7 +152,7 @@
     count ("followers deaf to the leader");
     const std::pair cut (leader->id, follower->id);
     m_cuts.insert (cut);
-    m_quietUntil = m_now + randomDuration (600, 900);
+    m_proposalsPausedUntil = m_now + randomDuration (600, 900);
     after (randomDuration (500, 900), [this, cut] { m_cuts.erase (cut); });
 }
 
@@ -165,7 +171,7 @@
                if (! thawed.node || thawed.incarnation != incarnation)
                    return;
                thawed.isFrozen = false;
-               const auto waiting = std::exchange (thawed.whileFrozen, {});
+               const auto waiting = std::exchange (thawed.deferredActions, {});
                for (const auto& action : waiting)
                {
                    if (thawed.node)
@@ -205,7 +211,8 @@
            [this, id = process->id] { m_processes.at (id).syncTime = milliseconds (1); });
 }
 
-/// A write fails; the member stays up, silent, until it is restarted with a disk that works.
+/// Fails a disk write. The process stays up but sends nothing until it is restarted with a working
+/// disk.
 void ClusterSimulation::failDisk()
 {
     Process* process = randomProcess();
@@ -226,8 +233,9 @@
            });
 }
 
-/// A disk is lost for good; the operator replaces the member by a new identity. Only while all
-/// other voters have their disks: what two losses at once destroy cannot be had back.
+/// Loses a disk permanently; the operator replaces the member by one with a new identity. Happens
+/// only while all other voters have their disks, as two losses at once may destroy committed
+/// entries.
 void ClusterSimulation::loseDisk()
 {
     if (! m_isReconfigured)
@@ -256,7 +264,8 @@
     addProcess (m_nextId++, {});
 }
 
-/// The operator grows or shrinks the quorum by two, so that two changes follow each other.
+/// Makes the operator add two voters or, with more than three, remove voters until three are left,
+/// so that membership changes follow each other.
 void ClusterSimulation::changeMembers()
 {
     if (! m_isReconfigured)
--- a/src/consensus/ClusterInvariants.h
+++ b/src/consensus/ClusterInvariants.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// What must hold in every run of a simulated cluster, for tests. It sees everything that the
-/// members do, in the order of true time, and notes each violation.
+/// Checks the safety properties of consensus over a run of a simulated cluster, for tests. Receives
+/// every action of the members in the order of true time and records each violation. Does not check
+/// liveness; ClusterSimulation does. Single-threaded.
 
 #include <map>
 #include <optional>
@@ -15,8 +16,8 @@
 namespace fernlift::consensus
 {
 
-/// The state machine of a simulated member: a digest of everything applied so far. Its bytes differ
-/// between members of equal state, as those of a real state machine may.
+/// The state machine of a simulated member: a digest of all applied entries. Members with equal
+/// state encode it in different bytes, as real state machines may.
 struct DigestState
 {
     LogIndex lastIndex = 0;
@@ -24,32 +25,34 @@
 
     void apply (const Entry& entry);
     [[nodiscard]] std::string encode (MemberId by) const;
-    /// None when the bytes are not of one member's encoding.
+    /// Returns none when the bytes were not encoded by a single member.
     [[nodiscard]] static std::optional<DigestState> decode (const std::string& bytes);
 };
 
 class ClusterInvariants
 {
 public:
-    /// Persisted before answered; one vote a term; terms of answers never go back.
+    /// Checks that state is synced before a reply vouches for it, that a member grants one vote per
+    /// term, and that the terms of its replies never decrease.
     void onSent (const Message& message, const DiskState& synced);
-    /// Election safety, and leader completeness: entries committed in earlier terms are there. A
-    /// candidate that was frozen may win an old term late, without what later terms committed.
-    /// `written`: what the new leader has.
+    /// Checks election safety and leader completeness: the log of a new leader contains every entry
+    /// committed in earlier terms. A candidate that was frozen may win an old term late, and need
+    /// not have entries committed in later terms. `written` is the disk of the new leader.
     void onLeader (MemberId id, Term term, const DiskState& written);
-    /// Log matching, checked at every entry that is written.
+    /// Checks log matching at every entry that is written.
     void onWritten (MemberId id, const PersistRequest& request, const DiskState& before);
-    /// Monotone commit; a leader commits only through entries of its own term.
+    /// Checks that the commit index never decreases and that a leader advances it only to entries
+    /// of its own term.
     void onCommit (MemberId id, const RaftStatus& status, LogIndex commitBefore,
                    const DiskState& written);
-    /// State-machine safety. `term`: the member's own; the first member to apply an entry is the
-    /// leader that committed it.
+    /// Checks state-machine safety. `term` is the current term of the member; the first member to
+    /// apply an entry is the leader that committed it.
     void onApplied (MemberId id, Term term, const DigestState& state, const Entry& entry);
     void onInstalled (MemberId id, const Snapshot& snapshot);
-    /// A caller was told that the command at `index` is committed.
+    /// Records that the command at `index` was acknowledged to a caller as committed.
     void onAcknowledged (LogIndex index) { m_observed = std::max (m_observed, index); }
-    /// A leader that holds its lease answered a read from the state at `index`: linearizable if
-    /// that includes every write acknowledged and every state read before.
+    /// Checks a read that a leader with a lease answered from the state at `index`. The read is
+    /// linearizable if that state includes every write acknowledged and every state read before.
     void onLeaseRead (MemberId id, LogIndex index);
     void fail (const std::string& invariant, MemberId id, const std::string& detail);
 
@@ -64,7 +67,7 @@
     struct Committed
     {
         Term term = 0;
-        Term committedIn = 0;  ///< Term of the leader that committed it.
+        Term committedIn = 0;  ///< Term of the leader that committed the entry.
         std::uint64_t digest = 0;
     };
     struct Written
@@ -78,7 +81,7 @@
     void checkHas (const std::string& what, MemberId id, LogIndex index, const DiskState& synced);
 
     std::vector<std::string> m_violations;
-    std::vector<Committed> m_committed;  ///< Entry 1 first.
+    std::vector<Committed> m_committed;  ///< Indexed by log index minus 1.
     std::map<Term, MemberId> m_leaders;
     std::map<std::pair<LogIndex, Term>, Written> m_written;
     std::map<std::pair<MemberId, Term>, MemberId> m_votes;
--- a/src/consensus/ClusterInvariantsTest.cpp
+++ b/src/consensus/ClusterInvariantsTest.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Makes snapshots long enough to travel in several chunks.
+/// Padding that makes snapshots long enough for several chunks.
 constexpr std::size_t kPaddingBytes = 300;
 
 }  // namespace
@@ -241,7 +241,7 @@
     invariants.onApplied (id, entry.term, state, entry);
 }
 
-TEST (ClusterInvariants, noticeEachPlantedViolation)
+TEST (ClusterInvariants, DetectsDoubleVotesUnsyncedVotesAndDecreasingTerms)
 {
     ClusterInvariants invariants;
     DiskState disk;
@@ -255,7 +255,7 @@
     EXPECT_TRUE (violates (invariants, "terms never go back"));
 }
 
-TEST (ClusterInvariants, noticeAnswersAheadOfTheDisk)
+TEST (ClusterInvariants, DetectsRepliesSentBeforeSync)
 {
     DiskState disk;
     disk.hardState = { 3, 0 };
@@ -270,7 +270,7 @@
     }
 }
 
-TEST (ClusterInvariants, noticeTwoLeadersAndAMissingEntry)
+TEST (ClusterInvariants, DetectsTwoLeadersOfATermAndAMissingCommittedEntry)
 {
     ClusterInvariants invariants;
     DigestState state;
@@ -287,7 +287,7 @@
     EXPECT_TRUE (violates (invariants, "leader completeness"));
 }
 
-TEST (ClusterInvariants, noticeLogsAndStatesThatPart)
+TEST (ClusterInvariants, DetectsDivergingLogsAndStates)
 {
     ClusterInvariants invariants;
     DigestState first;
@@ -301,7 +301,7 @@
     EXPECT_TRUE (violates (invariants, "log matching"));
 }
 
-TEST (ClusterInvariants, noticeASnapshotOfMixedBytes)
+TEST (ClusterInvariants, DetectsASnapshotOfMixedEncodings)
 {
     ClusterInvariants invariants;
     DigestState state;
@@ -314,7 +314,7 @@
     EXPECT_TRUE (violates (invariants, "state-machine safety"));
 }
 
-TEST (ClusterInvariants, noticeStaleReadsAndCommits)
+TEST (ClusterInvariants, DetectsStaleReadsAndInvalidCommits)
 {
     ClusterInvariants invariants;
     invariants.onAcknowledged (7);
--- a/src/consensus/ClusterOperatorTest.cpp
+++ b/src/consensus/ClusterOperatorTest.cpp
@@ -1,4 +1,4 @@
-// The callers and the operator of a simulated cluster.
+// Callers and the operator of a simulated cluster, and its liveness check.
 
 #include <algorithm>
 
@@ -15,7 +15,7 @@
 
 constexpr Duration kOperatorInterval = milliseconds (80);
 constexpr std::int64_t kMeanProposalMilliseconds = 40;
-constexpr int kOperatorSteps = 3;  ///< Tried back to back.
+constexpr int kOperatorSteps = 3;  ///< Steps tried in immediate succession.
 
 MemberSet withoutMember (MemberSet members, MemberId id)
 {
@@ -28,8 +28,8 @@
 void ClusterSimulation::proposeForever()
 {
     after (randomDuration (1, 2 * kMeanProposalMilliseconds), [this] { proposeForever(); });
-    // A caller may reach any member that believes it leads, and reads there when it holds its
-    // lease.
+    // A caller may reach any member that considers itself leader, and reads there while the member
+    // holds its lease.
     for (auto& item : m_processes)
     {
         Process& process = item.second;
@@ -40,7 +40,7 @@
             count ("lease reads");
             m_invariants.onLeaseRead (process.id, process.state.lastIndex);
         }
-        if (m_now < m_quietUntil)
+        if (m_now < m_proposalsPausedUntil)
             continue;
         const std::string data = "command " + std::to_string (++m_commandCount);
         const Term term = process.node->status (clockOf (process)).term;
@@ -98,7 +98,7 @@
     int accepted = 0;
     for (int step = 0; step < kOperatorSteps; ++step)
     {
-        if (takeOperatorStep (leader))
+        if (proposeOperatorStep (leader))
             ++accepted;
     }
     if (accepted > 0)
@@ -125,8 +125,9 @@
         loseDisk();
 }
 
-/// Proposes the first change that leads towards `m_desired`; true when it was accepted.
-bool ClusterSimulation::takeOperatorStep (Process& leader)
+/// Proposes changes towards `m_desired` until one is accepted; returns whether one was. New voters
+/// are added before others are removed.
+bool ClusterSimulation::proposeOperatorStep (Process& leader)
 {
     const MemberSet members = leader.node->status (clockOf (leader)).members;
     std::vector<MemberSet> candidates;
@@ -164,8 +165,8 @@
     return false;
 }
 
-/// After the healing the quorum has one leader that every wanted member follows, and all of them
-/// have applied nearly everything.
+/// Checks that, after all faults have ended, every member of `m_desired` follows the same leader
+/// and has applied nearly all committed entries, and that the leader holds its lease.
 void ClusterSimulation::checkLiveness()
 {
     if (! m_isReconfigured)
--- a/src/consensus/ClusterSimulation.h
+++ b/src/consensus/ClusterSimulation.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// A whole quorum in one thread, from one seed, for tests: true members over a simulated network,
-/// simulated disks and drifting clocks, under faults. Equal options give equal runs.
+/// Deterministic simulation of a cluster in one thread, for tests: RaftNode instances over a
+/// simulated network, simulated disks and drifting clocks, under random faults. Runs with equal
+/// options are identical.
 
 #include <cstdint>
 #include <deque>
@@ -32,10 +33,10 @@
     PlantedFault fault = PlantedFault::kNone;
     base::Duration faultTime = base::seconds (10);
     base::Duration healTime = base::seconds (6);
-    bool isTraced = false;  ///< Keep the last events for ClusterReport::trace.
+    bool isTraced = false;  ///< Whether the last events are kept in ClusterReport::trace.
 };
 
-/// How often something was brought about, or was seen, in a run.
+/// Number of injected faults and observed events of a run, by name.
 struct ClusterCounts
 {
     std::map<std::string, std::uint64_t> counts;
@@ -44,14 +45,15 @@
 
 struct ClusterReport
 {
-    std::vector<std::string> violations;  ///< The first one ends the run.
-    std::deque<std::string> trace;        ///< The last events before the end, oldest first.
+    std::vector<std::string> violations;  ///< The first violation ends the run.
+    std::deque<std::string> trace;        ///< The last events of the run, oldest first.
     ClusterCounts seen;
-    std::uint64_t digest = 0;  ///< Of the whole run.
+    std::uint64_t digest = 0;  ///< Digest of the whole run, equal for equal runs.
 };
 
-/// Time, processes and the network are in ClusterSimulationTest.cpp, callers and the operator in
-/// ClusterOperatorTest.cpp, faults in ClusterFaultsTest.cpp.
+/// Runs one simulated cluster. Time, processes and the network are implemented in
+/// ClusterSimulationTest.cpp, callers and the operator in ClusterOperatorTest.cpp, faults in
+/// ClusterFaultsTest.cpp.
 class ClusterSimulation
 {
 public:
@@ -59,23 +61,23 @@
     ClusterReport run();
 
 private:
-    /// One process with its disk. Its clock runs at `clockRate` of true time.
+    /// One process with its disk. Its clock runs `clockRate` times as fast as true time.
     struct Process
     {
         MemberId id = 0;
-        std::unique_ptr<RaftNode> node;  ///< None while the process is down.
+        std::unique_ptr<RaftNode> node;  ///< Null while the process is down.
         SimulatedDisk disk;
         MemberSet initialMembers;
         DigestState state;
         std::map<LogIndex, Term> proposals;
         LogIndex commitIndex = 0;
         Role role = Role::kFollower;
-        std::uint64_t incarnation = 0;  ///< Events of an earlier one are void.
+        std::uint64_t incarnation = 0;  ///< Number of starts; events of an earlier one are dropped.
         bool isDiskLost = false;
         bool isFrozen = false;
-        std::vector<std::function<void()>> whileFrozen;
+        std::vector<std::function<void()>> deferredActions;
         bool isSyncing = false;
-        bool hasDiskFailed = false;  ///< Until the next start nothing more is written.
+        bool hasDiskFailed = false;  ///< Nothing is written until the next start.
         base::Duration syncTime = base::milliseconds (1);
         double clockRate = 1.0;
         base::TimePoint clockBase;
@@ -94,7 +96,8 @@
 
     // Time and processes.
     void after (base::Duration delay, std::function<void()> action);
-    /// Runs `action` for a process that is up, once it is not frozen; void after a crash.
+    /// Runs `action` after `delay`, or once the process is no longer frozen. Drops it if the
+    /// process is down or has crashed in between.
     void onProcess (MemberId id, base::Duration delay, std::function<void (Process&)> action);
     [[nodiscard]] base::TimePoint clockOf (const Process& process) const;
     void setClockRate (Process& process, double rate);
@@ -118,8 +121,8 @@
     void proposeForever();
     void operateForever();
     void operate (Process& leader);
-    bool takeOperatorStep (Process& leader);
-    /// A present leader, chosen at random; none if there is none.
+    bool proposeOperatorStep (Process& leader);
+    /// Returns a random one of the processes that lead; nullptr if there is none.
     Process* findLeader();
     Process* randomProcess();
 
@@ -128,10 +131,11 @@
     void injectFault();
     void cutRandomly();
     void isolateWithMinority (MemberId id);
-    /// One follower hears the leader no more, while all others do and no log grows.
-    void deafenFollower();
-    /// Cuts the leader off at the moment another member campaigns.
-    void isolateLeaderOf (const Process& campaigner);
+    /// Drops all messages from the leader to one follower. Proposals pause meanwhile, so that the
+    /// log of the follower does not fall behind and it can win an election.
+    void blockLeaderToFollower();
+    /// Partitions the leader from all other members at the moment when `campaigner` campaigns.
+    void isolateLeaderDuringCampaign (const Process& campaigner);
     void freezeRandomly();
     void crashRandomly();
     void powerLoss();
@@ -159,22 +163,22 @@
     std::uint64_t m_eventCount = 0;
     base::TimePoint m_now;
     std::map<MemberId, Process> m_processes;
-    std::set<std::pair<MemberId, MemberId>> m_cuts;  ///< From, to.
+    std::set<std::pair<MemberId, MemberId>> m_cuts;  ///< Blocked links as sender and receiver.
     double m_dropChance = 0;
     double m_duplicateChance = 0;
     double m_lateChance = 0;
     LogIndex m_entriesBetweenSnapshots = 30;
     std::uint64_t m_commandCount = 0;
-    base::TimePoint m_quietUntil;  ///< Callers send no commands, so that no log lags.
+    base::TimePoint m_proposalsPausedUntil;  ///< Callers propose nothing, so that no log lags.
     MemberId m_nextId = 1;
-    std::set<MemberId> m_desired;  ///< Voters that the operator wants.
-    bool m_isReconfigured = true;  ///< They are the voters, and that is committed.
-    bool m_isLossDue = false;      ///< Lose a second disk as soon as the first is replaced.
+    std::set<MemberId> m_desired;  ///< Voters that the operator works towards.
+    bool m_isReconfigured = true;  ///< m_desired are the voters, and that is committed.
+    bool m_isLossDue = false;      ///< A second disk is lost once the first is replaced.
     bool m_isHealing = false;
     std::uint64_t m_digest = 0;
 };
 
-/// Text to run a failing seed again.
+/// Returns the command that runs a failing seed again.
 [[nodiscard]] std::string replayHint (const ClusterOptions& options);
 
 }  // namespace fernlift::consensus
--- a/src/consensus/ClusterSimulationTest.cpp
+++ b/src/consensus/ClusterSimulationTest.cpp
@@ -131,7 +131,7 @@
                    action (process);
                    return;
                }
-               process.whileFrozen.push_back ([action, &process] { action (process); });
+               process.deferredActions.push_back ([action, &process] { action (process); });
            });
 }
 
@@ -194,7 +194,7 @@
     trace (process, "crashes");
     process.node.reset();
     process.isFrozen = false;
-    process.whileFrozen.clear();
+    process.deferredActions.clear();
     process.proposals.clear();
     const auto unsynced = static_cast<std::int64_t> (process.disk.unsyncedCount());
     if (unsynced > 0)
@@ -318,7 +318,7 @@
         trace (process, "leads");
     process.role = status.role;
     if (isCampaign && ! m_isHealing && m_random.chance (0.5))
-        isolateLeaderOf (process);
+        isolateLeaderDuringCampaign (process);
     if (status.role != Role::kLeader)
         return;
     m_invariants.onLeader (process.id, status.term, process.disk.written());
@@ -365,7 +365,7 @@
 
 double ClusterSimulation::randomClockRate()
 {
-    /// Clocks run this much slow or fast at most: a ratio of 1.22 between two of them.
+    /// Greatest deviation of a clock rate; two clocks differ by a ratio of 1.22 at most.
     constexpr double kMaximumDrift = 0.1;
     return 1.0 + kMaximumDrift * (2 * m_random.uniformReal() - 1);
 }
--- a/src/consensus/ClusterSweepTest.cpp
+++ b/src/consensus/ClusterSweepTest.cpp
@@ -1,4 +1,5 @@
-// Many seeds of the simulated quorum, and the proof that the invariants can fail.
+// Runs the simulated cluster over many seeds, and checks with planted faults that the invariants
+// can detect violations.
 
 #include <gtest/gtest.h>
 
@@ -13,7 +14,7 @@
 {
 
 constexpr std::uint64_t kSeeds = 300;
-/// A planted fault has to show within this many seeds.
+/// A planted fault must be detected within this many seeds.
 constexpr std::uint64_t kSeedsForPlantedFault = 300;
 
 MemberId membersOf (std::uint64_t seed) { return seed % 2 == 0 ? 3 : 5; }
@@ -76,13 +77,13 @@
 {
 };
 
-/// Text of a violation up to the member that showed it.
+/// Returns the name of the violated invariant.
 std::string invariantOf (const std::string& violation)
 {
     return violation.substr (0, violation.find (" (member"));
 }
 
-/// With FERNLIFT_CLUSTER_TALLY set, all seeds run and the catches are counted by invariant.
+/// With FERNLIFT_CLUSTER_TALLY set, runs all seeds and counts the detections by invariant.
 TEST_P (PlantedFaultSweep, isCaught)
 {
     const bool runsAll = std::getenv ("FERNLIFT_CLUSTER_TALLY") != nullptr;
--- a/src/consensus/Durable.cpp
+++ b/src/consensus/Durable.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// The part of a message that is the same for every payload.
+/// Encoded form of a message; only the payload depends on the type of the message.
 struct Envelope
 {
     MemberId from = 0;
@@ -64,7 +64,7 @@
     if (! recovered.hardState.empty())
     {
         BOOST_LEAF_ASSIGN (state.hardState,
-                           decodeStored<HardState> (recovered.hardState, "term and vote"));
+                           decodeStored<HardState> (recovered.hardState, "hard state"));
     }
     if (recovered.snapshot.lastIndex > 0)
     {
--- a/src/consensus/DurableTest.cpp
+++ b/src/consensus/DurableTest.cpp
@@ -19,7 +19,7 @@
              *rc::gen::arbitrary<std::string>() };
 }
 
-RC_GTEST_PROP (Durable, readsBackWhatConsensusWrote, ())
+RC_GTEST_PROP (Durable, RestoresEncodedState, ())
 {
     PersistRequest request;
     request.hardState = HardState{ *rc::gen::arbitrary<std::uint64_t>(), 3 };
@@ -43,15 +43,15 @@
     RC_ASSERT (state->entries == request.entries);
 }
 
-TEST (Durable, keepsTheTruncation)
+TEST (Durable, KeepsTheTruncationIndex)
 {
     PersistRequest request;
     request.truncateFrom = 12;
     EXPECT_EQ (toWriteBatch (request).truncateFrom, 12U);
 }
 
-/// Prints the part of a start that follows after storage has read the folder. The time belongs to
-/// the machine and is not asserted.
+/// Prints the duration of the part of a start that follows the read of the storage folder. The
+/// duration depends on the machine and is not asserted.
 TEST (Durable, startsAMemberFromTenThousandEntries)
 {
     constexpr LogIndex kEntries = 10'000;
@@ -82,7 +82,7 @@
               << " ms, worst " << times.back() << " ms of " << kRuns << "\n";
 }
 
-TEST (Durable, refusesRecordsOfAnotherType)
+TEST (Durable, RejectsUndecodableRecords)
 {
     storage::Recovered recovered;
     recovered.memberId = 1;
@@ -123,7 +123,7 @@
         });
 }
 
-TEST (MessageCodec, restoresEnvelopeAndPayload)
+TEST (MessageCodec, RestoresEnvelopeAndPayload)
 {
     const auto decoded = decode (encode (appendMessage()));
     ASSERT_TRUE (decoded);
@@ -135,7 +135,7 @@
     EXPECT_EQ (append.entries, std::get<AppendRequest> (appendMessage().payload).entries);
 }
 
-TEST (MessageCodec, keepsEveryKindOfPayloadApart)
+TEST (MessageCodec, RestoresTheTypeOfEveryPayload)
 {
     const std::vector<Payload> payloads{ VoteRequest{},       VoteReply{},     AppendRequest{},
                                          AppendReply{},       SnapshotChunk{}, SnapshotReply{},
@@ -149,7 +149,7 @@
     }
 }
 
-TEST (MessageCodec, refusesEveryTruncation)
+TEST (MessageCodec, RejectsTruncatedBytes)
 {
     const std::string bytes = encode (appendMessage());
     for (std::size_t length = 0; length < bytes.size(); ++length)
--- a/src/consensus/MemberReplication.cpp
+++ b/src/consensus/MemberReplication.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// Rounds remembered for a member that does not answer; older ones can no longer extend a lease.
+/// Limit of rounds kept for a member that does not reply; older ones can no longer extend a lease.
 constexpr std::size_t kMaximumUnansweredRounds = 256;
 
 }  // namespace
--- a/src/consensus/MemberReplication.h
+++ b/src/consensus/MemberReplication.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What a leader knows of one other member: how far its log is copied, and which of the messages
-/// sent to it were answered.
+/// Replication state that a leader keeps for one other member: how far the log is replicated there,
+/// and which of the messages sent to it were answered. RaftNode decides what to send.
 
 #include <cstdint>
 #include <deque>
@@ -15,23 +15,23 @@
 
 enum class ReplicationMode : std::uint8_t
 {
-    kProbe,     ///< One message at a time until the place where the logs agree is found.
-    kPipeline,  ///< Entries are sent ahead of the replies.
+    kProbe,     ///< One message at a time until the index where the logs agree is found.
+    kPipeline,  ///< Entries are sent without waiting for the replies.
     kSnapshot,  ///< A snapshot is being sent.
 };
 
-/// Progress of a snapshot being sent.
-struct SnapshotSending
+/// Progress of a snapshot that is being sent.
+struct SnapshotProgress
 {
     LogIndex lastIndex = 0;
     Term lastTerm = 0;
-    std::uint64_t offset = 0;      ///< Of the chunk sent last.
+    std::uint64_t offset = 0;      ///< Offset of the chunk sent last.
     std::uint64_t chunkRound = 0;  ///< Round of the chunk sent last.
     base::TimePoint sentAt;
 };
 
 /**
- * Progress of one member during one leadership.
+ * Replication progress of one member during one leadership.
  *
  * Threading: none; owned by the leading RaftNode, which sets the public members itself.
  */
@@ -43,36 +43,38 @@
     {
     }
 
-    /// The message numbered `round` is sent now. Rounds of one leader only grow, also over removal
-    /// and return of the same member, so that a reply confirms no message but its own.
+    /// Records that the message numbered `round` is sent now. The rounds of one leader only
+    /// increase, also when the same member is removed and added again, so that a reply confirms
+    /// only the message that it answers.
     void beginRound (std::uint64_t round, base::TimePoint now);
-    /// The member answered the message of this round.
+    /// Records the reply to the message of this round.
     void confirmRound (std::uint64_t round, base::TimePoint now);
-    /// When the latest answered message was sent; none before the first answer. The member heard
-    /// the leader at that time or later.
+    /// Time at which the latest answered message was sent; none before the first reply. The member
+    /// received that message at this time or later.
     [[nodiscard]] std::optional<base::TimePoint> confirmedSentAt() const
     {
         return m_confirmedSentAt;
     }
 
-    /// Entries up to `lastIndex` were sent and not answered yet.
+    /// Records that a message with entries up to `lastIndex` was sent.
     void addInflight (LogIndex lastIndex) { m_inflight.push_back (lastIndex); }
     [[nodiscard]] std::size_t inflightCount() const { return m_inflight.size(); }
-    /// The member has everything up to `index`, synced.
+    /// Records that the member has synced all entries up to `index`.
     void acknowledge (LogIndex index);
-    /// Goes back to probing from `index`.
+    /// Returns to probing, from `index`.
     void probeFrom (LogIndex index);
 
     ReplicationMode mode = ReplicationMode::kProbe;
-    LogIndex matchIndex = 0;   ///< Synced there and equal to this leader's log; never goes back.
+    LogIndex matchIndex =
+        0;  ///< Last index synced by the member and equal to this leader's log; never decreases.
     LogIndex nextIndex = 1;    ///< Next entry to send; always above matchIndex.
-    bool isProbeSent = false;  ///< In kProbe: wait for its reply, or the next heartbeat.
+    bool isProbeSent = false;  ///< In kProbe: sends nothing until a reply or the next heartbeat.
     std::uint64_t probeRound =
-        0;  ///< Of the probe sent last; refusals of earlier messages are stale.
-    base::TimePoint
-        lastReplyAt;  ///< Any reply, for check-quorum; the start of leadership at first.
-    base::TimePoint heartbeatDueAt;  ///< In the past: due at the next tick.
-    SnapshotSending snapshot;        ///< In kSnapshot only.
+        0;  ///< Round of the probe sent last; refusals of earlier messages are stale.
+    base::TimePoint lastReplyAt;     ///< Time of the last reply of any kind, for check-quorum;
+                                     ///< initially the start of leadership.
+    base::TimePoint heartbeatDueAt;  ///< Next heartbeat is sent at the first tick from then on.
+    SnapshotProgress snapshot;       ///< Meaningful in kSnapshot only.
 
 private:
     struct Round
@@ -81,9 +83,9 @@
         base::TimePoint sentAt;
     };
 
-    std::deque<Round> m_unanswered;  ///< Ascending by number.
+    std::deque<Round> m_unanswered;  ///< Rounds without a reply, ascending by number.
     std::optional<base::TimePoint> m_confirmedSentAt;
-    std::deque<LogIndex> m_inflight;  ///< Last index of each message on its way, ascending.
+    std::deque<LogIndex> m_inflight;  ///< Last index of each message without a reply, ascending.
 };
 
 }  // namespace fernlift::consensus
--- a/src/consensus/Membership.cpp
+++ b/src/consensus/Membership.cpp
@@ -75,14 +75,14 @@
 base::Result<MembershipChange> classifyChange (const MemberSet& before, const MemberSet& after)
 {
     if (voterCount (after) == 0)
-        return refuse ("no voter would be left");
+        return refuse ("the change would leave no voter");
     std::map<MemberId, std::pair<const Member*, const Member*>> pairs;
     for (const Member& member : before.members)
         pairs[member.id].first = &member;
     for (const Member& member : after.members)
         pairs[member.id].second = &member;
     if (pairs.count (0) > 0)
-        return refuse ("member 0 is not a valid identity");
+        return refuse ("0 is not a valid member id");
 
     std::vector<std::pair<const Member*, const Member*>> differences;
     for (const auto& [id, pair] : pairs)
@@ -92,7 +92,7 @@
             differences.push_back (pair);
     }
     if (differences.size() != 1)
-        return refuse ("exactly one member must change at a time");
+        return refuse ("a change must add, promote or remove exactly one member");
     return classifyDifference (differences.front().first, differences.front().second);
 }
 
--- a/src/consensus/Membership.h
+++ b/src/consensus/Membership.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Rules for the set of members: lookup, majority and which changes are allowed.
+/// Pure functions on the set of members: encoding, lookup, majority and the allowed changes.
 
 #include <algorithm>
 #include <cstddef>
@@ -15,10 +15,11 @@
 {
 
 [[nodiscard]] std::string encodeMembers (const MemberSet& members);
-/// Inverse of encodeMembers; an empty set for bytes that are none, which no leader writes.
+/// Inverse of encodeMembers. Returns an empty set for bytes that cannot be decoded; no leader
+/// writes such bytes.
 [[nodiscard]] MemberSet decodeMembers (const std::string& data);
 
-/// The member with this id; nullptr if there is none.
+/// Returns the member with this id; nullptr if there is none.
 [[nodiscard]] const Member* findMember (const MemberSet& members, MemberId id);
 [[nodiscard]] bool isVoter (const MemberSet& members, MemberId id);
 [[nodiscard]] std::size_t voterCount (const MemberSet& members);
@@ -30,19 +31,20 @@
     kRemove
 };
 
-/// What a change does, and to which member.
+/// One change of the members and the member that it concerns.
 struct MembershipChange
 {
     MembershipStep step = MembershipStep::kAddLearner;
     MemberId member = 0;
 };
 
-/// The one step that leads from `before` to `after`; kMembershipChangeRefused when it is not
-/// exactly one allowed step, or would leave no voter.
+/// Returns the single step that leads from `before` to `after`. Fails with kMembershipChangeRefused
+/// when they differ by anything but one allowed step, or when no voter would be left.
 [[nodiscard]] base::Result<MembershipChange> classifyChange (const MemberSet& before,
                                                              const MemberSet& after);
 
-/// The greatest value that a majority of the voters has reached. `valueOf(id)` gives each voter's.
+/// Returns the greatest value that a majority of the voters has reached, `none` without voters.
+/// `valueOf(id)` returns the value of one voter.
 template <class Value, class ValueOf>
 [[nodiscard]] Value majorityValue (const MemberSet& members, Value none, ValueOf&& valueOf)
 {
--- a/src/consensus/MembershipTest.cpp
+++ b/src/consensus/MembershipTest.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// Voters 1 to `count` that have reached the indexes 1 to `count`.
+/// Majority value of voters 1 to `count`, where voter n has reached index n, and a learner.
 LogIndex majorityOf (MemberId count)
 {
     MemberSet members = testVoters (count);
@@ -15,13 +15,13 @@
     return majorityValue (members, LogIndex{ 0 }, [] (MemberId id) { return LogIndex{ id }; });
 }
 
-TEST (Membership, aMajorityIsMoreThanHalfOfTheVoters)
+TEST (Membership, MajorityIsMoreThanHalfOfTheVoters)
 {
-    EXPECT_EQ (majorityOf (0), 0U) << "nobody";
+    EXPECT_EQ (majorityOf (0), 0U) << "no voters";
     EXPECT_EQ (majorityOf (1), 1U);
-    EXPECT_EQ (majorityOf (2), 1U) << "both";
+    EXPECT_EQ (majorityOf (2), 1U) << "both voters";
     EXPECT_EQ (majorityOf (3), 2U);
-    EXPECT_EQ (majorityOf (4), 2U) << "three of four";
+    EXPECT_EQ (majorityOf (4), 2U) << "three of four voters";
     EXPECT_EQ (majorityOf (5), 3U);
 }
 
@@ -30,7 +30,7 @@
     return ! failureOf ([&] { return classifyChange (before, after); });
 }
 
-TEST (Membership, changesByOneStepOfOneMember)
+TEST (Membership, AllowsOnlySingleMemberSteps)
 {
     const MemberSet three = testVoters (3);
     MemberSet withLearner = three;
@@ -41,19 +41,20 @@
     EXPECT_TRUE (isAllowed (withLearner, three));
 
     EXPECT_FALSE (isAllowed (three, three)) << "no change";
-    EXPECT_FALSE (isAllowed (three, testVoters (4))) << "not through a learner";
-    EXPECT_FALSE (isAllowed (three, testVoters (1))) << "two at once";
-    EXPECT_FALSE (isAllowed (testVoters (4), withLearner)) << "a voter is not made a learner";
-    EXPECT_FALSE (isAllowed (testVoters (1), MemberSet{})) << "nobody would be left";
+    EXPECT_FALSE (isAllowed (three, testVoters (4)))
+        << "added as a voter without being a learner first";
+    EXPECT_FALSE (isAllowed (three, testVoters (1))) << "two members removed at once";
+    EXPECT_FALSE (isAllowed (testVoters (4), withLearner)) << "a voter cannot become a learner";
+    EXPECT_FALSE (isAllowed (testVoters (1), MemberSet{})) << "the only voter removed";
     MemberSet moved = three;
     moved.members[0].peerAddress = "127.0.0.1:9";
-    EXPECT_FALSE (isAllowed (three, moved)) << "an address belongs to its identity";
+    EXPECT_FALSE (isAllowed (three, moved)) << "the address of a member cannot change";
     MemberSet nameless = three;
     nameless.members.push_back (testMember (0, false));
     EXPECT_FALSE (isAllowed (three, nameless));
 }
 
-TEST (Membership, ofDamagedBytesIsEmpty)
+TEST (Membership, DecodesDamagedBytesAsEmptySet)
 {
     EXPECT_EQ (decodeMembers (encodeMembers (testVoters (3))), testVoters (3));
     EXPECT_TRUE (decodeMembers ("x").members.empty());
--- a/src/consensus/Messages.h
+++ b/src/consensus/Messages.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Typed values of the consensus protocol: log entries, durable state and messages between members.
+/// Data types of the consensus protocol: log entries, durable state and messages between members.
 
 #include <boost/serialization/string.hpp>
 #include <boost/serialization/vector.hpp>
@@ -42,12 +42,12 @@
     }
 };
 
-/// Members in force from a log index on.
+/// Members in effect from a log index on.
 struct MemberSet
 {
     std::vector<Member> members;  ///< Sorted by id.
-    /// Voters that a cell which manages its members should have; 0: an operator decides. Consensus
-    /// itself passes it over.
+    /// Number of voters that a cell which manages its own members should have; 0 if an operator
+    /// manages them. Consensus itself ignores it.
     std::uint32_t targetSize = 0;
 
     bool operator== (const MemberSet&) const = default;
@@ -73,13 +73,13 @@
     }
 };
 
-/// What a member must have on disk before it answers for it.
+/// State that a member must sync to disk before it sends a message that depends on it.
 struct HardState
 {
     Term term = 0;
-    MemberId votedFor = 0;  ///< 0: none in this term.
-    /// At least this much of the log was committed when this was written. A member that starts
-    /// again knows its state up to there without a leader.
+    MemberId votedFor = 0;  ///< 0 while no vote was granted in this term.
+    /// A log index that was committed when this state was written. A restarted member applies the
+    /// log up to there without a leader.
     LogIndex commitIndex = 0;
 
     bool operator== (const HardState&) const = default;
@@ -90,10 +90,10 @@
     }
 };
 
-/// The state machine at `lastIndex`, with the members in force there.
+/// Encoded state machine at `lastIndex`, with the members in effect there.
 struct Snapshot
 {
-    LogIndex lastIndex = 0;  ///< 0: no snapshot.
+    LogIndex lastIndex = 0;  ///< 0 if there is no snapshot.
     Term lastTerm = 0;
     MemberSet members;
     std::string data;
@@ -106,11 +106,11 @@
     }
 };
 
-/// Asks whether the receiver would vote (isPreVote) or for its vote.
+/// Requests the vote of the receiver or, with isPreVote, whether it would grant one.
 struct VoteRequest
 {
     bool isPreVote = false;
-    bool isLeadershipTransfer = false;  ///< The leader asked for this election: ignore its lease.
+    bool isLeadershipTransfer = false;  ///< Requested by the leader, whose lease is then ignored.
     LogIndex lastIndex = 0;
     Term lastTerm = 0;
 
@@ -133,13 +133,13 @@
     }
 };
 
-/// Replicates entries; without entries it is a heartbeat.
+/// Replicates entries; a request without entries is a heartbeat.
 struct AppendRequest
 {
     LogIndex previousIndex = 0;
     Term previousTerm = 0;
     LogIndex commitIndex = 0;
-    std::uint64_t round = 0;  ///< Counts the leader's messages to this member; echoed in the reply.
+    std::uint64_t round = 0;  ///< Number of the leader's message; the reply returns it.
     std::vector<Entry> entries;
 
     template <class Archive>
@@ -153,8 +153,8 @@
 {
     bool accepted = false;
     LogIndex matchIndex =
-        0;                   ///< When accepted: last index known equal to the leader's, and synced.
-    LogIndex hintIndex = 0;  ///< When refused: where the leader should try next.
+        0;  ///< When accepted: last index that is synced and known to equal the leader's log.
+    LogIndex hintIndex = 0;  ///< When refused: index that the leader should try next.
     std::uint64_t round = 0;
 
     template <class Archive>
@@ -196,7 +196,8 @@
     }
 };
 
-/// The leader asks the receiver to start an election at once (planned stop).
+/// Request of the leader that the receiver starts an election at once, for a planned stop of the
+/// leader.
 struct TransferLeadership
 {
     template <class Archive>
--- a/src/consensus/PersistQueue.cpp
+++ b/src/consensus/PersistQueue.cpp
@@ -12,11 +12,11 @@
     m_hardStateSequence = m_lastSequence;
 }
 
-bool PersistQueue::noteCommitted (const HardState& hardState)
+bool PersistQueue::recordCommitted (const HardState& hardState)
 {
-    if (m_untaken.empty() || m_untaken.back().entries.empty())
+    if (m_queued.empty() || m_queued.back().entries.empty())
         return false;
-    m_untaken.back().hardState = hardState;
+    m_queued.back().hardState = hardState;
     return true;
 }
 
@@ -25,7 +25,7 @@
     const PersistRequest& open = openRequest();
     const bool mustFollow =
         open.truncateFrom.has_value() || ! open.entries.empty() || open.snapshot.has_value();
-    PersistRequest& request = mustFollow ? newRequest() : m_untaken.back();
+    PersistRequest& request = mustFollow ? newRequest() : m_queued.back();
     request.truncateFrom = index;
     m_stableIndex = std::min (m_stableIndex, index - 1);
     for (Pending& pending : m_pending)
@@ -37,7 +37,7 @@
 void PersistQueue::append (const Entry& entry)
 {
     const bool mustFollow = openRequest().snapshot.has_value();
-    PersistRequest& request = mustFollow ? newRequest() : m_untaken.back();
+    PersistRequest& request = mustFollow ? newRequest() : m_queued.back();
     request.entries.push_back (entry);
     m_pending.back().stableIndexAfter = entry.index;
 }
@@ -73,11 +73,11 @@
     return released;
 }
 
-std::vector<PersistRequest> PersistQueue::take() { return std::exchange (m_untaken, {}); }
+std::vector<PersistRequest> PersistQueue::take() { return std::exchange (m_queued, {}); }
 
 PersistRequest& PersistQueue::openRequest()
 {
-    return m_untaken.empty() ? newRequest() : m_untaken.back();
+    return m_queued.empty() ? newRequest() : m_queued.back();
 }
 
 PersistRequest& PersistQueue::newRequest()
@@ -85,7 +85,7 @@
     const LogIndex before = m_pending.empty() ? m_stableIndex : m_pending.back().stableIndexAfter;
     ++m_lastSequence;
     m_pending.push_back ({ m_lastSequence, before });
-    PersistRequest& request = m_untaken.emplace_back();
+    PersistRequest& request = m_queued.emplace_back();
     request.sequence = m_lastSequence;
     return request;
 }
--- a/src/consensus/PersistQueue.h
+++ b/src/consensus/PersistQueue.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Writes on their way to disk, and the messages that must wait until they are synced.
+/// Queue of the writes of durable state that are not synced yet, and of the messages that must not
+/// be sent before they are. The caller carries the writes out.
 
 #include <deque>
 #include <vector>
@@ -11,44 +12,48 @@
 {
 
 /**
- * Collects changes of the durable state into as few writes as their order allows, and holds back
- * the messages that vouch for them.
+ * Combines changes of the durable state into as few writes as their order allows, and holds back
+ * the messages that depend on them.
  *
- * A write is one atomic step (hard state, truncation, entries, snapshot, in this order); a change
- * that has to follow what is in the open write begins a new one. Sequences only grow.
+ * A write is one atomic step (hard state, truncation, entries, snapshot, in this order). A change
+ * that must be applied after the content of the open write begins a new one. Sequence numbers only
+ * increase.
  *
- * Threading: none; owned by RaftNode. The thread that writes sees only copies.
+ * Threading: none; owned by RaftNode. The thread that writes works on copies.
  */
 class PersistQueue
 {
 public:
-    /// `stableIndex`: last log index that is on disk at the start.
+    /// `stableIndex` is the last log index that is on disk at the start.
     explicit PersistQueue (LogIndex stableIndex) : m_stableIndex (stableIndex) {}
 
     void setHardState (const HardState& hardState);
-    /// Adds the latest hard state to the last write that was not taken and has entries, so that it
-    /// names what is committed; costs no write of its own. False when there is no such write.
-    bool noteCommitted (const HardState& hardState);
+    /// Adds the latest hard state, and with it the commit index, to the last queued write if that
+    /// has entries, so that it needs no write of its own. Returns false when there is no such
+    /// write.
+    bool recordCommitted (const HardState& hardState);
     /// Drops stored entries with index >= `index`.
     void truncateFrom (LogIndex index);
     void append (const Entry& entry);
-    /// Stores a snapshot of the log's own prefix.
+    /// Stores a snapshot of a prefix of this member's log.
     void storeSnapshot (const Snapshot& snapshot);
-    /// Stores a snapshot that replaces everything after `commitIndex`, which is before it.
+    /// Stores a snapshot that replaces all entries after `commitIndex`. The snapshot ends after
+    /// `commitIndex`.
     void replaceBySnapshot (const Snapshot& snapshot, LogIndex commitIndex);
 
-    /// Keeps `message` until every change made so far is synced.
+    /// Holds `message` back until every change made so far is synced.
     void hold (Message message);
-    /// Every write up to `sequence` is synced: returns the messages that may leave now.
+    /// Records that every write up to `sequence` is synced, and returns the messages that may be
+    /// sent now.
     [[nodiscard]] std::vector<Message> confirm (std::uint64_t sequence);
-    /// Takes the writes to carry out.
+    /// Returns the queued writes and removes them from the queue.
     [[nodiscard]] std::vector<PersistRequest> take();
 
-    /// No change waits for its sync.
+    /// True when every change is synced.
     [[nodiscard]] bool isSynced() const { return m_pending.empty(); }
-    /// The latest hard state is on disk.
+    /// True when the latest hard state is synced.
     [[nodiscard]] bool isHardStateSynced() const { return m_hardStateSequence <= m_confirmed; }
-    /// Last log index up to which this member's present log is on disk.
+    /// Last index up to which the current log of this member is synced.
     [[nodiscard]] LogIndex stableIndex() const { return m_stableIndex; }
 
 private:
@@ -66,14 +71,15 @@
     PersistRequest& openRequest();
     PersistRequest& newRequest();
 
-    std::vector<PersistRequest> m_untaken;  ///< In order of sequence; the last one is open.
-    std::deque<Pending> m_pending;          ///< Taken or not, but not confirmed.
-    std::deque<Held> m_held;                ///< In order of sequence, all above m_confirmed.
-    std::uint64_t m_lastSequence = 0;       ///< Of the write begun last.
-    std::uint64_t m_confirmed = 0;          ///< Every write up to it is synced.
-    std::uint64_t m_hardStateSequence = 0;  ///< Of the write with the latest hard state.
+    std::vector<PersistRequest>
+        m_queued;  ///< Writes not taken yet, in order of sequence; the last one is open.
+    std::deque<Pending> m_pending;     ///< Writes not confirmed yet, whether taken or not.
+    std::deque<Held> m_held;           ///< Messages by ascending sequence, all above m_confirmed.
+    std::uint64_t m_lastSequence = 0;  ///< Sequence of the write begun last.
+    std::uint64_t m_confirmed = 0;     ///< Every write up to this sequence is synced.
+    std::uint64_t m_hardStateSequence = 0;  ///< Sequence of the write with the latest hard state.
     LogIndex m_stableIndex =
-        0;  ///< Never beyond the present log, though truncated entries were synced.
+        0;  ///< Never beyond the current log, even if entries truncated since were synced.
 };
 
 }  // namespace fernlift::consensus
--- a/src/consensus/PersistQueueTest.cpp
+++ b/src/consensus/PersistQueueTest.cpp
@@ -9,7 +9,7 @@
 
 Entry entryAt (LogIndex index, Term term) { return { index, term, EntryKind::kCommand, "x" }; }
 
-TEST (PersistQueue, putsChangesIntoOneWriteWhileTheirOrderAllows)
+TEST (PersistQueue, CombinesChangesIntoOneWriteWhileOrderAllows)
 {
     PersistQueue queue (0);
     queue.setHardState ({ 1, 2 });
@@ -33,7 +33,7 @@
     EXPECT_EQ (writes[2].entries, std::vector<Entry>{ entryAt (4, 2) });
 }
 
-TEST (PersistQueue, countsNothingThatWasTruncatedAsStable)
+TEST (PersistQueue, ExcludesTruncatedEntriesFromStableIndex)
 {
     PersistQueue queue (5);
     queue.append (entryAt (6, 1));
@@ -44,12 +44,12 @@
     queue.append (entryAt (5, 2));
     const auto second = queue.take();
     (void)queue.confirm (first.back().sequence);
-    EXPECT_EQ (queue.stableIndex(), 4U) << "entries 6 and 7 are on disk, but not of this log";
+    EXPECT_EQ (queue.stableIndex(), 4U) << "entries 6 and 7 are on disk but truncated from the log";
     (void)queue.confirm (second.back().sequence);
     EXPECT_EQ (queue.stableIndex(), 5U);
 }
 
-TEST (PersistQueue, holdsAMessageUntilTheWritesBeforeItAreSynced)
+TEST (PersistQueue, HoldsMessagesUntilEarlierWritesAreSynced)
 {
     PersistQueue queue (0);
     queue.setHardState ({ 1, 2 });
@@ -68,7 +68,7 @@
     EXPECT_TRUE (queue.isSynced());
 }
 
-TEST (PersistQueue, aReceivedSnapshotReplacesTheLogAfterTheCommit)
+TEST (PersistQueue, ReceivedSnapshotReplacesUncommittedLog)
 {
     PersistQueue queue (9);
     queue.replaceBySnapshot ({ 50, 3, {}, "state" }, 4);
--- a/src/consensus/RaftElection.cpp
+++ b/src/consensus/RaftElection.cpp
@@ -45,7 +45,8 @@
 {
     const VoteRequest request{ isPreVote, isLeadershipTransfer, m_log.lastIndex(),
                                m_log.lastTerm() };
-    // Members that heard the old leader a moment later than this one grant a later request.
+    // Members whose last contact with the old leader was later than this member's ignore the first
+    // request, but may grant a repeated one.
     m_preVoteResendAt = m_now + m_options.heartbeatInterval;
     for (const Member& member : m_log.members().members)
     {
@@ -57,7 +58,8 @@
         }
         else
         {
-            // A grant rests on this log and this vote: after a crash both must still be there.
+            // A granted vote depends on this log and on the vote for itself; both must survive a
+            // crash.
             sendWhenSynced (member.id, request);
         }
     }
@@ -80,7 +82,7 @@
     }
     else if (m_persist.isHardStateSynced())
     {
-        // Its own vote counts only once it is on disk.
+        // The candidate's vote for itself counts only once it is synced.
         becomeLeader();
     }
 }
@@ -102,7 +104,7 @@
     if (m_options.plantedFault == PlantedFault::kLeaseWithoutVoteDelay)
         return false;
     if (! isLeader())
-        return m_now < m_leaderHeardAt + m_options.electionTimeoutMinimum;
+        return m_now < m_leaderContactAt + m_options.electionTimeoutMinimum;
     const auto confirmedAt = majorityConfirmedAt();
     return confirmedAt && m_now < *confirmedAt + m_options.electionTimeoutMinimum;
 }
--- a/src/consensus/RaftElectionTest.cpp
+++ b/src/consensus/RaftElectionTest.cpp
@@ -1,4 +1,4 @@
-// Votes, leases and check-quorum of one member.
+// Tests of votes, leases and check-quorum of a single member.
 
 #include <gtest/gtest.h>
 
@@ -20,7 +20,7 @@
     return { false, false, lastIndex, lastTerm };
 }
 
-bool grantedAny (const LoneMember& member)
+bool hasGrantedVote (const MemberHarness& member)
 {
     for (const VoteReply& reply : member.sent<VoteReply>())
     {
@@ -30,25 +30,25 @@
     return false;
 }
 
-TEST (RaftVote, aRestartedMemberGrantsNothingWithinALeaseItMayHaveConfirmed)
+TEST (RaftVote, RestartedMemberGrantsNoVoteDuringPossibleLease)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 5, 0 }, { 5 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 5, 0 }, { 5 }));
     member.advance (milliseconds (299));
     member.receive (2, 6, preVote (9, 5));
     member.receive (2, 6, vote (9, 5));
     EXPECT_TRUE (member.messages().empty());
-    EXPECT_EQ (member.status().term, 5U) << "an ignored request raises no term";
+    EXPECT_EQ (member.status().term, 5U) << "an ignored request does not change the term";
     member.advance (milliseconds (1));
     member.receive (2, 6, preVote (9, 5));
-    EXPECT_TRUE (grantedAny (member));
+    EXPECT_TRUE (hasGrantedVote (member));
 }
 
-TEST (RaftVote, aMemberThatHeardALeaderGrantsNothingForTheShortestElectionTimeout)
+TEST (RaftVote, NoVoteWithinMinimumElectionTimeoutAfterLeaderContact)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 5, 0 }, { 5 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 5, 0 }, { 5 }));
     member.advance (milliseconds (290));
     member.receive (3, 5, AppendRequest{ 1, 5, 0, 1, {} });
-    member.forgetSent();
+    member.clearSent();
     member.advance (milliseconds (299));
     member.receive (2, 6, preVote (9, 5));
     member.receive (2, 6, vote (9, 5));
@@ -56,38 +56,38 @@
     member.advance (milliseconds (1));
     member.receive (2, 6, vote (9, 5));
     member.sync();
-    EXPECT_TRUE (grantedAny (member));
+    EXPECT_TRUE (hasGrantedVote (member));
 }
 
-TEST (RaftVote, aPreVoteChangesNothing)
+TEST (RaftVote, PreVoteChangesNoState)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 5, 2 }, { 5 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 5, 2 }, { 5 }));
     member.advance (milliseconds (300));
     member.receive (3, 6, preVote (9, 5));
-    EXPECT_TRUE (grantedAny (member));
+    EXPECT_TRUE (hasGrantedVote (member));
     EXPECT_TRUE (member.writes().empty());
     EXPECT_EQ (member.status().term, 5U);
 }
 
-TEST (RaftVote, isGivenOnceATerm)
+TEST (RaftVote, GrantsOneVotePerTerm)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 5, 0 }, { 5 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 5, 0 }, { 5 }));
     member.advance (milliseconds (300));
     member.receive (2, 6, vote (1, 5));
     member.sync();
-    ASSERT_TRUE (grantedAny (member));
-    member.forgetSent();
+    ASSERT_TRUE (hasGrantedVote (member));
+    member.clearSent();
     member.receive (3, 6, vote (9, 5));
     member.sync();
     ASSERT_EQ (member.sent<VoteReply>().size(), 1U);
-    EXPECT_FALSE (grantedAny (member));
+    EXPECT_FALSE (hasGrantedVote (member));
     member.receive (2, 6, vote (1, 5));
-    EXPECT_TRUE (grantedAny (member)) << "the same candidate may ask again";
+    EXPECT_TRUE (hasGrantedVote (member)) << "the same candidate may repeat its request";
 }
 
-TEST (RaftVote, goesToNoCandidateWhoseLogIsBehind)
+TEST (RaftVote, RefusesCandidateWhoseLogIsBehind)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 5, 0 }, { 3, 5 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 5, 0 }, { 3, 5 }));
     member.advance (milliseconds (300));
     for (const bool isPreVote : { true, false })
     {
@@ -96,12 +96,12 @@
     }
     member.sync();
     EXPECT_EQ (member.sent<VoteReply>().size(), 4U);
-    EXPECT_FALSE (grantedAny (member));
+    EXPECT_FALSE (hasGrantedVote (member));
 }
 
-TEST (RaftVote, ofAnOldTermIsIgnored)
+TEST (RaftVote, IgnoresVotesOfEarlierTerms)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 5, 0 }, { 5 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 5, 0 }, { 5 }));
     while (member.status().role != Role::kPreCandidate)
         member.advance (milliseconds (5));
     member.receive (2, 5, VoteReply{ true, true });
@@ -111,33 +111,33 @@
     ASSERT_EQ (member.status().role, Role::kCandidate);
     member.receive (2, 5, VoteReply{ false, true });
     member.receive (3, 6, VoteReply{ true, true });
-    EXPECT_EQ (member.status().role, Role::kCandidate) << "a pre-vote is no vote";
+    EXPECT_EQ (member.status().role, Role::kCandidate) << "a pre-vote does not count as a vote";
     member.receive (2, 6, VoteReply{ false, true });
     EXPECT_TRUE (member.leads());
 }
 
-TEST (RaftVote, ofACandidateForItselfCountsOnlyOnceSynced)
+TEST (RaftVote, CandidateCountsItsOwnVoteOnlyOnceSynced)
 {
-    LoneMember member (testVoters (3));
+    MemberHarness member (testVoters (3));
     while (member.status().role != Role::kPreCandidate)
         member.advance (milliseconds (5));
-    member.forgetSent();
+    member.clearSent();
     member.receive (2, 1, VoteReply{ true, true });
-    EXPECT_TRUE (member.sent<VoteRequest>().empty()) << "asked only once its own vote is synced";
+    EXPECT_TRUE (member.sent<VoteRequest>().empty()) << "no request before its own vote is synced";
     member.receive (2, 1, VoteReply{ false, true });
     EXPECT_EQ (member.status().role, Role::kCandidate);
     member.sync();
     EXPECT_TRUE (member.leads());
 }
 
-TEST (RaftVote, ofALearnerOrStrangerDoesNotCount)
+TEST (RaftVote, IgnoresVotesOfLearnersAndNonMembers)
 {
     MemberSet members = testVoters (5);
     members.members.push_back (testMember (6, false));
-    LoneMember member (members);
+    MemberHarness member (members);
     while (member.status().role != Role::kPreCandidate)
         member.advance (milliseconds (5));
-    EXPECT_TRUE (member.sent<VoteRequest> (6).empty()) << "a learner is not asked";
+    EXPECT_TRUE (member.sent<VoteRequest> (6).empty()) << "learners receive no vote request";
     for (const MemberId id : { 2, 6, 7, 8 })
         member.receive (id, 1, VoteReply{ true, true });
     EXPECT_EQ (member.status().role, Role::kPreCandidate);
@@ -152,7 +152,7 @@
     EXPECT_TRUE (member.leads());
 }
 
-TEST (RaftVote, isNeverAskedForByALearnerOrANewOrRemovedMember)
+TEST (RaftVote, LearnersAndNonMembersNeverCampaign)
 {
     MemberSet asLearner = testVoters (3);
     asLearner.members[0].isVoter = false;
@@ -160,10 +160,10 @@
     withoutSelf.members.erase (withoutSelf.members.begin());
     for (const MemberSet& members : { asLearner, withoutSelf, MemberSet{} })
     {
-        LoneMember member (members);
+        MemberHarness member (members);
         member.receive (2, 1, AppendRequest{ 0, 0, 0, 1, {} });
         member.sync();
-        member.forgetSent();
+        member.clearSent();
         member.receive (2, 1, TransferLeadership{});
         member.advance (milliseconds (3000));
         EXPECT_TRUE (member.messages().empty());
@@ -171,9 +171,9 @@
     }
 }
 
-TEST (RaftVote, requestOfARemovedMemberDisturbsNobody)
+TEST (RaftVote, RemovedMemberDoesNotDisruptTheLeader)
 {
-    LoneMember leader (testVoters (3));
+    MemberHarness leader (testVoters (3));
     leader.lead ({ 2 });
     leader.acknowledge (2, 1);
     const Term term = leader.status().term;
@@ -183,17 +183,17 @@
     leader.receive (9, term + 5, VoteReply{ false, false });
     leader.receive (9, term + 5, AppendReply{});
     leader.receive (9, term + 5, SnapshotReply{});
-    EXPECT_TRUE (leader.leads()) << "replies of a member that was removed";
+    EXPECT_TRUE (leader.leads()) << "replies of a removed member are ignored";
     EXPECT_EQ (leader.status().term, term);
     leader.receive (3, term + 5, AppendReply{});
-    EXPECT_FALSE (leader.leads()) << "a present member knows of a later term";
+    EXPECT_FALSE (leader.leads()) << "a current member replied in a later term";
 }
 
-TEST (RaftLease, endsBeforeVotersAreFreeCountedFromTheSending)
+TEST (RaftLease, ExpiresBeforeVotersMayVoteCountedFromSendTime)
 {
-    LoneMember leader (testVoters (3));
+    MemberHarness leader (testVoters (3));
     leader.lead ({ 2 });
-    EXPECT_FALSE (leader.holdsLease()) << "nobody confirmed this leader yet";
+    EXPECT_FALSE (leader.holdsLease()) << "no member has confirmed this leader yet";
     const std::uint64_t earlierRound = leader.lastRoundTo (2);
     while (leader.lastRoundTo (2) == earlierRound)
         leader.advance (milliseconds (5));
@@ -206,9 +206,9 @@
     EXPECT_FALSE (leader.node().holdsLease (sentAt + milliseconds (240)));
 }
 
-TEST (RaftLease, isNotExtendedByALateReplyToAnEarlierRound)
+TEST (RaftLease, IsNotExtendedByLateReplyToEarlierRound)
 {
-    LoneMember leader (testVoters (3));
+    MemberHarness leader (testVoters (3));
     leader.lead ({ 2 });
     const std::uint64_t round = leader.lastRoundTo (2);
     leader.acknowledge (2, 1);
@@ -221,11 +221,11 @@
     EXPECT_FALSE (leader.holdsLease());
 }
 
-TEST (RaftLease, needsAMajorityOfTheVoters)
+TEST (RaftLease, RequiresMajorityOfVoters)
 {
     MemberSet members = testVoters (5);
     members.members.push_back (testMember (6, false));
-    LoneMember leader (members);
+    MemberHarness leader (members);
     leader.lead ({ 2, 3 });
     leader.acknowledge (2, 1);
     leader.acknowledge (3, 1);
@@ -238,9 +238,9 @@
     EXPECT_TRUE (leader.holdsLease());
 }
 
-TEST (RaftLease, needsAnAppliedEntryOfTheOwnTerm)
+TEST (RaftLease, RequiresAppliedEntryOfCurrentTerm)
 {
-    LoneMember leader (testVoters (3), recoveredLog ({ 1, 0 }, { 1, 1 }));
+    MemberHarness leader (testVoters (3), recoveredLog ({ 1, 0 }, { 1, 1 }));
     leader.lead ({ 2 });
     leader.acknowledge (2, 2);
     EXPECT_FALSE (leader.holdsLease()) << "entry 3, of its own term, is not committed";
@@ -248,9 +248,9 @@
     EXPECT_TRUE (leader.holdsLease());
 }
 
-TEST (RaftLease, isNotExtendedByRepliesToAnEarlierMembershipOfTheSameMember)
+TEST (RaftLease, IsNotExtendedByRepliesFromBeforeReadmission)
 {
-    LoneMember leader (testVoters (3));
+    MemberHarness leader (testVoters (3));
     leader.lead ({ 2 });
     leader.acknowledge (2, 1);
     leader.advance (milliseconds (500));
@@ -263,20 +263,21 @@
     leader.sync();
     members.members.push_back (testMember (3, false));
     ASSERT_EQ (leader.proposeMembers (members), std::nullopt);
-    leader.forgetSent();
+    leader.clearSent();
     leader.advance (milliseconds (50));
     ASSERT_GT (leader.lastRoundTo (3), 0U);
-    EXPECT_GT (leader.lastRoundTo (3), earlierRound) << "a round names one message of this leader";
+    EXPECT_GT (leader.lastRoundTo (3), earlierRound)
+        << "rounds are unique among all messages of a leader";
 }
 
-/// Whether a voter ever grants a vote while the leader it confirmed still holds its lease, when the
-/// voter's clock runs `ratio` times as fast as the leader's.
-bool leaseOutlivesPromise (double ratio)
+/// Returns whether a voter grants a vote while the leader that it confirmed still holds its lease,
+/// when the voter's clock runs `ratio` times as fast as the leader's.
+bool leaseOverlapsVoteGrant (double ratio)
 {
-    LoneMember leader (testVoters (3));
+    MemberHarness leader (testVoters (3));
     leader.lead ({ 2 });
     leader.acknowledge (2, 1);
-    LoneMember voter (testVoters (3), recoveredLog ({ 1, 2 }, { 1 }));
+    MemberHarness voter (testVoters (3), recoveredLog ({ 1, 2 }, { 1 }));
     voter.receive (2, 1, AppendRequest{ 1, 1, 1, 1, {} });
     const auto leaderStart = leader.now();
     const auto voterStart = voter.now();
@@ -297,23 +298,24 @@
     return false;
 }
 
-TEST (RaftLease, holdsUpToTheStatedClockDrift)
+TEST (RaftLease, IsSafeUpToTheMaximumClockDrift)
 {
     const RaftOptions options;
     const double bound =
         static_cast<double> (options.electionTimeoutMinimum.count())
         / static_cast<double> ((options.electionTimeoutMinimum - options.leaseMargin).count());
     EXPECT_DOUBLE_EQ (bound, 1.25);
-    EXPECT_FALSE (leaseOutlivesPromise (1.0));
-    EXPECT_FALSE (leaseOutlivesPromise (bound));
-    EXPECT_TRUE (leaseOutlivesPromise (bound + 0.05)) << "this check can fail";
+    EXPECT_FALSE (leaseOverlapsVoteGrant (1.0));
+    EXPECT_FALSE (leaseOverlapsVoteGrant (bound));
+    EXPECT_TRUE (leaseOverlapsVoteGrant (bound + 0.05))
+        << "beyond the bound the check detects an overlap";
 }
 
-TEST (RaftCheckQuorum, aLeaderThatHearsNoMajorityStepsDown)
+TEST (RaftCheckQuorum, LeaderWithoutMajorityStepsDown)
 {
     MemberSet members = testVoters (3);
     members.members.push_back (testMember (4, false));
-    LoneMember leader (members);
+    MemberHarness leader (members);
     leader.lead ({ 2 });
     leader.acknowledge (2, 1);
     leader.advance (milliseconds (595));
@@ -324,9 +326,9 @@
     EXPECT_FALSE (leader.propose ("x"));
 }
 
-TEST (RaftCheckQuorum, aLeaderThatHearsAMajorityStays)
+TEST (RaftCheckQuorum, LeaderWithMajorityKeepsLeading)
 {
-    LoneMember leader (testVoters (5));
+    MemberHarness leader (testVoters (5));
     leader.lead ({ 2, 3 });
     for (int step = 0; step < 20; ++step)
     {
--- a/src/consensus/RaftFollower.cpp
+++ b/src/consensus/RaftFollower.cpp
@@ -6,11 +6,11 @@
 namespace fernlift::consensus
 {
 
-void RaftNode::Implementation::noteLeader (MemberId leader)
+void RaftNode::Implementation::onLeaderContact (MemberId leader)
 {
     if (m_role != Role::kFollower || m_leader != leader)
         becomeFollower (m_hardState.term, leader);
-    m_leaderHeardAt = m_now;
+    m_leaderContactAt = m_now;
     resetElectionTimer();
 }
 
@@ -25,11 +25,11 @@
         send (message.from, refusal);
         return;
     }
-    noteLeader (message.from);
+    onLeaderContact (message.from);
     if (const auto hint = findMismatch (request))
     {
         refusal.hintIndex = *hint;
-        // Even a refusal extends the leader's lease, so this member's term must be on disk.
+        // Even a refusal extends the leader's lease, so this member's term must be synced.
         sendWhenSynced (message.from, refusal);
         return;
     }
@@ -41,7 +41,7 @@
 
 std::optional<LogIndex> RaftNode::Implementation::findMismatch (const AppendRequest& request) const
 {
-    // Committed entries equal the leader's.
+    // Committed entries are equal on all members, so the request matches.
     if (request.previousIndex <= m_commitIndex)
         return std::nullopt;
     const auto term = m_log.termAt (request.previousIndex);
@@ -86,7 +86,7 @@
     const bool isHeartbeat = request.entries.empty();
     if (isHeartbeat && m_persist.isHardStateSynced() && ! m_persist.isSynced())
     {
-        // The leader hears at once that this member is alive, whatever its disk is doing.
+        // Replies at once, so that a slow disk does not make this member look dead to the leader.
         AppendReply partial = reply;
         partial.matchIndex = std::min (matchedIndex, m_persist.stableIndex());
         send (leader, partial);
--- a/src/consensus/RaftImplementation.cpp
+++ b/src/consensus/RaftImplementation.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/// What is committed is written down with the next entries, or after this time without any.
-constexpr base::Duration kCommitNoteDelay = base::seconds (1);
+/// The commit index is persisted with the next entries, or after this delay if there are none.
+constexpr base::Duration kCommitRecordDelay = base::seconds (1);
 
 }  // namespace
 
@@ -28,9 +28,9 @@
       m_commitIndex (std::max (m_log.snapshot().lastIndex,
                                std::min (m_hardState.commitIndex, m_log.lastIndex()))),
       m_appliedIndex (m_log.snapshot().lastIndex),
-      m_notedCommitIndex (m_commitIndex),
+      m_recordedCommitIndex (m_commitIndex),
       m_now (now),
-      m_leaderHeardAt (now)
+      m_leaderContactAt (now)
 {
     if (m_appliedIndex > 0)
         m_installedSnapshot = m_log.snapshot();
@@ -50,7 +50,7 @@
     observe (now);
     if (m_hasStorageFailed)
         return;
-    noteCommitIfDue();
+    recordCommitIfDue();
     if (isLeader())
     {
         leaderTick();
@@ -118,8 +118,8 @@
     if (isLeader())
         replicate();
     m_hardState.commitIndex = m_commitIndex;
-    if (m_persist.noteCommitted (m_hardState))
-        m_notedCommitIndex = m_commitIndex;
+    if (m_persist.recordCommitted (m_hardState))
+        m_recordedCommitIndex = m_commitIndex;
     output.writes = m_persist.take();
     output.messages = std::exchange (m_messages, {});
     output.installedSnapshot = std::exchange (m_installedSnapshot, std::nullopt);
@@ -191,7 +191,7 @@
     if (term == m_hardState.term && votedFor == m_hardState.votedFor)
         return;
     m_hardState = { term, votedFor, m_commitIndex };
-    m_notedCommitIndex = m_commitIndex;
+    m_recordedCommitIndex = m_commitIndex;
     m_persist.setHardState (m_hardState);
 }
 
@@ -222,14 +222,14 @@
     if (reached == m_commitIndex)
         return;
     m_commitIndex = reached;
-    m_commitNoteDueAt = m_now + kCommitNoteDelay;
+    m_commitRecordDueAt = m_now + kCommitRecordDelay;
 }
 
-void RaftNode::Implementation::noteCommitIfDue()
+void RaftNode::Implementation::recordCommitIfDue()
 {
-    if (m_notedCommitIndex == m_commitIndex || m_now < m_commitNoteDueAt)
+    if (m_recordedCommitIndex == m_commitIndex || m_now < m_commitRecordDueAt)
         return;
-    m_notedCommitIndex = m_commitIndex;
+    m_recordedCommitIndex = m_commitIndex;
     m_hardState.commitIndex = m_commitIndex;
     m_persist.setHardState (m_hardState);
 }
@@ -238,11 +238,11 @@
 {
     const bool canPropose = isLeader() && ! m_transfer.has_value();
     if (! canPropose)
-        return base::fail (base::ErrorKind::kNotLeader, "this member does not lead");
+        return base::fail (base::ErrorKind::kNotLeader, "this member is not the leader");
     return {};
 }
 
-bool RaftNode::Implementation::isReplyOfStranger (const Message& message) const
+bool RaftNode::Implementation::isReplyFromNonMember (const Message& message) const
 {
     const bool isReply = std::holds_alternative<VoteReply> (message.payload)
                          || std::holds_alternative<AppendReply> (message.payload)
@@ -252,7 +252,7 @@
 
 void RaftNode::Implementation::dispatch (const Message& message)
 {
-    if (isReplyOfStranger (message))
+    if (isReplyFromNonMember (message))
         return;
     if (const auto* request = std::get_if<VoteRequest> (&message.payload))
     {
--- a/src/consensus/RaftImplementation.h
+++ b/src/consensus/RaftImplementation.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// State and parts of RaftNode, for its own files only. Elections are in RaftElection.cpp, copying
-/// the log to other members in RaftReplication.cpp, receiving it in RaftFollower.cpp, snapshots in
-/// RaftSnapshot.cpp, changes of the members and of the leader in RaftMembership.cpp.
+/// Private implementation class of RaftNode. Elections are in RaftElection.cpp, replication of the
+/// log by the leader in RaftReplication.cpp, its receipt by followers in RaftFollower.cpp,
+/// snapshots in RaftSnapshot.cpp, membership changes and leadership transfer in RaftMembership.cpp.
 
 #include <map>
 #include <optional>
@@ -23,17 +23,18 @@
 /**
  * Decides for one member what it writes, sends and applies.
  *
- * Every call is one step: it takes the time as `observe` sees it, changes the state below and
- * leaves writes in `m_persist` and messages in `m_messages`, which `takeOutput` hands over. Nothing
- * is written, sent or waited for here, so a step either happens as a whole or, when the process
- * dies, not at all.
+ * Every call is one step: it updates the time by `observe`, changes the state below and leaves
+ * writes in `m_persist` and messages in `m_messages`, which `takeOutput` returns. The class itself
+ * performs no I/O and never waits, so a step is either complete or, when the process crashes, has
+ * no effect.
  *
  * Threading: none. All calls come from one thread; the object owns all its state and holds no
  * reference to anything outside.
  *
- * Safety rests on three rules that every change must keep: a message that vouches for state leaves
- * only once that state is synced (`sendWhenSynced`), nothing at or below `m_commitIndex` is ever
- * truncated, and a leader commits by counting only entries of its own term.
+ * Safety depends on three rules that every change must keep: a message that depends on durable
+ * state is sent only once that state is synced (`sendWhenSynced`), nothing at or below
+ * `m_commitIndex` is ever truncated, and a leader commits by counting replicas only of entries of
+ * its own term.
  */
 class RaftNode::Implementation
 {
@@ -56,12 +57,12 @@
     [[nodiscard]] const MemberSet& members() const { return m_log.members(); }
 
 private:
-    /// A planned hand-over of leadership.
+    /// A leadership transfer in progress.
     struct Transfer
     {
-        MemberId target = 0;         ///< The voter that was furthest when the transfer began.
-        base::TimePoint deadline;    ///< The term ends then, if the target has not taken over.
-        bool isRequestSent = false;  ///< The target has everything and was asked to campaign.
+        MemberId target = 0;         ///< The most advanced voter when the transfer began.
+        base::TimePoint deadline;    ///< Time at which this leader steps down if it still leads.
+        bool isRequestSent = false;  ///< TransferLeadership was sent; the target has all entries.
     };
 
     // Common parts (RaftImplementation.cpp).
@@ -70,18 +71,19 @@
     [[nodiscard]] bool isSelfVoter() const;
     void send (MemberId to, Payload payload);
     void sendWithTerm (MemberId to, Term term, Payload payload);
-    /// Sends once everything decided so far is synced.
+    /// Sends the message once every change of the durable state made so far is synced.
     void sendWhenSynced (MemberId to, Payload payload);
     void setHardState (Term term, MemberId votedFor);
     void becomeFollower (Term term, MemberId leader);
     void appendToLog (EntryKind kind, std::string data);
     void advanceCommit (LogIndex index);
-    /// Writes down what is committed when no entry has done so for a while.
-    void noteCommitIfDue();
+    /// Persists the commit index when no entry has carried it to disk for kCommitRecordDelay.
+    void recordCommitIfDue();
     [[nodiscard]] base::Result<void> requireLeader() const;
     void dispatch (const Message& message);
-    /// A reply of a member that this one would not ask: it was removed, perhaps with a later term.
-    [[nodiscard]] bool isReplyOfStranger (const Message& message) const;
+    /// True for a reply from a process that is not a member. A removed member may reply in a later
+    /// term, which must not depose the leader.
+    [[nodiscard]] bool isReplyFromNonMember (const Message& message) const;
 
     // Elections (RaftElection.cpp).
     void resetElectionTimer();
@@ -91,7 +93,7 @@
     void requestVotes (bool isPreVote, bool isLeadershipTransfer);
     void becomeLeader();
     void countVotes();
-    /// A leader was heard so lately that its lease may still hold.
+    /// True when the last contact with a leader is so recent that its lease may still be valid.
     [[nodiscard]] bool mayLeaderHoldLease() const;
     [[nodiscard]] bool isUpToDate (const VoteRequest& request) const;
     void onVoteRequest (const Message& message, const VoteRequest& request);
@@ -99,7 +101,7 @@
     void onVoteReply (const Message& message, const VoteReply& reply);
 
     // Leader (RaftReplication.cpp).
-    /// Number for the next message to `member`, sent now.
+    /// Returns the round of the next message to `member` and records that it is sent now.
     std::uint64_t beginRound (MemberReplication& member);
     void leaderTick();
     void checkQuorum();
@@ -109,13 +111,13 @@
     void sendEntries (MemberId id, MemberReplication& member);
     void onAppendReply (MemberId from, const AppendReply& reply);
     void commitByMajority();
-    /// When the last round confirmed by a majority was sent; none before the first.
+    /// Time at which the latest round confirmed by a majority was sent; none before the first one.
     [[nodiscard]] std::optional<base::TimePoint> majorityConfirmedAt() const;
 
     // Follower (RaftFollower.cpp).
-    void noteLeader (MemberId leader);
+    void onLeaderContact (MemberId leader);
     void onAppendRequest (const Message& message, const AppendRequest& request);
-    /// Index to try next when the request does not fit this log; none when it does.
+    /// Index that the leader should try next; none when the request matches this log.
     [[nodiscard]] std::optional<LogIndex> findMismatch (const AppendRequest& request) const;
     void storeEntries (const std::vector<Entry>& entries);
     void acknowledge (MemberId leader, const AppendRequest& request, LogIndex matchedIndex);
@@ -130,43 +132,44 @@
     // Members and leadership (RaftMembership.cpp).
     void updateMemberReplications();
     [[nodiscard]] base::Result<void> checkPromotion (MemberId id) const;
-    void leaveIfRemoved();
+    void stepDownIfRemoved();
     void progressTransfer();
     void onTransferLeadership (const Message& message);
 
-    const MemberId m_self;        ///< Never 0; never reused after a lost disk.
-    const RaftOptions m_options;  ///< Equal on all members.
-    base::Random m_random;        ///< Spreads election timeouts; no rule of safety rests on it.
-    RaftLog m_log;           ///< As written, synced or not; holds everything up to m_commitIndex.
-    PersistQueue m_persist;  ///< Every change of m_log and m_hardState passes through it, in order.
-    HardState m_hardState;   ///< Latest, synced or not; the term never goes back.
-    Role m_role = Role::kFollower;    ///< kLeader only in a term whose vote for itself is synced.
-    MemberId m_leader = 0;            ///< Leader of the present term; 0 until it is heard.
-    LogIndex m_commitIndex = 0;       ///< Never goes back; at least m_log.snapshot().lastIndex.
-    LogIndex m_appliedIndex = 0;      ///< Handed over for applying; never beyond m_commitIndex.
-    LogIndex m_notedCommitIndex = 0;  ///< On its way to disk or there; never beyond m_commitIndex.
-    base::TimePoint m_commitNoteDueAt{};  ///< While something is committed that is not noted.
-    bool m_hasStorageFailed = false;      ///< For good: from then on this member is silent.
-
-    base::TimePoint m_now;               ///< Latest time seen; never goes back.
-    base::TimePoint m_leaderHeardAt;     ///< Or the start: promises made before it are not known.
-    base::TimePoint m_electionDeadline;  ///< Without a leader until then, a voter campaigns.
-    base::TimePoint m_preVoteResendAt;   ///< A pre-candidate asks again then.
-    std::set<MemberId> m_votes;  ///< Granted to this campaign, of pre-votes or votes by m_role.
-
-    // Leader only; without meaning in other roles.
+    const MemberId m_self;          ///< Never 0, and never reused after the disk was lost.
+    const RaftOptions m_options;    ///< Equal on all members.
+    base::Random m_random;          ///< Spreads election timeouts; safety does not depend on it.
+    RaftLog m_log;                  ///< Current log, synced or not; complete up to m_commitIndex.
+    PersistQueue m_persist;         ///< Receives every change of m_log and m_hardState, in order.
+    HardState m_hardState;          ///< Current state, synced or not; the term never decreases.
+    Role m_role = Role::kFollower;  ///< kLeader only once this member's vote for itself is synced.
+    MemberId m_leader = 0;          ///< Leader of the current term; 0 while unknown.
+    LogIndex m_commitIndex = 0;     ///< Never decreases; at least m_log.snapshot().lastIndex.
+    LogIndex m_appliedIndex = 0;    ///< Last index output for applying; at most m_commitIndex.
+    LogIndex m_recordedCommitIndex = 0;  ///< Commit index queued or on disk; at most m_commitIndex.
+    base::TimePoint m_commitRecordDueAt{};  ///< Meaningful while m_recordedCommitIndex is behind.
+    bool m_hasStorageFailed = false;        ///< Permanent; this member then sends nothing more.
+
+    base::TimePoint m_now;               ///< Latest time passed by a caller; never decreases.
+    base::TimePoint m_leaderContactAt;   ///< Last contact with a leader; initially the start, as
+                                         ///< earlier contacts are unknown.
+    base::TimePoint m_electionDeadline;  ///< A voter without contact to a leader campaigns then.
+    base::TimePoint m_preVoteResendAt;   ///< Time at which a pre-candidate repeats its requests.
+    std::set<MemberId> m_votes;  ///< Members that granted a pre-vote or vote, depending on m_role.
+
+    // Used by the leader only.
     std::map<MemberId, MemberReplication>
-        m_replications;                   ///< Of every other member in m_log.members().
-    std::uint64_t m_lastRound = 0;        ///< Of the messages to all members; never goes back.
-    LogIndex m_firstIndexOfTerm = 0;      ///< The entry with which this leader began its term.
-    std::optional<Transfer> m_transfer;   ///< While set: no proposals and no lease.
-    std::string m_encodedSnapshot;        ///< Snapshot being sent; that of m_encodedSnapshotIndex.
-    LogIndex m_encodedSnapshotIndex = 0;  ///< 0: none is encoded.
+        m_replications;                  ///< One for every other member in m_log.members().
+    std::uint64_t m_lastRound = 0;       ///< Last round sent to any member; never decreases.
+    LogIndex m_firstIndexOfTerm = 0;     ///< Index of the first entry of this leader's term.
+    std::optional<Transfer> m_transfer;  ///< While set, proposals are refused and no lease is held.
+    std::string m_encodedSnapshot;       ///< Encoded snapshot that is being sent.
+    LogIndex m_encodedSnapshotIndex = 0;  ///< Last index of m_encodedSnapshot; 0 if empty.
 
     SnapshotReceiver
-        m_snapshotReceiver;           ///< Chunks received so far; lost in a crash, then sent anew.
-    std::vector<Message> m_messages;  ///< Vouch for synced state only.
-    std::optional<Snapshot> m_installedSnapshot;  ///< Goes out before any entry after it.
+        m_snapshotReceiver;  ///< Chunks received so far; not durable, so sent again after a crash.
+    std::vector<Message> m_messages;  ///< Messages to send; they depend on synced state only.
+    std::optional<Snapshot> m_installedSnapshot;  ///< Output before any entry that follows it.
 };
 
 }  // namespace fernlift::consensus
--- a/src/consensus/RaftLog.cpp
+++ b/src/consensus/RaftLog.cpp
@@ -66,7 +66,7 @@
 void RaftLog::append (Entry entry)
 {
     assert (entry.index == lastIndex() + 1);
-    noteMembers (entry);
+    recordMembers (entry);
     m_entries.push_back (std::move (entry));
 }
 
@@ -88,7 +88,7 @@
     {
         m_memberHistory.erase (m_memberHistory.begin());
     }
-    // The log of a learner may begin without naming any members; the snapshot names them.
+    // The log of a learner may begin without any members; the snapshot contains them.
     m_memberHistory.front().second = m_snapshot.members;
     while (m_precedingIndex + keptEntries < m_snapshot.lastIndex)
     {
@@ -115,7 +115,7 @@
     return std::prev (firstLater)->second;
 }
 
-void RaftLog::noteMembers (const Entry& entry)
+void RaftLog::recordMembers (const Entry& entry)
 {
     if (entry.kind != EntryKind::kMembership)
         return;
--- a/src/consensus/RaftLog.h
+++ b/src/consensus/RaftLog.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The log of one member in memory: the entries after the last snapshot, some before it, and the
-/// members in force at each of them.
+/// In-memory log of one member: the entries after the last snapshot, some before it, and the
+/// members in effect at each index. Persistence is left to PersistQueue.
 
 #include <cstddef>
 #include <deque>
@@ -15,10 +15,10 @@
 {
 
 /**
- * Keeps the entries of one member and answers for terms and members at an index.
+ * Holds the entries of one member and looks up the term and the members at an index.
  *
- * The entries are contiguous, and those up to the snapshot stay only as long as compaction keeps
- * them. Truncation below the commit index is the caller's to avoid: the log knows no commit.
+ * The entries are contiguous; those up to the snapshot stay only as long as compaction keeps them.
+ * The log does not track the commit index, so the caller must not truncate committed entries.
  *
  * Threading: none; owned by RaftNode.
  */
@@ -28,7 +28,7 @@
     /// `entries` are contiguous and start after the snapshot.
     RaftLog (Snapshot snapshot, std::vector<Entry> entries, MemberSet initialMembers);
 
-    /// Index of the first entry held; entries before it are only in the snapshot.
+    /// Index of the first entry held; earlier entries are only in the snapshot.
     [[nodiscard]] LogIndex firstIndex() const { return m_precedingIndex + 1; }
     [[nodiscard]] LogIndex lastIndex() const { return m_precedingIndex + m_entries.size(); }
     [[nodiscard]] Term lastTerm() const;
@@ -45,29 +45,29 @@
     void append (Entry entry);
     /// Drops the entries with index >= `index`.
     void truncateFrom (LogIndex index);
-    /// Keeps a snapshot of this log's own prefix; `keptEntries` of the entries it covers
-    /// stay for members that lag a little.
+    /// Sets a snapshot of a prefix of this log. Of the entries that it covers, the last
+    /// `keptEntries` stay, for members that lag a little.
     void compact (Snapshot snapshot, std::size_t keptEntries);
-    /// Replaces the whole log by a received snapshot.
+    /// Replaces the whole log with a received snapshot.
     void replaceBy (Snapshot snapshot);
 
     [[nodiscard]] const Snapshot& snapshot() const { return m_snapshot; }
-    /// The latest members in the log, committed or not: those are in force.
+    /// Latest members in the log, which are in effect whether committed or not.
     [[nodiscard]] const MemberSet& members() const { return m_memberHistory.back().second; }
-    /// Index of the entry that named members(); 0 for the initial ones.
+    /// Index of the entry that set members(); 0 for the initial members.
     [[nodiscard]] LogIndex membersIndex() const { return m_memberHistory.back().first; }
-    /// Members in force at `index`, which is not before the snapshot.
+    /// Members in effect at `index`. Requires index >= snapshot().lastIndex.
     [[nodiscard]] const MemberSet& membersAt (LogIndex index) const;
 
 private:
-    void noteMembers (const Entry& entry);
+    void recordMembers (const Entry& entry);
 
-    Snapshot m_snapshot;  ///< Its lastIndex lies between m_precedingIndex and lastIndex().
-    LogIndex m_precedingIndex = 0;  ///< Index and term of the entry just before m_entries.
-    Term m_precedingTerm = 0;
-    std::deque<Entry> m_entries;  ///< Indexes m_precedingIndex + 1 and on, without a gap.
-    /// Member sets by the index that named them, ascending and never empty; the first one is from
-    /// the snapshot or the start.
+    Snapshot m_snapshot;            ///< Ends between m_precedingIndex and lastIndex().
+    LogIndex m_precedingIndex = 0;  ///< Index of the entry just before m_entries.
+    Term m_precedingTerm = 0;       ///< Term of the entry just before m_entries.
+    std::deque<Entry> m_entries;    ///< Contiguous from m_precedingIndex + 1 on.
+    /// Member sets by the index of the entry that set them, ascending and never empty. The first
+    /// one is from the snapshot or the initial members.
     std::vector<std::pair<LogIndex, MemberSet>> m_memberHistory;
 };
 
--- a/src/consensus/RaftMembership.cpp
+++ b/src/consensus/RaftMembership.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// A learner may be promoted when it lacks at most this many committed entries.
+/// A learner can be promoted when it lacks at most this many committed entries.
 constexpr LogIndex kMaximumPromotionLag = 128;
 
 boost::leaf::error_id refuse (std::string message)
@@ -24,13 +24,14 @@
 {
     observe (now);
     BOOST_LEAF_CHECK (requireLeader());
-    // A majority of the present members must know this leader before the members change.
+    // An entry of this term must be committed first: a majority of the current members then follows
+    // this leader.
     if (m_commitIndex < m_firstIndexOfTerm)
-        return refuse ("the leader has just been elected");
+        return refuse ("the new leader has not committed an entry of its term yet");
     const bool isChanging = m_log.membersIndex() > m_commitIndex
                             && m_options.plantedFault != PlantedFault::kConcurrentMembershipChanges;
     if (isChanging)
-        return refuse ("another change is in progress");
+        return refuse ("another membership change is not committed yet");
     std::sort (members.members.begin(), members.members.end(),
                [] (const Member& left, const Member& right) { return left.id < right.id; });
     BOOST_LEAF_AUTO (change, classifyChange (m_log.members(), members));
@@ -65,7 +66,7 @@
     }
 }
 
-void RaftNode::Implementation::leaveIfRemoved()
+void RaftNode::Implementation::stepDownIfRemoved()
 {
     const bool isChangeCommitted = m_log.membersIndex() <= m_commitIndex;
     if (isSelfVoter() || ! isChangeCommitted)
@@ -79,7 +80,7 @@
 {
     observe (now);
     if (! isLeader())
-        return base::fail (base::ErrorKind::kNotLeader, "this member does not lead");
+        return base::fail (base::ErrorKind::kNotLeader, "this member is not the leader");
     if (m_transfer)
         return {};
     MemberId target = 0;
@@ -94,7 +95,8 @@
     }
     if (target == 0)
     {
-        return base::fail (base::ErrorKind::kNoQuorum, "no other voter can take over leadership");
+        return base::fail (base::ErrorKind::kNoQuorum,
+                           "no other voter is reachable to take over leadership");
     }
     m_transfer = Transfer{ target, m_now + m_options.electionTimeoutMaximum, false };
     progressTransfer();
--- a/src/consensus/RaftNodeTest.cpp
+++ b/src/consensus/RaftNodeTest.cpp
@@ -19,7 +19,8 @@
 using base::milliseconds;
 using base::TimePoint;
 
-/// Members joined by a network without delay and disks that sync at once, unless told otherwise.
+/// Cluster of members with a network without delay. Disks sync at once unless a test stops them,
+/// and a test can cut members off.
 class RaftNodeTest : public ::testing::Test
 {
 protected:
@@ -149,7 +150,7 @@
     std::deque<Message> m_wire;
 };
 
-TEST_F (RaftNodeTest, ASingleMemberLeadsAndCommits)
+TEST_F (RaftNodeTest, SingleMemberLeadsAndCommits)
 {
     startAll (1);
     run (milliseconds (700));
@@ -160,7 +161,7 @@
     EXPECT_TRUE (node (1).holdsLease (m_now));
 }
 
-TEST_F (RaftNodeTest, ASingleMemberCommitsNothingBeforeItsDiskIsSynced)
+TEST_F (RaftNodeTest, SingleMemberCommitsOnlyOnceSynced)
 {
     startAll (1);
     run (milliseconds (700));
@@ -198,7 +199,7 @@
     EXPECT_EQ (m_slots[first].applied, m_slots[second].applied);
 }
 
-TEST_F (RaftNodeTest, AVoteIsSentOnlyOnceItIsSynced)
+TEST_F (RaftNodeTest, VoteIsSentOnlyOnceSynced)
 {
     start (1, voters (3));
     m_now += milliseconds (1000);
@@ -213,7 +214,7 @@
     EXPECT_TRUE (std::get<VoteReply> (output.messages[0].payload).granted);
 }
 
-TEST_F (RaftNodeTest, ARestartedMemberKeepsItsVote)
+TEST_F (RaftNodeTest, RestartedMemberKeepsItsVote)
 {
     RecoveredState state;
     state.hardState = { 5, 2 };
@@ -225,7 +226,7 @@
     EXPECT_FALSE (std::get<VoteReply> (output.messages[0].payload).granted);
 }
 
-TEST_F (RaftNodeTest, ARestartedMemberAppliesWhatItKnewToBeCommittedWithoutALeader)
+TEST_F (RaftNodeTest, RestartedMemberAppliesCommittedEntriesWithoutLeader)
 {
     const RecoveredState state = recoveredLog ({ 5, 2, 2 }, { 4, 4, 5 });
     start (1, voters (3), state);
@@ -234,14 +235,14 @@
     EXPECT_EQ (output.committed.back().index, 2U);
 }
 
-TEST_F (RaftNodeTest, ANoteOfWhatIsCommittedNeverReachesBeyondTheLog)
+TEST_F (RaftNodeTest, RecoveredCommitIndexIsLimitedToTheLog)
 {
     const RecoveredState state = recoveredLog ({ 5, 2, 9 }, { 4, 4, 5 });
     start (1, voters (3), state);
     EXPECT_EQ (node (1).takeOutput().committed.size(), 3U);
 }
 
-TEST_F (RaftNodeTest, TheNextEntriesNoteWhatIsCommitted)
+TEST_F (RaftNodeTest, CommitIndexIsPersistedWithTheNextEntries)
 {
     start (1, voters (3));
     const Entry first{ 1, 1, EntryKind::kCommand, "a" };
@@ -256,7 +257,7 @@
     EXPECT_EQ (output.writes[0].hardState->term, 1U);
 }
 
-TEST_F (RaftNodeTest, WhatIsCommittedIsNotedAfterAWhileWithoutEntries)
+TEST_F (RaftNodeTest, CommitIndexIsPersistedAfterADelayWithoutEntries)
 {
     start (1, voters (3));
     const Entry first{ 1, 1, EntryKind::kCommand, "a" };
@@ -272,12 +273,12 @@
     EXPECT_EQ (output.writes[0].hardState->commitIndex, 1U);
 }
 
-TEST_F (RaftNodeTest, AMemberThatHeardALeaderOrJustStartedRefusesToVote)
+TEST_F (RaftNodeTest, RestartedMemberIgnoresVoteRequestsExceptTransfers)
 {
     start (1, voters (3));
     node (1).receive ({ 3, 1, 9, VoteRequest{ false, false, 9, 4 } }, m_now + milliseconds (299));
     EXPECT_TRUE (node (1).takeOutput().messages.empty())
-        << "promises before the start are not known";
+        << "votes are withheld, as contacts before the start are unknown";
     node (1).receive ({ 3, 1, 9, VoteRequest{ false, true, 9, 4 } }, m_now + milliseconds (299));
     EXPECT_EQ (node (1).takeOutput().writes.size(), 1U) << "leadership transfer";
 }
@@ -297,7 +298,7 @@
     EXPECT_EQ (std::get<AppendReply> (output.messages[0].payload).matchIndex, 2U);
 }
 
-TEST_F (RaftNodeTest, AFailedDiskStopsTheMember)
+TEST_F (RaftNodeTest, MemberWithFailedDiskStopsLeading)
 {
     startAll (3);
     run (milliseconds (2000));
@@ -309,7 +310,7 @@
     EXPECT_NE (leader(), first);
 }
 
-TEST_F (RaftNodeTest, LeadershipIsHandedOverAtOnce)
+TEST_F (RaftNodeTest, LeadershipTransferTakesEffectAtOnce)
 {
     startAll (3);
     run (milliseconds (2000));
@@ -323,7 +324,7 @@
     EXPECT_NE (leader(), 0U);
 }
 
-TEST_F (RaftNodeTest, ALearnerWithAnEmptyDiskGetsASnapshotAndIsPromoted)
+TEST_F (RaftNodeTest, LearnerWithEmptyDiskReceivesSnapshotAndIsPromoted)
 {
     m_options.snapshotChunkBytes = 1000;
     startAll (3);
@@ -354,7 +355,7 @@
     run (milliseconds (100));
     EXPECT_TRUE (isVoter (statusOf (4).members, 4));
 
-    // The member replaced leaves, and one more is lost: the quorum goes on.
+    // After the replaced member is removed and another one is lost, the quorum still commits.
     const MemberId removed = first == 1 ? 2 : 1;
     std::erase_if (members.members, [&] (const Member& item) { return item.id == removed; });
     EXPECT_EQ (proposeMembers (first, members), std::nullopt);
@@ -371,7 +372,7 @@
     EXPECT_EQ (statusOf (leader()).commitIndex, statusOf (leader()).lastIndex);
 }
 
-TEST_F (RaftNodeTest, ALeaderThatRemovesItselfLeavesOnceThatIsCommitted)
+TEST_F (RaftNodeTest, LeaderThatRemovesItselfStepsDownOnceCommitted)
 {
     startAll (3);
     run (milliseconds (2000));
--- a/src/consensus/RaftReplication.cpp
+++ b/src/consensus/RaftReplication.cpp
@@ -14,7 +14,8 @@
         return;
     if (m_transfer && m_now >= m_transfer->deadline)
     {
-        // The request to take over may still arrive, so this term cannot go on.
+        // The target may still receive the request and campaign, so this leader cannot resume its
+        // lease in this term.
         becomeFollower (m_hardState.term, 0);
         return;
     }
@@ -144,7 +145,7 @@
         { return id == m_self ? m_persist.stableIndex() : m_replications.at (id).matchIndex; });
     if (index <= m_commitIndex)
         return;
-    // Entries of earlier terms are committed only through one of this term.
+    // Entries of earlier terms are committed only together with an entry of the current term.
     const bool isOfThisTerm = m_log.termAt (index) == m_hardState.term;
     const bool countsAnyTerm =
         m_options.plantedFault == PlantedFault::kCommitOfEarlierTermByCounting;
@@ -153,11 +154,11 @@
     advanceCommit (index);
     for (auto& [id, member] : m_replications)
     {
-        // Members learn of the commit at once when no entries are on their way to them.
+        // Without entries in flight, a heartbeat at the next tick carries the new commit index.
         if (member.inflightCount() == 0)
             member.heartbeatDueAt = m_now;
     }
-    leaveIfRemoved();
+    stepDownIfRemoved();
 }
 
 std::optional<base::TimePoint> RaftNode::Implementation::majorityConfirmedAt() const
--- a/src/consensus/RaftReplicationTest.cpp
+++ b/src/consensus/RaftReplicationTest.cpp
@@ -1,4 +1,4 @@
-// Copying of the log, snapshots, membership and leadership transfer, seen from one member.
+// Tests of log replication, snapshots, membership and leadership transfer of a single member.
 
 #include <gtest/gtest.h>
 
@@ -22,7 +22,7 @@
     return { lastIndex, lastTerm, testVoters (3), std::move (data) };
 }
 
-/// The encoded snapshot in `count` chunks.
+/// Returns the encoded snapshot in `count` chunks.
 std::vector<SnapshotChunk> chunksOf (const Snapshot& snapshot, std::size_t count)
 {
     const std::string bytes = wire::encodeValue (snapshot);
@@ -36,7 +36,7 @@
     return chunks;
 }
 
-bool isAcknowledged (const LoneMember& member, LogIndex index)
+bool isAcknowledged (const MemberHarness& member, LogIndex index)
 {
     for (const AppendReply& reply : member.sent<AppendReply>())
     {
@@ -46,7 +46,7 @@
     return false;
 }
 
-bool isInstalled (const LoneMember& member)
+bool isInstalled (const MemberHarness& member)
 {
     for (const SnapshotReply& reply : member.sent<SnapshotReply>())
     {
@@ -56,9 +56,9 @@
     return false;
 }
 
-TEST (RaftLeader, commitsOnlyThroughAnEntryOfItsOwnTerm)
+TEST (RaftLeader, CommitsOnlyWithAnEntryOfItsOwnTerm)
 {
-    LoneMember leader (testVoters (3), recoveredLog ({ 3, 0 }, { 1, 3 }));
+    MemberHarness leader (testVoters (3), recoveredLog ({ 3, 0 }, { 1, 3 }));
     leader.lead ({ 2 });
     leader.acknowledge (2, 2);
     EXPECT_EQ (leader.status().commitIndex, 0U) << "a majority has entry 2, but of an earlier term";
@@ -67,9 +67,9 @@
     EXPECT_EQ (leader.committed().size(), 3U);
 }
 
-TEST (RaftLeader, ignoresRepliesOfEarlierTerms)
+TEST (RaftLeader, IgnoresRepliesOfEarlierTerms)
 {
-    LoneMember leader (testVoters (3), recoveredLog ({ 3, 0 }, { 3 }));
+    MemberHarness leader (testVoters (3), recoveredLog ({ 3, 0 }, { 3 }));
     leader.lead ({ 2 });
     const Term term = leader.status().term;
     leader.receive (2, term - 1, AppendReply{ true, 2, 0, leader.lastRoundTo (2) });
@@ -78,9 +78,9 @@
     EXPECT_FALSE (leader.holdsLease());
 }
 
-TEST (RaftLeader, countsItsOwnLogOnlyOnceSynced)
+TEST (RaftLeader, CountsItsOwnLogOnlyOnceSynced)
 {
-    LoneMember leader (testVoters (3));
+    MemberHarness leader (testVoters (3));
     leader.lead ({ 2 });
     leader.acknowledge (2, 1);
     ASSERT_EQ (leader.status().commitIndex, 1U);
@@ -95,31 +95,32 @@
     EXPECT_EQ (leader.status().commitIndex, 3U);
 }
 
-TEST (RaftLeader, answersARepeatedRefusalOnce)
+TEST (RaftLeader, AnswersRepeatedRefusalOnce)
 {
-    LoneMember leader (testVoters (3), recoveredLog ({ 3, 0 }, { 1, 2, 3 }));
+    MemberHarness leader (testVoters (3), recoveredLog ({ 3, 0 }, { 1, 2, 3 }));
     leader.lead ({ 2 });
     const AppendReply refusal{ false, 0, 2, leader.lastRoundTo (2) };
-    leader.forgetSent();
+    leader.clearSent();
     leader.receive (2, leader.status().term, refusal);
     EXPECT_EQ (leader.sent<AppendRequest> (2).size(), 1U);
     leader.receive (2, leader.status().term, refusal);
-    EXPECT_EQ (leader.sent<AppendRequest> (2).size(), 1U) << "or duplicates multiply";
+    EXPECT_EQ (leader.sent<AppendRequest> (2).size(), 1U)
+        << "answering every duplicate would multiply them";
 }
 
-TEST (RaftLeader, doesNotCountLearners)
+TEST (RaftLeader, DoesNotCountLearners)
 {
     MemberSet members = testVoters (3);
     members.members.push_back (testMember (4, false));
-    LoneMember leader (members);
+    MemberHarness leader (members);
     leader.lead ({ 2 });
     leader.acknowledge (4, 1);
     EXPECT_EQ (leader.status().commitIndex, 0U);
 }
 
-TEST (RaftFollower, neverTruncatesWhatIsCommitted)
+TEST (RaftFollower, NeverTruncatesCommittedEntries)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 3, 0 }, { 1, 2, 3 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 3, 0 }, { 1, 2, 3 }));
     member.receive (2, 3, AppendRequest{ 3, 3, 2, 1, {} });
     ASSERT_EQ (member.status().commitIndex, 2U);
     member.receive (
@@ -134,9 +135,9 @@
     EXPECT_EQ (member.committed()[1].term, 2U);
 }
 
-TEST (RaftFollower, replacesWhatConflictsAboveTheCommit)
+TEST (RaftFollower, ReplacesConflictingUncommittedEntries)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 2, 0 }, { 1, 2, 2 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 2, 0 }, { 1, 2, 2 }));
     member.receive (3, 3, AppendRequest{ 1, 1, 1, 1, { command (2, 3) } });
     ASSERT_EQ (member.writes().size(), 1U);
     EXPECT_EQ (member.writes()[0].truncateFrom, LogIndex{ 2 });
@@ -144,9 +145,9 @@
     EXPECT_EQ (member.status().lastIndex, 2U);
 }
 
-TEST (RaftFollower, refusesEntriesThatDoNotFollowOnItsLog)
+TEST (RaftFollower, RefusesEntriesThatDoNotMatchItsLog)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 2, 0 }, { 1, 2, 2 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 2, 0 }, { 1, 2, 2 }));
     member.receive (3, 3, AppendRequest{ 5, 3, 5, 1, { command (6, 3) } });
     member.receive (3, 3, AppendRequest{ 3, 3, 5, 1, { command (4, 3) } });
     member.sync();
@@ -159,9 +160,9 @@
     EXPECT_EQ (member.status().commitIndex, 0U);
 }
 
-TEST (RaftFollower, refusesALeaderOfAnEarlierTerm)
+TEST (RaftFollower, RefusesLeaderOfEarlierTerm)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 5, 0 }, { 5 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 5, 0 }, { 5 }));
     member.receive (3, 4, AppendRequest{ 0, 0, 1, 1, { command (1, 4) } });
     ASSERT_EQ (member.messages().size(), 1U);
     EXPECT_EQ (member.messages()[0].term, 5U);
@@ -169,30 +170,31 @@
     EXPECT_EQ (member.status().leader, 0U);
 }
 
-TEST (RaftFollower, acknowledgesAHeartbeatWithWhatIsSyncedOnly)
+TEST (RaftFollower, AcknowledgesOnlySyncedEntriesToHeartbeat)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 1, 0 }, { 1 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 1, 0 }, { 1 }));
     member.receive (2, 1, AppendRequest{ 1, 1, 0, 1, { command (2, 1) } });
     member.receive (2, 1, AppendRequest{ 2, 1, 0, 2, {} });
-    ASSERT_EQ (member.sent<AppendReply>().size(), 1U) << "alive, though its disk is slow";
+    ASSERT_EQ (member.sent<AppendReply>().size(), 1U)
+        << "replies at once although its disk is slow";
     EXPECT_FALSE (isAcknowledged (member, 2));
     member.sync();
     EXPECT_TRUE (isAcknowledged (member, 2));
 }
 
-TEST (RaftFollower, acknowledgesNothingOfAnUnsyncedTerm)
+TEST (RaftFollower, SendsNoAcknowledgementInUnsyncedTerm)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 1, 0 }, { 1 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 1, 0 }, { 1 }));
     member.receive (2, 2, AppendRequest{ 1, 1, 0, 1, {} });
     EXPECT_TRUE (member.messages().empty())
-        << "the lease would rest on a term that may be forgotten";
+        << "the lease would depend on a term that a crash could lose";
     member.sync();
     EXPECT_EQ (member.sent<AppendReply>().size(), 1U);
 }
 
-TEST (RaftFollower, refusesNothingInAnUnsyncedTerm)
+TEST (RaftFollower, SendsNoRefusalInUnsyncedTerm)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 1, 0 }, { 1 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 1, 0 }, { 1 }));
     member.receive (2, 2, AppendRequest{ 5, 2, 0, 1, {} });
     EXPECT_TRUE (member.messages().empty()) << "a refusal confirms the leader's lease as well";
     member.sync();
@@ -200,9 +202,9 @@
     EXPECT_FALSE (member.sent<AppendReply>()[0].accepted);
 }
 
-TEST (RaftFollower, aFailedDiskSilencesIt)
+TEST (RaftFollower, SendsNothingAfterDiskFailure)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 1, 0 }, { 1 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 1, 0 }, { 1 }));
     member.receive (2, 1, AppendRequest{ 1, 1, 0, 1, { command (2, 1) } });
     member.node().onStorageFailed();
     member.sync();
@@ -212,9 +214,9 @@
     EXPECT_TRUE (member.messages().empty());
 }
 
-TEST (RaftSnapshot, isAcknowledgedOnlyOnceSynced)
+TEST (RaftSnapshot, IsAcknowledgedOnlyOnceSynced)
 {
-    LoneMember member (testVoters (3));
+    MemberHarness member (testVoters (3));
     for (const SnapshotChunk& chunk : chunksOf (snapshotAt (50, 2, "state"), 1))
     {
         member.receive (2, 3, chunk);
@@ -226,9 +228,9 @@
     EXPECT_EQ (member.status().commitIndex, 50U);
 }
 
-TEST (RaftSnapshot, chunksOfAnEarlierLeaderAreIgnored)
+TEST (RaftSnapshot, IgnoresChunksOfEarlierLeader)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 4, 0 }, {}));
+    MemberHarness member (testVoters (3), recoveredLog ({ 4, 0 }, {}));
     for (const SnapshotChunk& chunk : chunksOf (snapshotAt (50, 2, "state"), 1))
     {
         member.receive (2, 3, chunk);
@@ -238,25 +240,26 @@
     EXPECT_TRUE (member.messages().empty());
 }
 
-TEST (RaftSnapshot, chunksOfTwoLeadersAreNotMixed)
+TEST (RaftSnapshot, DoesNotMixChunksOfTwoLeaders)
 {
     const auto first = chunksOf (snapshotAt (50, 2, std::string (1000, 'a')), 2);
     const auto second = chunksOf (snapshotAt (50, 2, std::string (1000, 'b')), 2);
-    LoneMember member (testVoters (3));
+    MemberHarness member (testVoters (3));
     member.receive (2, 3, first[0]);
     member.receive (3, 4, second[1]);
     member.sync();
     EXPECT_FALSE (member.installed().has_value());
-    EXPECT_EQ (member.sent<SnapshotReply>().back().nextOffset, 0U) << "begins anew";
+    EXPECT_EQ (member.sent<SnapshotReply>().back().nextOffset, 0U)
+        << "discards the chunks of the first leader";
     for (const SnapshotChunk& chunk : second)
         member.receive (3, 4, chunk);
     ASSERT_TRUE (member.installed().has_value());
     EXPECT_EQ (member.installed()->data, std::string (1000, 'b'));
 }
 
-TEST (RaftSnapshot, neverTakesAMemberBack)
+TEST (RaftSnapshot, OldSnapshotNeverRevertsState)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 3, 0 }, { 1, 2, 3 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 3, 0 }, { 1, 2, 3 }));
     member.receive (2, 3, AppendRequest{ 3, 3, 3, 1, {} });
     ASSERT_EQ (member.status().commitIndex, 3U);
     for (const SnapshotChunk& chunk : chunksOf (snapshotAt (2, 2, "old"), 1))
@@ -269,11 +272,11 @@
     EXPECT_EQ (member.status().lastIndex, 3U);
 }
 
-TEST (RaftSnapshot, keepsTheEntriesThatFollowIt)
+TEST (RaftSnapshot, KeepsMatchingEntriesAfterIt)
 {
     for (const bool fits : { true, false })
     {
-        LoneMember member (testVoters (3), recoveredLog ({ 3, 0 }, { 1, fits ? 2U : 1U, 3 }));
+        MemberHarness member (testVoters (3), recoveredLog ({ 3, 0 }, { 1, fits ? 2U : 1U, 3 }));
         for (const SnapshotChunk& chunk : chunksOf (snapshotAt (2, 2, "state"), 1))
         {
             member.receive (2, 3, chunk);
@@ -283,9 +286,9 @@
     }
 }
 
-TEST (RaftSnapshot, namesTheMembersToALearnerWhoseLogDoesNot)
+TEST (RaftSnapshot, ProvidesMembersToLearnerWhoseLogHasNone)
 {
-    LoneMember member (MemberSet{});
+    MemberHarness member (MemberSet{});
     member.receive (
         2, 3, AppendRequest{ 0, 0, 0, 1, { command (1, 2), command (2, 2), command (3, 3) } });
     for (const SnapshotChunk& chunk : chunksOf (snapshotAt (2, 2, "state"), 1))
@@ -296,9 +299,9 @@
     EXPECT_EQ (member.status().members, testVoters (3));
 }
 
-TEST (RaftMembership, changesOnlyAfterAnEntryOfTheOwnTermIsCommitted)
+TEST (RaftMembership, RefusesChangesBeforeAnEntryOfCurrentTermIsCommitted)
 {
-    LoneMember leader (testVoters (3), recoveredLog ({ 3, 0 }, { 3 }));
+    MemberHarness leader (testVoters (3), recoveredLog ({ 3, 0 }, { 3 }));
     leader.lead ({ 2 });
     MemberSet members = testVoters (3);
     members.members.push_back (testMember (4, false));
@@ -308,9 +311,9 @@
     EXPECT_EQ (leader.proposeMembers (members), std::nullopt);
 }
 
-TEST (RaftMembership, changesOneStepAtATime)
+TEST (RaftMembership, AllowsOneChangeAtATime)
 {
-    LoneMember leader (testVoters (5));
+    MemberHarness leader (testVoters (5));
     leader.lead ({ 2, 3 });
     leader.acknowledge (2, 1);
     leader.acknowledge (3, 1);
@@ -319,16 +322,16 @@
     ASSERT_EQ (leader.proposeMembers (members), std::nullopt);
     members.members.pop_back();
     EXPECT_EQ (leader.proposeMembers (members), base::ErrorKind::kMembershipChangeRefused)
-        << "the first is not committed";
+        << "the first change is not committed";
     leader.sync();
     leader.acknowledge (2, 2);
     leader.acknowledge (3, 2);
     EXPECT_EQ (leader.proposeMembers (members), std::nullopt);
 }
 
-TEST (RaftMembership, anUncommittedChangeIsInForceUntilItIsReplaced)
+TEST (RaftMembership, UncommittedChangeIsInEffectUntilReplaced)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 1, 0 }, { 1 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 1, 0 }, { 1 }));
     MemberSet members = testVoters (3);
     members.members.pop_back();
     const Entry change{ 2, 1, EntryKind::kMembership, encodeMembers (members) };
@@ -338,9 +341,9 @@
     EXPECT_EQ (voterCount (member.status().members), 3U);
 }
 
-TEST (RaftTransfer, goesToTheMostAdvancedVoterOnceItHasEverything)
+TEST (RaftTransfer, GoesToMostAdvancedVoterOnceItHasTheWholeLog)
 {
-    LoneMember leader (testVoters (3));
+    MemberHarness leader (testVoters (3));
     leader.lead ({ 2 });
     leader.acknowledge (2, 1);
     leader.acknowledge (3, 1);
@@ -351,7 +354,7 @@
     leader.sync();
     ASSERT_EQ (failureOf ([&] { return leader.node().transferLeadership (leader.now()); }),
                std::nullopt);
-    EXPECT_FALSE (leader.propose ("z")) << "the target would never catch up";
+    EXPECT_FALSE (leader.propose ("z")) << "with new proposals the target might never catch up";
     EXPECT_FALSE (leader.holdsLease());
     EXPECT_TRUE (leader.sent<TransferLeadership>().empty()) << "the target lacks an entry";
     leader.acknowledge (3, 3);
@@ -359,9 +362,9 @@
     EXPECT_TRUE (leader.sent<TransferLeadership> (2).empty());
 }
 
-TEST (RaftTransfer, thatFailsEndsTheTerm)
+TEST (RaftTransfer, LeaderStepsDownWhenTransferFails)
 {
-    LoneMember leader (testVoters (3));
+    MemberHarness leader (testVoters (3));
     leader.lead ({ 2 });
     leader.acknowledge (2, 1);
     ASSERT_EQ (failureOf ([&] { return leader.node().transferLeadership (leader.now()); }),
@@ -372,12 +375,12 @@
         leader.acknowledge (2, 1);
         EXPECT_FALSE (leader.holdsLease());
     }
-    EXPECT_FALSE (leader.leads()) << "the request to take over may still arrive";
+    EXPECT_FALSE (leader.leads()) << "the target may still receive the request";
 }
 
-TEST (RaftTransfer, requestIsTakenFromThePresentLeaderOnly)
+TEST (RaftTransfer, AcceptsRequestsFromTheCurrentLeaderOnly)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 4, 0 }, { 4 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 4, 0 }, { 4 }));
     member.receive (2, 4, AppendRequest{ 1, 4, 0, 1, {} });
     member.receive (3, 4, TransferLeadership{});
     member.receive (2, 3, TransferLeadership{});
@@ -388,9 +391,9 @@
     EXPECT_TRUE (member.sent<VoteRequest> (3).back().isLeadershipTransfer);
 }
 
-TEST (RaftTransfer, theTargetIsVotedForWithinTheLeaseOfTheLeaderThatAsked)
+TEST (RaftTransfer, VoterGrantsTransferVoteWithinTheLease)
 {
-    LoneMember member (testVoters (3), recoveredLog ({ 4, 0 }, { 4 }));
+    MemberHarness member (testVoters (3), recoveredLog ({ 4, 0 }, { 4 }));
     member.receive (2, 4, AppendRequest{ 1, 4, 0, 1, {} });
     member.receive (3, 5, VoteRequest{ false, true, 1, 4 });
     member.sync();
--- a/src/consensus/RaftSnapshot.cpp
+++ b/src/consensus/RaftSnapshot.cpp
@@ -81,7 +81,7 @@
 
 void RaftNode::Implementation::onSnapshotChunk (MemberId from, const SnapshotChunk& chunk)
 {
-    noteLeader (from);
+    onLeaderContact (from);
     const bool isNeeded = chunk.lastIndex > m_commitIndex;
     if (isNeeded)
     {
--- a/src/consensus/RaftTestSupport.h
+++ b/src/consensus/RaftTestSupport.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// One member under test, for unit tests: the test itself plays the other members, the disk and the
-/// clock.
+/// Harness for unit tests of a single member. The test itself simulates the other members, the disk
+/// and the clock.
 
 #include <memory>
 #include <optional>
@@ -20,7 +20,7 @@
     return { id, "127.0.0.1:" + std::to_string (id), "", "zone", isVoter };
 }
 
-/// Voters 1 to `count`.
+/// Returns voters 1 to `count`.
 inline MemberSet testVoters (MemberId count)
 {
     MemberSet set;
@@ -29,7 +29,7 @@
     return set;
 }
 
-/// The error with which `operation` fails; none when it succeeds.
+/// Returns the error with which `operation` fails; none when it succeeds.
 template <class Operation>
 std::optional<base::ErrorKind> failureOf (Operation&& operation)
 {
@@ -43,13 +43,13 @@
         [] (const base::Error& error) { return Kind (error.kind); });
 }
 
-/// Member 1 of a quorum whose other members are played by the test.
-class LoneMember
+/// Member 1 of a quorum whose other members are simulated by the test.
+class MemberHarness
 {
 public:
     static constexpr MemberId kSelf = 1;
 
-    explicit LoneMember (MemberSet members, RecoveredState state = {}, RaftOptions options = {})
+    explicit MemberHarness (MemberSet members, RecoveredState state = {}, RaftOptions options = {})
     {
         state.initialMembers = std::move (members);
         m_node = std::make_unique<RaftNode> (kSelf, options, std::move (state), 1, m_now);
@@ -77,7 +77,7 @@
             collect();
         }
     }
-    /// Every write asked for so far is synced.
+    /// Confirms every write output so far as synced.
     void sync()
     {
         if (m_lastSequence == 0)
@@ -99,7 +99,7 @@
         collect();
         return failure;
     }
-    /// Becomes leader with the votes of `voters`; every write is synced on the way.
+    /// Makes the member leader with the votes of `voters`, syncing every write.
     void lead (const std::vector<MemberId>& voters)
     {
         while (status().role != Role::kPreCandidate)
@@ -112,7 +112,8 @@
             receive (id, term, VoteReply{ false, true });
         sync();
     }
-    /// Member `id` answers the latest append request sent to it: it has everything up to `match`.
+    /// Delivers an accepting reply of member `id` to the latest append request sent to it, with a
+    /// log that matches up to `match`.
     void acknowledge (MemberId id, LogIndex match)
     {
         AppendReply reply;
@@ -133,7 +134,7 @@
         return round;
     }
 
-    /// Payloads of this type sent to `to` so far (0: to anyone).
+    /// Payloads of this type sent so far to `to`, or to any member if `to` is 0.
     template <class Type>
     [[nodiscard]] std::vector<Type> sent (MemberId to = 0) const
     {
@@ -150,7 +151,7 @@
     [[nodiscard]] const std::vector<PersistRequest>& writes() const { return m_writes; }
     [[nodiscard]] const std::vector<Entry>& committed() const { return m_committed; }
     [[nodiscard]] const std::optional<Snapshot>& installed() const { return m_installed; }
-    void forgetSent() { m_sent.clear(); }
+    void clearSent() { m_sent.clear(); }
 
 private:
     void collect()
@@ -175,7 +176,7 @@
     std::optional<Snapshot> m_installed;
 };
 
-/// A recovered log with one command for each of `terms`, from index 1 on.
+/// Returns a recovered log with one command for each of `terms`, from index 1 on.
 inline RecoveredState recoveredLog (HardState hardState, const std::vector<Term>& terms)
 {
     RecoveredState state;
--- a/src/consensus/SimulatedDisk.h
+++ b/src/consensus/SimulatedDisk.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Disk of a simulated member, for tests: what was written, what of it is synced, and what a crash
-/// leaves.
+/// Disk of a simulated member, for tests. Tracks what was written and what is synced, and simulates
+/// the loss of unsynced writes in a crash.
 
 #include <algorithm>
 #include <deque>
@@ -18,10 +18,10 @@
 {
     HardState hardState;
     Snapshot snapshot;
-    std::deque<Entry> entries;  ///< After the snapshot, contiguous.
+    std::deque<Entry> entries;  ///< Contiguous, starting after the snapshot.
 
     [[nodiscard]] LogIndex lastIndex() const { return snapshot.lastIndex + entries.size(); }
-    /// Term of the entry at `index`; none when it is covered by the snapshot or not there.
+    /// Term at `index`; none when it lies before the end of the snapshot or after the log.
     [[nodiscard]] std::optional<Term> termAt (LogIndex index) const
     {
         if (index == snapshot.lastIndex)
@@ -67,8 +67,8 @@
         }
     }
     [[nodiscard]] std::size_t unsyncedCount() const { return m_unsynced.size(); }
-    /// Loses the unsynced writes but for the first `surviving` of them. The one after those is
-    /// torn, which storage cuts.
+    /// Drops the unsynced writes except the first `surviving` ones. The write after those counts as
+    /// torn; storage discards a torn write when it recovers.
     void crash (std::size_t surviving)
     {
         if (surviving > 0)
@@ -85,7 +85,7 @@
     }
 
     [[nodiscard]] const DiskState& synced() const { return m_synced; }
-    /// With the unsynced writes: what the running member believes.
+    /// Contents with the unsynced writes, as the running member assumes them.
     [[nodiscard]] const DiskState& written() const { return m_written; }
 
 private:
