--- a/src/consensus/ClusterInvariants.h
+++ b/src/consensus/ClusterInvariants.h
@@ -32,7 +32,7 @@
 class ClusterInvariants
 {
 public:
-    /// Checks that state is synced before a reply vouches for it, that a member grants one vote per
+    /// Checks that state is synced before a reply depends on it, that a member grants one vote per
     /// term, and that the terms of its replies never decrease.
     void onSent (const Message& message, const DiskState& synced);
     /// Checks election safety and leader completeness: the log of a new leader contains every entry
--- a/src/consensus/PersistQueue.h
+++ b/src/consensus/PersistQueue.h
@@ -71,9 +71,8 @@
     PersistRequest& openRequest();
     PersistRequest& newRequest();
 
-    std::vector<PersistRequest>
-        m_queued;  ///< Writes not taken yet, in order of sequence; the last one is open.
-    std::deque<Pending> m_pending;     ///< Writes not confirmed yet, whether taken or not.
+    std::vector<PersistRequest> m_queued;  ///< Writes not taken yet; the last one is open.
+    std::deque<Pending> m_pending;         ///< Writes not confirmed yet, whether taken or not.
     std::deque<Held> m_held;           ///< Messages by ascending sequence, all above m_confirmed.
     std::uint64_t m_lastSequence = 0;  ///< Sequence of the write begun last.
     std::uint64_t m_confirmed = 0;     ///< Every write up to this sequence is synced.
