--- a/src/consensus/ClusterInvariants.h
+++ b/src/consensus/ClusterInvariants.h
@@ -32,8 +32,8 @@
 class ClusterInvariants
 {
 public:
-    /// Checks that state is synced before a reply depends on it, that a member grants one vote per
-    /// term, and that the terms of its replies never decrease.
+    /// Checks that state is synced before a reply that depends on it is sent, that a member grants
+    /// one vote per term, and that the terms of its replies never decrease.
     void onSent (const Message& message, const DiskState& synced);
     /// Checks election safety and leader completeness: the log of a new leader contains every entry
     /// committed in earlier terms. A candidate that was frozen may win an old term late, and need
