--- a/src/router/ActiveConfiguration.h
+++ b/src/router/ActiveConfiguration.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// The configuration in force at a router. It never goes back to a lower version.
+/// The configuration that a router applies, parsed from the updates of the controller. Its version
+/// never decreases.
 
 #include <cstdint>
 #include <string>
@@ -19,8 +20,9 @@
 class ActiveConfiguration
 {
 public:
-    /// Takes an update unless its version is not above the one held, it is a change of another
-    /// configuration, or it cannot be parsed. True if it was taken.
+    /// Applies an update and returns true. Returns false and changes nothing if the version is not
+    /// above the held one, the update is a delta to another configuration, or the result cannot be
+    /// parsed.
     bool apply (const cell::ConfigurationUpdate& update);
 
     [[nodiscard]] std::uint64_t version() const { return m_held.version; }
@@ -28,10 +30,10 @@
     [[nodiscard]] const admission::SlotReservation& reservation() const { return m_reservation; }
 
     [[nodiscard]] bool hasTarget (Protocol protocol, const std::string& target) const;
-    /// The class a request falls into: the one it names, else its target's default. Null when there
-    /// is no such class.
+    /// The class of a request: the one that it names, else the default class of its target. Null if
+    /// that class is not configured.
     [[nodiscard]] const config::RequestClass* classOf (const RequestHead& head) const;
-    /// Models and adapters.
+    /// Names of all models and adapters.
     [[nodiscard]] std::vector<std::string> targets() const;
 
 private:
@@ -39,7 +41,7 @@
 
     cell::HeldConfiguration m_held;
     config::Catalogue m_catalogue;
-    DefaultClasses m_models;  ///< And adapters.
+    DefaultClasses m_models;  ///< Default classes of models and adapters.
     DefaultClasses m_applications;
     admission::SlotReservation m_reservation;
 };
--- a/src/router/AnswerReader.cpp
+++ b/src/router/AnswerReader.cpp
@@ -17,7 +17,7 @@
 constexpr std::string_view kDataField = "data:";
 constexpr std::string_view kDone = "[DONE]";
 
-/// The part that one event of an engine carries; nothing when it is not one of a stream.
+/// Parses the data of one event of an engine; nullopt if it is not part of a token stream.
 std::optional<AttemptData> partOf (const std::string& data)
 {
     const QJsonDocument document = QJsonDocument::fromJson (http::byteView (data));
@@ -62,20 +62,20 @@
         bytes.remove_prefix (lineEnd + 1);
         if (m_line.ends_with ('\r'))
             m_line.pop_back();
-        takeLine (m_line, events);
+        processLine (m_line, events);
         m_line.clear();
     }
     return events;
 }
 
-void TokenStreamReader::takeLine (std::string_view line, std::vector<AttemptEvent>& events)
+void TokenStreamReader::processLine (std::string_view line, std::vector<AttemptEvent>& events)
 {
     if (line.empty())
     {
         finishEvent (events);
         return;
     }
-    // Comments and fields other than data carry nothing of the answer.
+    // Comments and fields other than data are not part of the answer.
     if (! line.starts_with (kDataField))
         return;
     line.remove_prefix (kDataField.size());
--- a/src/router/AnswerReader.h
+++ b/src/router/AnswerReader.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Turns the bytes of a back end's answer into events for RouterCore.
+/// Parsers that turn the body of a back end's answer into events for RouterCore.
 
 #include <cstdint>
 #include <memory>
@@ -13,7 +13,8 @@
 namespace fernlift::router
 {
 
-/// Reader of one answer's body. After an AttemptEnded or AttemptBroken nothing more is wanted.
+/// Reader of the body of one answer. AttemptEnded and AttemptBroken are final; the caller reads
+/// nothing after them.
 class AnswerReader
 {
 public:
@@ -22,13 +23,13 @@
     AnswerReader (const AnswerReader&) = delete;
     AnswerReader& operator= (const AnswerReader&) = delete;
 
-    /// The events that `bytes` complete.
+    /// Returns the events that are complete with `bytes`.
     [[nodiscard]] virtual std::vector<AttemptEvent> read (std::string_view bytes) = 0;
-    /// The event that follows from the end of the body: AttemptEnded or AttemptBroken.
+    /// Returns the final event for the end of the body: AttemptEnded or AttemptBroken.
     [[nodiscard]] virtual AttemptEvent readEnd() = 0;
 };
 
-/// A body that is passed on as it comes; offsets are bytes.
+/// Reader of a body that is forwarded unchanged; offsets count bytes.
 class PlainBodyReader final : public AnswerReader
 {
 public:
@@ -39,9 +40,9 @@
     std::uint64_t m_offset = 0;
 };
 
-/// A stream of server-sent events from an engine; offsets are tokens. Each event is passed on as
-/// one line of data. The stream is whole only with its last event, `[DONE]`, which is not passed
-/// on.
+/// Reader of a stream of server-sent events from an engine; offsets count tokens. Each event is
+/// forwarded as one data line. The stream is complete only after its last event, `[DONE]`, which is
+/// not forwarded.
 class TokenStreamReader final : public AnswerReader
 {
 public:
@@ -49,12 +50,12 @@
     [[nodiscard]] AttemptEvent readEnd() override;
 
 private:
-    /// Takes one line without its end; an empty line ends the event.
-    void takeLine (std::string_view line, std::vector<AttemptEvent>& events);
+    /// Parses one line without its line break; an empty line ends the event.
+    void processLine (std::string_view line, std::vector<AttemptEvent>& events);
     void finishEvent (std::vector<AttemptEvent>& events);
 
-    std::string m_line;  ///< The line not yet complete.
-    std::string m_data;  ///< Data of the event not yet complete.
+    std::string m_line;  ///< Start of an incomplete line.
+    std::string m_data;  ///< Data of an incomplete event.
     bool m_isFinished = false;
 };
 
--- a/src/router/AnswerReaderTest.cpp
+++ b/src/router/AnswerReaderTest.cpp
@@ -14,7 +14,7 @@
     return std::holds_alternative<Event> (event);
 }
 
-/// Feeds the pieces and returns all events, without the end of the body.
+/// Returns the events of all pieces, without that of the end of the body.
 std::vector<AttemptEvent> readAll (AnswerReader& reader, const std::vector<std::string>& pieces)
 {
     std::vector<AttemptEvent> events;
@@ -61,7 +61,7 @@
     EXPECT_TRUE (is<AttemptBroken> (reader.readEnd()));
 }
 
-TEST (TokenStreamReader, IsBrokenByAnEventThatIsNoPartOfTheAnswer)
+TEST (TokenStreamReader, IsBrokenByAnUnrecognizedEvent)
 {
     for (const std::string data :
          { "{\"error\":{}}", "{\"offset\":-1}", "no json", "{\"offset\":\"0\"}" })
--- a/src/router/BackEndAttempts.h
+++ b/src/router/BackEndAttempts.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Attempts under way at engines and application back ends.
+/// Open HTTP attempts at engines and application back ends.
 
 #include <functional>
 #include <map>
@@ -13,14 +13,15 @@
 namespace fernlift::router
 {
 
-/// Sends each attempt once, and reports what becomes of it until it ends or is cancelled.
+/// Sends each attempt once and reports its events until it ends or is cancelled.
 class BackEndAttempts
 {
 public:
     struct Handlers
     {
         std::function<void (AttemptId, const AttemptEvent&)> onEvent;
-        /// The header fields of an answer that is no refusal; comes before its AttemptHeaders.
+        /// Receives the header fields of an answer unless it is a refusal. Called before the
+        /// AttemptHeaders event of the answer.
         std::function<void (RequestTicket, AttemptId, const http::Headers&)> onHeaders;
     };
 
@@ -28,9 +29,9 @@
     BackEndAttempts (http::Client& client, std::size_t bufferBytes, Handlers handlers);
 
     void start (const StartAttempt& attempt, const CallerRequest& request);
-    /// Closes the connection of an attempt, which cancels the request at the back end.
+    /// Closes the connection of an attempt; the back end cancels the request.
     void cancel (AttemptId attempt);
-    /// Stops or restarts reading the answers to a request.
+    /// Pauses or resumes reading the answers to a request.
     void setPaused (RequestTicket ticket, bool isPaused);
     [[nodiscard]] std::size_t countOpen() const { return m_attempts.size(); }
 
@@ -38,7 +39,7 @@
     struct OpenAttempt
     {
         RequestTicket ticket = 0;
-        bool isTokenStream = false;  ///< The caller asked for a stream of tokens.
+        bool isTokenStream = false;  ///< The caller requested a token stream.
         std::shared_ptr<http::Exchange> exchange;
         std::unique_ptr<AnswerReader> reader;
     };
@@ -47,8 +48,7 @@
     void onData (AttemptId id, std::string_view data);
     void onEnd (AttemptId id);
     void onError (AttemptId id, const http::ClientError& error);
-    /// Reports an event; after a final one the attempt is forgotten and what is left of its answer
-    /// ignored.
+    /// Reports an event. A final event removes the attempt, and the rest of its answer is ignored.
     void report (AttemptId id, const AttemptEvent& event);
 
     http::Client& m_client;
--- a/src/router/BackEndRequest.cpp
+++ b/src/router/BackEndRequest.cpp
@@ -14,7 +14,8 @@
 constexpr int kServiceUnavailable = 503;
 constexpr std::string_view kOwnHeaderPrefix = "X-Fernlift-";
 constexpr std::int64_t kLongestRetryAfterSeconds = 3600;
-/// The core times attempts; the client's own limits only guard against a fault of it.
+/// RouterCore applies the timeouts of attempts; the client's own limits only guard against a bug in
+/// that.
 constexpr base::Duration kUnlimited = std::chrono::hours (7 * 24);
 
 std::optional<base::Duration> retryAfterOf (const http::Headers& headers)
--- a/src/router/BackEndRequest.h
+++ b/src/router/BackEndRequest.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The request of one attempt, and what the head of a back end's answer means.
+/// Builds the HTTP request of one attempt and interprets the header of the back end's answer.
 
 #include "http/Client.h"
 #include "router/CallerRequest.h"
@@ -8,18 +8,18 @@
 namespace fernlift::router
 {
 
-/// The HTTP request of an attempt. Requests with an idempotency key never reuse a connection.
+/// Builds the HTTP request of an attempt. A request with an idempotency key gets a new connection.
 [[nodiscard]] http::ClientRequest backEndRequest (const StartAttempt& attempt,
                                                   const CallerRequest& request,
                                                   const base::SocketAddress& address);
 
-/// AttemptRefused when the back end says that it did not take the request, else AttemptHeaders.
+/// Returns AttemptRefused if the answer states that the request was not run, else AttemptHeaders.
 [[nodiscard]] AttemptEvent headEventOf (const http::ClientResponse& response);
 
-/// Whether the body is a stream of server-sent events.
+/// True if the content type is that of server-sent events.
 [[nodiscard]] bool isEventStream (const http::Headers& headers);
 
-/// The header fields of a back end's answer that the caller gets.
+/// Returns the header fields of a back end's answer that are forwarded to the caller.
 [[nodiscard]] http::Headers answerHeaders (const http::Headers& backEndHeaders,
                                            const base::RequestId& id);
 
--- a/src/router/CacheEventPoller.cpp
+++ b/src/router/CacheEventPoller.cpp
@@ -81,14 +81,14 @@
 {
     for (auto& [id, runner] : m_runners)
     {
-        if (! runner.isAsked)
-            ask (id, runner);
+        if (! runner.isPolling)
+            requestEvents (id, runner);
     }
 }
 
-void CacheEventPoller::ask (const base::RunnerId& id, Runner& runner)
+void CacheEventPoller::requestEvents (const base::RunnerId& id, Runner& runner)
 {
-    runner.isAsked = true;
+    runner.isPolling = true;
     http::ClientRequest request;
     request.address = parseOrEmpty (runner.address);
     request.path = "/engine/cache-events?after=" + std::to_string (runner.after);
@@ -102,18 +102,18 @@
         { onAnswer (id, incarnation, response); },
         [this, id, incarnation] (const http::ClientError&)
         {
-            if (Runner* asked = findAsked (id, incarnation))
-                asked->isAsked = false;
+            if (Runner* polled = findPolled (id, incarnation))
+                polled->isPolling = false;
         });
 }
 
 void CacheEventPoller::onAnswer (const base::RunnerId& id, base::Incarnation incarnation,
                                  const http::WholeResponse& response)
 {
-    Runner* const runner = findAsked (id, incarnation);
+    Runner* const runner = findPolled (id, incarnation);
     if (runner == nullptr)
         return;
-    runner->isAsked = false;
+    runner->isPolling = false;
     if (response.status != kOk)
         return;
     base::handleErrors (
@@ -126,8 +126,8 @@
         [] (const base::Error&) {});
 }
 
-CacheEventPoller::Runner* CacheEventPoller::findAsked (const base::RunnerId& id,
-                                                       base::Incarnation incarnation)
+CacheEventPoller::Runner* CacheEventPoller::findPolled (const base::RunnerId& id,
+                                                        base::Incarnation incarnation)
 {
     const auto found = m_runners.find (id);
     if (found == m_runners.end() || found->second.incarnation != incarnation)
--- a/src/router/CacheEventPoller.h
+++ b/src/router/CacheEventPoller.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Asks engines for their prefix cache events.
+/// Polls engines for their prefix cache events.
 
 #include <QTimer>
 #include <functional>
@@ -21,22 +21,23 @@
 namespace fernlift::router
 {
 
-/// Reads the answer to GET /engine/cache-events; fails with kMessageInvalid.
+/// Parses the answer to GET /engine/cache-events; fails with kMessageInvalid.
 [[nodiscard]] base::Result<std::vector<routing::CacheEvent>> parseCacheEvents (
     std::string_view json);
 
-/// Follows the replica table, so that every engine that routers may use is asked.
+/// Polls every engine that has a row in the replica table.
 class CacheEventPoller
 {
 public:
-    /// Takes the events of one engine and returns the sequence to ask after next.
+    /// Handles the events of one engine and returns the sequence number after which the next poll
+    /// continues.
     using EventHandler = std::function<std::uint64_t (const base::RunnerId&, base::Incarnation,
                                                       const std::vector<routing::CacheEvent>&)>;
 
     /// `client` must outlive this object.
     CacheEventPoller (http::Client& client, EventHandler onEvents);
 
-    /// Polls at this interval from now on; zero: never.
+    /// Starts to poll at this interval. Zero disables polling.
     void start (base::Duration interval);
     void onReplicas (const cell::ReplicaUpdate& update);
 
@@ -46,16 +47,16 @@
         base::Incarnation incarnation = 0;
         std::string address;
         std::uint64_t after = 0;
-        bool isAsked = false;  ///< An answer is awaited.
+        bool isPolling = false;  ///< A poll is unanswered.
     };
     using RowKey = std::pair<base::ReplicaId, std::string>;
 
     void poll();
-    void ask (const base::RunnerId& id, Runner& runner);
+    void requestEvents (const base::RunnerId& id, Runner& runner);
     void onAnswer (const base::RunnerId& id, base::Incarnation incarnation,
                    const http::WholeResponse& response);
-    /// The runner if it is still in the incarnation that was asked.
-    Runner* findAsked (const base::RunnerId& id, base::Incarnation incarnation);
+    /// The runner if it still has the incarnation that was polled, else null.
+    Runner* findPolled (const base::RunnerId& id, base::Incarnation incarnation);
 
     http::Client& m_client;
     EventHandler m_onEvents;
--- a/src/router/CallerExchanges.cpp
+++ b/src/router/CallerExchanges.cpp
@@ -43,7 +43,7 @@
         [this, ticket]
         {
             if (take (ticket))
-                m_handlers.onGone (ticket);
+                m_handlers.onDisconnected (ticket);
         });
     responder->onDrained ([this, ticket] { onDrained (ticket); });
     Caller caller;
@@ -59,8 +59,8 @@
     return found == m_callers.end() ? nullptr : &found->second.request;
 }
 
-void CallerExchanges::noteHeaders (RequestTicket ticket, AttemptId attempt,
-                                   const http::Headers& headers)
+void CallerExchanges::recordHeaders (RequestTicket ticket, AttemptId attempt,
+                                     const http::Headers& headers)
 {
     const auto found = m_callers.find (ticket);
     if (found == m_callers.end() || found->second.hasBegun)
@@ -112,7 +112,7 @@
         return std::nullopt;
     std::optional<Caller> caller = std::move (found->second);
     m_callers.erase (found);
-    // The outcome of a request that may not be repeated is awaited without its caller.
+    // Reading resumes because the outcome of a non-repeatable request is still awaited.
     if (caller->isPaused)
         m_handlers.onPaused (ticket, false);
     return caller;
@@ -147,7 +147,7 @@
     }
     else
     {
-        // Only a broken connection can still tell the caller.
+        // The status line was sent, so only an aborted connection can signal the failure.
         caller->responder->abort();
     }
 }
--- a/src/router/CallerExchanges.h
+++ b/src/router/CallerExchanges.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Callers whose requests are open: what they asked, and their answers as they are written.
+/// Open exchanges with callers: the request and the answer that is being written.
 
 #include <functional>
 #include <map>
@@ -15,29 +15,31 @@
 namespace fernlift::router
 {
 
-/// Memory is bounded: a caller that does not read pauses its request.
+/// Writes the answers to callers. Memory per caller is bounded: a request whose caller does not
+/// read its answer is paused.
 class CallerExchanges
 {
 public:
     struct Handlers
     {
-        /// The caller closed its connection before its answer was whole.
-        std::function<void (RequestTicket)> onGone;
-        /// The caller takes its answer too slowly (or has caught up). May come again while paused.
+        /// The caller closed its connection before its answer was complete.
+        std::function<void (RequestTicket)> onDisconnected;
+        /// The unsent part of an answer exceeds the buffer limit (true) or has been sent (false).
+        /// May be called with true again while the request is paused.
         std::function<void (RequestTicket, bool isPaused)> onPaused;
     };
 
-    /// Answers with more than `bufferBytes` unsent are paused. `clock` and `metrics` must outlive
+    /// An answer with more than `bufferBytes` unsent is paused. `clock` and `metrics` must outlive
     /// this object.
     CallerExchanges (std::size_t bufferBytes, const base::Clock& clock, http::Metrics& metrics,
                      Handlers handlers);
 
     void add (RequestTicket ticket, CallerRequest request,
               std::shared_ptr<http::Responder> responder);
-    /// Null when the caller was answered or has left.
+    /// Null if the caller was answered or has disconnected.
     [[nodiscard]] const CallerRequest* requestOf (RequestTicket ticket) const;
-    /// Remembers the header fields of an attempt's answer.
-    void noteHeaders (RequestTicket ticket, AttemptId attempt, const http::Headers& headers);
+    /// Stores the header fields of an attempt's answer until begin().
+    void recordHeaders (RequestTicket ticket, AttemptId attempt, const http::Headers& headers);
 
     void begin (const AnswerHeaders& effect);
     void write (const AnswerData& effect);
@@ -57,7 +59,7 @@
         bool isPaused = false;
     };
 
-    /// Forgets a caller; nothing of its request is paused any more.
+    /// Removes and returns a caller. A paused request is resumed.
     std::optional<Caller> take (RequestTicket ticket);
     void onDrained (RequestTicket ticket);
     [[nodiscard]] double secondsSince (base::TimePoint start) const;
--- a/src/router/CallerRequest.cpp
+++ b/src/router/CallerRequest.cpp
@@ -41,7 +41,7 @@
            && http::equalsIgnoringCase (text.substr (0, prefix.size()), prefix);
 }
 
-/// Who sent the request, for fairness: the key it shows, else the machine it comes from.
+/// Identity of the caller for fair queueing: the Authorization field, else the peer address.
 std::string callerOf (const http::Request& request)
 {
     const std::string authorization = request.headers.value ("Authorization");
@@ -87,7 +87,7 @@
     return {};
 }
 
-/// The parts of the head that do not depend on the protocol.
+/// Parses the parts of the request head that do not depend on the protocol.
 base::Result<RequestHead> readHead (const http::Request& request, const base::RequestId& id)
 {
     RequestHead head;
@@ -103,7 +103,7 @@
     return head;
 }
 
-/// The prompt as engines see it; empty when it has a form whose blocks are not known.
+/// The prompt text whose blocks engines cache; empty for forms without a known block division.
 std::string promptOf (const QJsonObject& object, bool isChat)
 {
     if (! isChat)
@@ -162,7 +162,7 @@
     return headers;
 }
 
-/// Names of fields that the Connection header makes hop-by-hop.
+/// True if the Connection header lists `name` as a hop-by-hop field.
 bool isNamedByConnection (const http::Headers& headers, std::string_view name)
 {
     std::string connection;
--- a/src/router/CallerRequest.h
+++ b/src/router/CallerRequest.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Reads what callers send: which target, class, deadline and key a request names, and what of it
-/// goes on to the back end. docs/caller-interface.md describes the interface.
+/// Parses the requests of callers: target, class, deadline and idempotency key, and the part that
+/// is forwarded to the back end. docs/caller-interface.md describes the interface.
 
 #include <string>
 #include <string_view>
@@ -14,30 +14,30 @@
 namespace fernlift::router
 {
 
-/// A request of a caller and the form in which back ends get it.
+/// A request of a caller in the form in which it is sent to back ends.
 struct CallerRequest
 {
     RequestHead head;
     std::string method;
-    std::string path;       ///< At the back end, with the query.
-    http::Headers headers;  ///< To pass on, without those of single attempts.
+    std::string path;       ///< Path at the back end, with the query.
+    http::Headers headers;  ///< Forwarded header fields, without those set per attempt.
     std::string body;
 };
 
-/// Whether `path` is one that back ends serve.
+/// True if requests to `path` are forwarded to back ends.
 [[nodiscard]] bool isServedByBackEnds (std::string_view path);
 
-/// The identifier a caller gave its request in X-Request-Id, else `fallback`. Fails with
-/// kInvalidRequest when it is too long or has other characters than letters, digits and "._:-".
+/// Returns the identifier in X-Request-Id, or `fallback` if the field is missing. Fails with
+/// kInvalidRequest if it is too long or has characters other than letters, digits and "._:-".
 [[nodiscard]] base::Result<base::RequestId> requestIdOf (const http::Request& request,
                                                          const base::RequestId& fallback);
 
-/// Reads a request to a path of isServedByBackEnds(). Fails with kInvalidRequest or
-/// kMethodNotAllowed.
+/// Parses a request whose path passes isServedByBackEnds(). Fails with kInvalidRequest,
+/// kMethodNotAllowed or kNotFound.
 [[nodiscard]] base::Result<CallerRequest> parseCallerRequest (const http::Request& request,
                                                               const base::RequestId& id);
 
-/// Whether a header field concerns one connection only and is never passed on.
+/// True if a header field applies to one connection only and is never forwarded.
 [[nodiscard]] bool isHopByHop (std::string_view headerName);
 
 }  // namespace fernlift::router
--- a/src/router/DemandReporter.cpp
+++ b/src/router/DemandReporter.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// The controller forgets statements that are not repeated for three times this long.
+/// The controller discards reported demand that is not repeated for three times this interval.
 constexpr base::Duration kRepeatInterval = base::seconds (10);
 constexpr std::uint32_t kSmallestChange = 2;
 constexpr std::uint32_t kChangeDivisor = 4;
@@ -30,7 +30,7 @@
 void DemandReporter::onConnected()
 {
     m_nextReport = base::TimePoint{};
-    m_stated.clear();
+    m_reported.clear();
 }
 
 bool DemandReporter::isDue (base::TimePoint now) const { return m_isUrgent || now >= m_nextReport; }
@@ -42,24 +42,24 @@
     m_isUrgent = false;
     for (const auto& [target, count] : m_arrivals)
         current[target].arrivals = count;
-    // Targets that were reported and now have no demand are reported once more, as nil.
-    for (const auto& [target, statement] : m_stated)
+    // Targets whose reported demand has ended are reported once more, with zero demand.
+    for (const auto& [target, reported] : m_reported)
         current.try_emplace (target);
     cell::DemandReport report;
     for (auto& [target, demand] : current)
     {
         demand.target = target;
-        if (! isWorthStating (demand, now))
+        if (! isSignificantChange (demand, now))
             continue;
         m_arrivals.erase (target);
         report.demands.push_back (demand);
         if (isNil (demand))
         {
-            m_stated.erase (target);
+            m_reported.erase (target);
         }
         else
         {
-            m_stated[target] = { demand, now };
+            m_reported[target] = { demand, now };
         }
     }
     if (report.demands.empty())
@@ -67,14 +67,14 @@
     return report;
 }
 
-bool DemandReporter::isWorthStating (const cell::Demand& demand, base::TimePoint now) const
+bool DemandReporter::isSignificantChange (const cell::Demand& demand, base::TimePoint now) const
 {
-    const auto stated = m_stated.find (demand.target);
-    if (stated == m_stated.end() || demand.waiting > 0)
+    const auto stated = m_reported.find (demand.target);
+    if (stated == m_reported.end() || demand.waiting > 0)
         return true;
     const cell::Demand& last = stated->second.demand;
     return last.waiting > 0 || differsMuch (last.running, demand.running)
-           || now - stated->second.statedAt >= kRepeatInterval;
+           || now - stated->second.reportedAt >= kRepeatInterval;
 }
 
 }  // namespace fernlift::router
--- a/src/router/DemandReporter.h
+++ b/src/router/DemandReporter.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Tells the controller how many requests wait and run for each target.
+/// Builds the reports to the controller of how many requests wait and run for each target.
 
 #include <cstdint>
 #include <map>
@@ -13,7 +13,7 @@
 namespace fernlift::router
 {
 
-/// Demand of each target at one moment, by name.
+/// Demand at one point in time, by target name.
 using DemandByTarget = std::map<std::string, cell::Demand>;
 
 class DemandReporter
@@ -22,36 +22,36 @@
     explicit DemandReporter (base::Duration interval) : m_interval (interval) {}
 
     void onArrival (const std::string& target) { m_arrivals[target] += 1; }
-    /// A request began to wait for a target that has no replica: the next report does not wait for
-    /// its turn.
+    /// A request began to wait for a target without a replica. The next report is due at once
+    /// instead of after the interval.
     void onColdTarget() { m_isUrgent = true; }
-    /// On a new connection everything is reported again.
+    /// Resets the reported state, so that a new connection gets a complete report.
     void onConnected();
 
     [[nodiscard]] bool isDue (base::TimePoint now) const;
-    /// What the controller should hear of; nothing when there is nothing.
+    /// The demand that changed or has to be repeated; nullopt if there is none.
     [[nodiscard]] std::optional<cell::DemandReport> report (DemandByTarget current,
                                                             base::TimePoint now);
-    /// Whether the latest report about `target` stated demand for it.
-    [[nodiscard]] bool isStated (const std::string& target) const
+    /// True if the latest report on `target` contained demand for it.
+    [[nodiscard]] bool hasReportedDemand (const std::string& target) const
     {
-        return m_stated.contains (target);
+        return m_reported.contains (target);
     }
 
 private:
-    struct Statement
+    struct ReportedDemand
     {
         cell::Demand demand;
-        base::TimePoint statedAt{};
+        base::TimePoint reportedAt{};
     };
 
-    [[nodiscard]] bool isWorthStating (const cell::Demand& demand, base::TimePoint now) const;
+    [[nodiscard]] bool isSignificantChange (const cell::Demand& demand, base::TimePoint now) const;
 
     base::Duration m_interval;
     base::TimePoint m_nextReport{};
     bool m_isUrgent = false;
     std::map<std::string, std::uint32_t> m_arrivals;
-    std::map<std::string, Statement> m_stated;  ///< Demand that was last reported and is not nil.
+    std::map<std::string, ReportedDemand> m_reported;  ///< Last reported nonzero demand.
 };
 
 }  // namespace fernlift::router
--- a/src/router/DemandReporterTest.cpp
+++ b/src/router/DemandReporterTest.cpp
@@ -44,15 +44,15 @@
 {
     DemandReporter reporter (base::milliseconds (200));
     ASSERT_TRUE (reporter.report (demand (1), kNow));
-    EXPECT_TRUE (reporter.isStated ("m"));
+    EXPECT_TRUE (reporter.hasReportedDemand ("m"));
     const auto report = reporter.report (demand (0), kNow);
     ASSERT_TRUE (report);
     EXPECT_EQ (report->demands.at (0).running, 0U);
-    EXPECT_FALSE (reporter.isStated ("m"));
+    EXPECT_FALSE (reporter.hasReportedDemand ("m"));
     EXPECT_FALSE (reporter.report (demand (0), kNow));
 }
 
-/// The controller forgets statements after 30 s.
+/// The controller discards reported demand after 30 s without repetition.
 TEST (DemandReporterTest, SteadyDemandIsRepeatedInTime)
 {
     DemandReporter reporter (base::milliseconds (200));
@@ -73,7 +73,7 @@
     EXPECT_EQ (report->demands.at (0).arrivals, 2U);
 }
 
-TEST (DemandReporterTest, ANewConnectionHearsEverything)
+TEST (DemandReporterTest, ReportsEverythingOnANewConnection)
 {
     DemandReporter reporter (base::milliseconds (200));
     ASSERT_TRUE (reporter.report (demand (20), kNow));
@@ -89,7 +89,7 @@
                          "version = " + std::to_string (version) + "\nzones");
 }
 
-/// A change of `base` to `text` that keeps only the first line.
+/// A delta from `base` to `text` that keeps only the first 5 and the last 10 bytes.
 cell::ConfigurationUpdate changeOf (const std::string& base, const std::string& text)
 {
     cell::ConfigurationUpdate update;
@@ -102,7 +102,7 @@
     return update;
 }
 
-TEST (ActiveConfigurationTest, TakesAChangeOfWhatItHolds)
+TEST (ActiveConfigurationTest, AppliesADeltaToTheHeldConfiguration)
 {
     const std::string first = textOfVersion (1);
     const std::string second = textOfVersion (22);
@@ -113,7 +113,7 @@
     EXPECT_EQ (configuration.digest(), base::sha256Hex (second));
 }
 
-TEST (ActiveConfigurationTest, RefusesAChangeThatDoesNotFit)
+TEST (ActiveConfigurationTest, RejectsADeltaThatDoesNotApply)
 {
     const std::string first = textOfVersion (1);
     const std::string second = textOfVersion (22);
--- a/src/router/FleetExperimentTest.cpp
+++ b/src/router/FleetExperimentTest.cpp
@@ -1,5 +1,6 @@
-// Experiments with six routers and twenty engines on what callers see: urgent requests beside deep
-// work, storms on a cold model, and hedging. docs/design/ quotes the tables printed.
+// Experiments on the latency and refusals that callers see with six routers and twenty engines:
+// urgent requests beside deep work, a burst of requests to a cold model, and hedging. docs/design/
+// quotes the printed tables.
 
 #include <gtest/gtest.h>
 
@@ -26,7 +27,7 @@
 constexpr int kSeeds = 3;
 constexpr int kPrompts = 8;
 
-/// Arrivals at random times with a mean rate.
+/// Poisson process of arrivals.
 class PoissonSource
 {
 public:
@@ -34,7 +35,7 @@
         : m_perSecond (perSecond), m_next (start)
     {
     }
-    /// Arrivals up to `now`.
+    /// Number of arrivals up to `now` since the last call.
     int due (base::TimePoint now, base::Random& random)
     {
         int count = 0;
@@ -82,23 +83,23 @@
 {
     double idle99 = 0;
     double saturated99 = 0;
-    double slotsInUse = 0;  ///< Share, while saturated.
+    double slotsInUse = 0;  ///< Share of engine slots in use under saturation.
     int refused = 0;
     double idle50 = 0;
     double saturated50 = 0;
 };
 
-/// Times to the first byte of urgent calls asked within a span.
+/// Times to the first byte, in ms, of urgent calls sent from `from` until `until`.
 std::vector<double> urgentTimes (const FleetExperiment& fleet, base::TimePoint from,
                                  base::TimePoint until)
 {
     std::vector<double> times;
     for (const Call& call : fleet.calls)
     {
-        const bool isWanted = call.target == "m" && call.askedAt >= from && call.askedAt < until;
+        const bool isWanted = call.target == "m" && call.sentAt >= from && call.sentAt < until;
         if (! isWanted || ! call.firstByteAt)
             continue;
-        times.push_back (millisecondsOf (*call.firstByteAt - call.askedAt));
+        times.push_back (millisecondsOf (*call.firstByteAt - call.sentAt));
     }
     return times;
 }
@@ -120,15 +121,15 @@
     const base::TimePoint measuredFrom = saturatedFrom + seconds (5);
     const base::TimePoint end = start + seconds (85);
     PoissonSource urgent (30, start);
-    PoissonSource deep (60, saturatedFrom);  // About twice what the engines can do.
+    PoissonSource deep (60, saturatedFrom);  // About twice the capacity of the engines.
     const auto callers = [&]
     {
         for (int made = urgent.due (fleet.now(), random); made > 0; --made)
         {
-            fleet.ask (urgentCall (random));
+            fleet.sendRequest (urgentCall (random));
         }
         for (int made = deep.due (fleet.now(), random); made > 0; --made)
-            fleet.ask (deepCall (random));
+            fleet.sendRequest (deepCall (random));
     };
     fleet.runUntil (measuredFrom, callers);
     const std::uint64_t stepsBefore = stepsRun (fleet);
@@ -182,13 +183,13 @@
                         {
                             Call call = urgentCall (random);
                             call.requestClass =
-                                base::RequestClassName ("deep");  // May wait for the load.
-                            fleet.ask (call);
+                                base::RequestClassName ("deep");  // Deadline after the load.
+                            fleet.sendRequest (call);
                         }
                     });
     fleet.runUntil (fleet.now() + seconds (20), [] {});
     EXPECT_EQ (fleet.loadDecisions, 1);
-    EXPECT_LE (*fleet.firstDemandAt - fleet.calls.front().askedAt, milliseconds (5));
+    EXPECT_LE (*fleet.firstDemandAt - fleet.calls.front().sentAt, milliseconds (5));
     std::vector<int> answered (6);
     std::vector<int> asked (6);
     std::vector<std::vector<double>> waits (6);
@@ -200,7 +201,7 @@
         if (call.error)
             continue;
         answered[router] += 1;
-        waits[router].push_back (millisecondsOf (*call.firstByteAt - call.askedAt));
+        waits[router].push_back (millisecondsOf (*call.firstByteAt - call.sentAt));
     }
     for (std::size_t router = 0; router < 6; ++router)
     {
@@ -211,33 +212,33 @@
     }
 }
 
-/// Callers that are refused and come back when they are told to, until they are served.
-class ReturningCallers
+/// Callers that repeat refused requests after the given Retry-After until they are served.
+class RetryingCallers
 {
 public:
-    explicit ReturningCallers (FleetExperiment& fleet) : m_fleet (fleet), m_start (fleet.now()) {}
+    explicit RetryingCallers (FleetExperiment& fleet) : m_fleet (fleet), m_start (fleet.now()) {}
 
-    /// A new caller asks.
+    /// Adds a caller and sends its request.
     void begin()
     {
         begun += 1;
-        ask();
+        sendRequest();
     }
-    /// Those whose time has come ask again; answers are taken.
+    /// Sends the retries that are due and collects answers.
     void step()
     {
-        while (! m_comeBack.empty() && *m_comeBack.begin() <= m_fleet.now())
+        while (! m_retryTimes.empty() && *m_retryTimes.begin() <= m_fleet.now())
         {
-            m_comeBack.erase (m_comeBack.begin());
-            m_returnsByTenth[(m_fleet.now() - m_start) / milliseconds (100)] += 1;
-            ask();
+            m_retryTimes.erase (m_retryTimes.begin());
+            m_retriesByTenth[(m_fleet.now() - m_start) / milliseconds (100)] += 1;
+            sendRequest();
         }
         std::erase_if (m_open, [this] (CallId id) { return takeAnswer (m_fleet.calls[id]); });
     }
     [[nodiscard]] int busiestTenth() const
     {
         int busiest = 0;
-        for (const auto& [tenth, count] : m_returnsByTenth)
+        for (const auto& [tenth, count] : m_retriesByTenth)
             busiest = std::max (busiest, count);
         return busiest;
     }
@@ -247,10 +248,10 @@
     int served = 0;
 
 private:
-    void ask()
+    void sendRequest()
     {
         tries += 1;
-        m_open.push_back (m_fleet.ask (urgentCall (m_random)));
+        m_open.push_back (m_fleet.sendRequest (urgentCall (m_random)));
     }
     bool takeAnswer (const Call& call)
     {
@@ -260,7 +261,7 @@
             served += 1;
         const bool comesBack = call.error && call.error->retryAfter;
         if (comesBack)
-            m_comeBack.insert (m_fleet.now() + *call.error->retryAfter);
+            m_retryTimes.insert (m_fleet.now() + *call.error->retryAfter);
         return true;
     }
 
@@ -268,8 +269,8 @@
     base::TimePoint m_start;
     base::Random m_random{ 1 };
     std::vector<CallId> m_open;
-    std::multiset<base::TimePoint> m_comeBack;
-    std::map<std::int64_t, int> m_returnsByTenth;
+    std::multiset<base::TimePoint> m_retryTimes;
+    std::map<std::int64_t, int> m_retriesByTenth;
 };
 
 TEST (FleetExperimentTest, RefusedCallersComeBackSpreadAndAreServed)
@@ -280,7 +281,7 @@
     FleetExperiment fleet (options, 1);
     base::Random random (1);
     PoissonSource source (kCallers, fleet.now());
-    ReturningCallers callers (fleet);
+    RetryingCallers callers (fleet);
     fleet.runUntil (fleet.now() + seconds (60),
                     [&]
                     {
@@ -330,7 +331,7 @@
                         {
                             Call call = urgentCall (random);
                             call.isStreaming = false;
-                            fleet.ask (call);
+                            fleet.sendRequest (call);
                         }
                     });
     fleet.runUntil (fleet.now() + seconds (3), [] {});
@@ -338,7 +339,7 @@
     for (const Call& call : fleet.calls)
     {
         if (! call.error)
-            times.push_back (millisecondsOf (*call.endedAt - call.askedAt));
+            times.push_back (millisecondsOf (*call.endedAt - call.sentAt));
     }
     HedgeFigures figures;
     figures.p50 = quantile (times, 0.5);
--- a/src/router/FleetExperimentTestSupport.h
+++ b/src/router/FleetExperimentTestSupport.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// Test support: routers, simulated engines and a minimal controller in one thread, for experiments
-/// on what callers see.
+/// on the latency and refusals that callers see.
 
 #include <functional>
 #include <map>
@@ -23,11 +23,12 @@
     int routers = 6;
     int runners = 20;
     std::optional<base::Duration> hedgeAfter;
-    /// The model "m" is loaded this long after the first demand for it; nothing: from the start.
+    /// Time from the first demand for the model "m" until it is loaded; nullopt: loaded at the
+    /// start.
     std::optional<base::Duration> coldStart;
 };
 
-/// What a caller asks for and what it saw.
+/// A call with the times of its answer.
 struct Call
 {
     std::string target = "m";
@@ -36,7 +37,7 @@
     std::vector<std::uint64_t> blocks;
     int tokens = 10;
     int router = 0;
-    base::TimePoint askedAt{};
+    base::TimePoint sentAt{};
     std::optional<base::TimePoint> firstByteAt;
     std::optional<base::TimePoint> endedAt;
     std::optional<AnswerError> error;
@@ -66,7 +67,7 @@
         }
     }
 
-    CallId ask (Call call)
+    CallId sendRequest (Call call)
     {
         Router& router = m_routers[static_cast<std::size_t> (call.router)];
         const CallId id = calls.size();
@@ -75,16 +76,16 @@
         head.requestClass = call.requestClass;
         head.caller = "caller-" + std::to_string (id % 50);
         head.prefixHashes = call.blocks;
-        call.askedAt = m_now;
+        call.sentAt = m_now;
         calls.push_back (std::move (call));
-        m_asking = id;
+        m_sending = id;
         const RequestTicket ticket = router.core->onRequest (head);
         router.callOfTicket[ticket] = id;
         takeEffects (calls[id].router);
         return id;
     }
 
-    /// Runs until `end`; `beforeStep` adds what callers do.
+    /// Runs until `end` and calls `beforeStep`, which sends calls, before each step of the engines.
     void runUntil (base::TimePoint end, const std::function<void()>& beforeStep)
     {
         for (; m_now < end; m_now += routing::testing::kEngineStep)
@@ -98,7 +99,7 @@
             }
             beforeStep();
             if (m_now >= m_nextTable)
-                tellTable();
+                sendTable();
             for (std::size_t runner = 0; runner < engines.size(); ++runner)
                 stepEngine (runner);
         }
@@ -146,10 +147,10 @@
         core.onControllerConnected();
         core.onControllerMessage (cell::ConfigurationUpdate{ 1, "digest-1", kCatalogueText });
         takeEffects (number);
-        tell (number, table());
+        deliver (number, table());
     }
 
-    void tell (int number, const cell::ControllerToRouter& message)
+    void deliver (int number, const cell::ControllerToRouter& message)
     {
         m_routers[static_cast<std::size_t> (number)].core->onControllerMessage (message);
         takeEffects (number);
@@ -186,12 +187,12 @@
         return update;
     }
 
-    void tellTable()
+    void sendTable()
     {
         m_nextTable = m_now + kTableInterval;
         const cell::ReplicaUpdate update = table();
         for (int number = 0; number < m_options.routers; ++number)
-            tell (number, update);
+            deliver (number, update);
     }
 
     void stepEngine (std::size_t runner)
@@ -229,7 +230,7 @@
     {
         const auto& known = m_routers[static_cast<std::size_t> (router)].callOfTicket;
         const auto entry = known.find (ticket);
-        return calls[entry == known.end() ? m_asking : entry->second];
+        return calls[entry == known.end() ? m_sending : entry->second];
     }
     static std::uint64_t runningId (int router, AttemptId attempt)
     {
@@ -240,9 +241,9 @@
     {
         if (const auto* request = std::get_if<cell::LeaseRequest> (&send.message))
         {
-            tell (router,
-                  cell::LeaseGrant{ request->sequence, request->configurationVersion,
-                                    request->configurationDigest, 1, 2000, m_tableVersion });
+            deliver (router,
+                     cell::LeaseGrant{ request->sequence, request->configurationVersion,
+                                       request->configurationDigest, 1, 2000, m_tableVersion });
         }
         const auto* report = std::get_if<cell::DemandReport> (&send.message);
         if (report == nullptr || ! m_options.coldStart)
@@ -292,7 +293,7 @@
     base::TimePoint m_now{ base::seconds (1) };
     std::vector<Router> m_routers;
     std::map<std::uint64_t, Running> m_running;
-    CallId m_asking = 0;
+    CallId m_sending = 0;
     std::uint64_t m_tableVersion = 0;
     base::TimePoint m_nextTable{};
     std::optional<base::TimePoint> m_readyAt;
--- a/src/router/ModelControllerTestSupport.h
+++ b/src/router/ModelControllerTestSupport.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Test support: the controller as the model test of RouterCore plays it. It remembers what it told
-/// the router, so that the model knows what the router may rely on.
+/// Test support: a simulated controller for the model test of RouterCore. It records what it sent
+/// to the router, so that the model can check which leases, claims and rows the router may use.
 
 #include <algorithm>
 #include <map>
@@ -15,7 +15,7 @@
 namespace fernlift::router::testing
 {
 
-/// Claims, leases and the replica table of a leader, with a connection that can be lost.
+/// Leader with claims, leases and a replica table, and a connection that can be interrupted.
 class ModelController
 {
 public:
@@ -37,8 +37,9 @@
         }
     }
 
-    /// The connection is lost. What was on its way is lost, or committed with the reply lost.
-    void lose (bool commits)
+    /// Drops the connection and the messages in transit. With `commits`, they are committed first
+    /// and only their replies are lost.
+    void disconnect (bool commits)
     {
         isConnected = false;
         m_leaseRequests.clear();
@@ -48,7 +49,7 @@
         m_outcomes.clear();
     }
 
-    /// Grants of every lease request not answered yet.
+    /// Returns a grant for every unanswered lease request.
     std::vector<cell::ControllerToRouter> grantLeases (std::int64_t milliseconds)
     {
         std::vector<cell::ControllerToRouter> grants;
@@ -64,10 +65,10 @@
         }
         return grants;
     }
-    /// No lease that was granted holds at `now`.
+    /// True if no granted lease is valid at `now`.
     [[nodiscard]] bool hasNoLease (base::TimePoint now) const { return now >= m_leaseUntil; }
 
-    /// Commits what arrived; the replies to its claims.
+    /// Commits the received outcomes and claims, and returns the replies to the claims.
     std::vector<cell::ControllerToRouter> commit()
     {
         for (const auto& outcome : std::exchange (m_outcomes, {}))
@@ -79,7 +80,7 @@
         }
         return replies;
     }
-    /// Whether the claim of this request of the router holds its key.
+    /// True if the key is held by the claim of the router's request `id`.
     [[nodiscard]] bool isGranted (const base::IdempotencyKey& key, const std::string& id) const
     {
         const auto entry = m_keys.find (key);
@@ -95,7 +96,8 @@
     }
     std::uint64_t configurationVersion = 1;
 
-    /// Adds, replaces (under a new start) or removes a row; the change as a difference.
+    /// Adds or replaces a row and returns the change as a delta. The incarnation of a replaced row
+    /// may be new.
     cell::ReplicaUpdate upsert (const cell::RoutableReplica& row)
     {
         m_rows[row.runner.value + row.target] = row;
@@ -128,7 +130,7 @@
         return update;
     }
     using RunnerStart = std::pair<base::RunnerId, base::Incarnation>;
-    /// Whether there is a row of the target at a runner that is not leaving.
+    /// True if the target has a row at a runner that is not in `leaving`.
     [[nodiscard]] bool hasRow (const std::string& target,
                                const std::set<RunnerStart>& leaving) const
     {
--- a/src/router/RequestTraces.h
+++ b/src/router/RequestTraces.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What happened to recent requests, for operators.
+/// Traces of the latest requests, for diagnosis by operators.
 
 #include <cstdint>
 #include <deque>
@@ -19,12 +19,12 @@
 public:
     explicit RequestTraces (std::size_t maximum) : m_maximum (maximum) {}
 
-    /// Begins the trace of a request; the oldest trace goes when there are too many.
+    /// Begins the trace of a request. The oldest trace is evicted when the limit is reached.
     void begin (const base::RequestId& id, const std::string& target, base::TimePoint now,
                 base::UnixMilliseconds unixNow);
-    /// Adds a step to a trace that is still remembered.
+    /// Adds a step to a trace, unless the trace was evicted or has its maximum of steps.
     void add (const base::RequestId& id, base::TimePoint now, std::string step);
-    /// The trace as JSON; empty when it is not remembered.
+    /// The trace as JSON; empty if there is no trace of the request.
     [[nodiscard]] std::string toJson (const base::RequestId& id) const;
 
 private:
--- a/src/router/RouterAdmission.cpp
+++ b/src/router/RouterAdmission.cpp
@@ -1,4 +1,4 @@
-// Waiting and refusing: from the arrival of a request to the moment it has room at a replica.
+// Queueing and refusals: from the arrival of a request until it gets a slot at a replica.
 
 #include <algorithm>
 #include <utility>
@@ -13,12 +13,12 @@
 
 using base::ErrorKind;
 
-/// Retry-After where nothing is known of the target.
+/// Retry-After without an estimate for the target.
 constexpr base::Duration kDefaultEstimate = base::seconds (2);
 constexpr base::Duration kStoppingEstimate = base::milliseconds (200);
 constexpr base::Duration kLeaseEstimate = base::seconds (1);
-/// How often waiting requests are checked against the pace of their queue.
-constexpr base::Duration kPaceCheckInterval = base::milliseconds (100);
+/// Interval of the checks of waiting requests against the estimated wait in their queue.
+constexpr base::Duration kWaitCheckInterval = base::milliseconds (100);
 
 }  // namespace
 
@@ -59,7 +59,7 @@
     const config::RequestClass* requestClass = m_configuration.classOf (head);
     if (requestClass == nullptr)
     {
-        return Refusal{ ErrorKind::kInvalidRequest, "no such request class", {} };
+        return Refusal{ ErrorKind::kInvalidRequest, "the request class is not configured", {} };
     }
     const bool isRepeatable = requestClass->repeatable || head.isSafeMethod;
     if (! isRepeatable && head.idempotencyKey.empty())
@@ -70,7 +70,9 @@
     }
     if (head.deadline && *head.deadline <= base::Duration::zero())
     {
-        return Refusal{ ErrorKind::kDeadlinePassed, "the deadline had passed on arrival", {} };
+        return Refusal{ ErrorKind::kDeadlinePassed,
+                        "the deadline had passed when the request arrived",
+                        {} };
     }
     return std::nullopt;
 }
@@ -84,10 +86,10 @@
     request.urgency = requestClass.urgency;
     request.isRepeatable = requestClass.repeatable || head.isSafeMethod;
     request.arrivedAt = m_now;
-    // A caller may ask for less time than its class has, not for more.
+    // A caller can shorten the deadline of its class but not extend it.
     const base::Duration allowed = requestClass.deadline;
     request.deadline = m_now + std::min (head.deadline.value_or (allowed), allowed);
-    request.wholeBy = request.deadline + m_options.wholeAnswerTimeout;
+    request.answerDeadline = request.deadline + m_options.wholeAnswerTimeout;
     return request;
 }
 
@@ -110,13 +112,14 @@
     for (const admission::Ticket displaced : outcome.displaced)
     {
         RouterRequest& victim = m_requests.at (displaced);
-        failNotRun (victim, { ErrorKind::kQueueFull, "gave way to a more urgent request",
-                              waitEstimate (victim) });
+        failNotRun (victim,
+                    { ErrorKind::kQueueFull, "evicted from the queue by a more urgent request",
+                      waitEstimate (victim) });
     }
     if (! outcome.isAccepted)
     {
         failNotRun (request,
-                    { ErrorKind::kQueueFull, "too many requests wait", waitEstimate (request) });
+                    { ErrorKind::kQueueFull, "the request queue is full", waitEstimate (request) });
         return;
     }
     const RequestTicket ticket = request.ticket;
@@ -130,7 +133,7 @@
         m_demand.onColdTarget();
 }
 
-void RouterCore::Implementation::enqueueAgain (RouterRequest& request)
+void RouterCore::Implementation::requeue (RouterRequest& request)
 {
     request.state = RequestState::kQueued;
     m_queues.pushAgain (request.head.target, request.urgency, queueEntry (request));
@@ -149,8 +152,8 @@
         const auto wait = m_waits.waitBehind (target, ahead, m_now);
         if (! wait || m_now + *wait <= request.deadline)
             return std::nullopt;
-        return Refusal{ ErrorKind::kDeadlineUnreachable, "the queue is longer than the deadline",
-                        *wait };
+        return Refusal{ ErrorKind::kDeadlineUnreachable,
+                        "the estimated wait in the queue exceeds the deadline", *wait };
     }
     const auto estimate = m_table.estimateOf (target);
     if (! estimate)
@@ -183,7 +186,8 @@
         RouterRequest& request = m_requests.at (ticket);
         if (! m_configuration.hasTarget (request.head.protocol, request.head.target))
         {
-            failNotRun (request, { ErrorKind::kModelNotFound, "no longer configured", {} });
+            failNotRun (request,
+                        { ErrorKind::kModelNotFound, "the target is no longer configured", {} });
         }
         else if (const auto refusal = reasonNotServable (request, 0))
         {
@@ -192,11 +196,11 @@
     }
 }
 
-void RouterCore::Implementation::checkPace()
+void RouterCore::Implementation::checkWaitEstimates()
 {
-    if (m_now < m_nextPaceCheck)
+    if (m_now < m_nextWaitCheck)
         return;
-    m_nextPaceCheck = m_now + kPaceCheckInterval;
+    m_nextWaitCheck = m_now + kWaitCheckInterval;
     for (const std::string& target : m_queues.targetsWaiting())
     {
         std::size_t ahead = 0;
@@ -233,7 +237,7 @@
 
 void RouterCore::Implementation::serveQueues()
 {
-    // Serving may free room again, for example when a request is refused on the way.
+    // Serving can free slots again, for example when it refuses a request.
     while (std::exchange (m_mustServe, false))
     {
         std::vector<int> urgencies = m_queues.urgenciesWaiting();
@@ -287,20 +291,22 @@
     const admission::SlotReservation& reservation = m_configuration.reservation();
     const cell::RoutableReplica& info = state.info;
     const bool isReserved = reservation.hasReservation (urgency);
-    const bool isEntering = info.entryCredits != 0 && ! m_demand.isStated (info.target);
+    const bool isEntering = info.entryCredits != 0 && ! m_demand.hasReportedDemand (info.target);
     const std::uint32_t share = isEntering ? info.entryCredits : info.credits;
     std::uint32_t credits = share == 0 ? std::max (info.slots, 1U) : share;
     std::uint32_t used = state.inFlightTotal();
     if (isReserved)
     {
-        // Credits may be as few as one. Less urgent requests take none from a class with reserved
-        // slots, which engines run first, and it may have as many requests as there are such slots.
+        // Credits can be as low as one. For a class with reserved slots, which engines run first,
+        // less urgent requests do not count, and it gets at least as many credits as reserved
+        // slots.
         used = routing::countUpTo (state.inFlight, urgency);
         credits = std::max (credits, reservation.reservedSlots (urgency, info.slots));
     }
     if (! reservation.mayStart (urgency, credits, used, state.inFlight))
         return false;
-    // Urgent requests may go beyond a load that is only estimated: engines serve them first.
+    // The load is only an estimate. Classes with reserved slots may exceed it because engines serve
+    // them first.
     if (info.slots == 0 || isReserved)
         return true;
     return reservation.mayStart (urgency, info.slots, m_table.estimatedLoad (info.runner),
--- a/src/router/RouterAtMostOnceTest.cpp
+++ b/src/router/RouterAtMostOnceTest.cpp
@@ -1,4 +1,4 @@
-// Requests that may not be repeated.
+// At-most-once execution of non-repeatable requests.
 
 #include <gtest/gtest.h>
 
@@ -29,7 +29,7 @@
     RequestTicket m_ticket = 0;
 };
 
-TEST_F (RouterAtMostOnceTest, ClaimsTheKeyBeforeAnyByteLeaves)
+TEST_F (RouterAtMostOnceTest, ClaimsTheKeyBeforeSendingTheRequest)
 {
     EXPECT_TRUE (m_router.starts.empty());
     ASSERT_EQ (m_router.claimRequests.size(), 1U);
@@ -43,7 +43,7 @@
     EXPECT_EQ (m_router.outcomes[0].httpStatus, 200);
 }
 
-TEST_F (RouterAtMostOnceTest, AClaimExpiresByTheCellsTimeAndNotByTheWallClockOfThisMachine)
+TEST_F (RouterAtMostOnceTest, ClaimExpiryUsesCellTimeNotTheLocalWallClock)
 {
     constexpr base::UnixMilliseconds kCellTime = 5'000'000'000'000;
     m_router.grantsLeases = false;
@@ -55,7 +55,7 @@
     m_router.claimRequests.clear();
     m_router.request (RouterHarness::payment ("q", "key-2"));
     ASSERT_EQ (m_router.claimRequests.size(), 1U);
-    // The deadline of the class, the window, and what passed since the grant.
+    // Cell time, class deadline, claim window, and the time since the grant.
     const base::UnixMilliseconds expected = kCellTime + 2000 + 600'000 + 100;
     EXPECT_EQ (m_router.claimRequests[0].claims[0].expiresAt, expected);
 }
@@ -73,7 +73,7 @@
     EXPECT_EQ (m_router.outcomes[0].outcome, ClaimOutcome::kUnknown);
 }
 
-TEST_F (RouterAtMostOnceTest, AGatewayErrorIsNoProofThatItRan)
+TEST_F (RouterAtMostOnceTest, GatewayErrorIsRecordedAsUnknownOutcome)
 {
     m_router.answerClaims (ClaimVerdict::kGranted);
     m_router.answerWhole (m_router.starts[0].attempt, "bad gateway", 502);
@@ -83,7 +83,7 @@
     EXPECT_EQ (m_router.outcomes[0].outcome, ClaimOutcome::kUnknown);
 }
 
-TEST_F (RouterAtMostOnceTest, AnAttemptThatWasRefusedIsRepeatedUnderTheSameClaim)
+TEST_F (RouterAtMostOnceTest, RefusedAttemptIsRepeatedUnderTheSameClaim)
 {
     m_router.answerClaims (ClaimVerdict::kGranted);
     m_router.event (m_router.starts[0].attempt, AttemptRefused{ 503, false, std::nullopt });
@@ -93,7 +93,7 @@
     EXPECT_EQ (m_router.callers[m_ticket].text, "done");
 }
 
-TEST_F (RouterAtMostOnceTest, ALostClaimReplyIsAskedForAgainUnchanged)
+TEST_F (RouterAtMostOnceTest, ResendsTheSameClaimAfterALostReply)
 {
     const cell::Claim first = m_router.claimRequests[0].claims[0];
     m_router.claimRequests.clear();
@@ -107,7 +107,7 @@
     EXPECT_EQ (m_router.starts.size(), 1U);
 }
 
-TEST_F (RouterAtMostOnceTest, GivenUpBeforeDispatchIsRecordedAsNotRun)
+TEST_F (RouterAtMostOnceTest, DeadlineBeforeDispatchIsRecordedAsNotRun)
 {
     m_router.advance (milliseconds (2010));
     ASSERT_TRUE (m_router.callers[m_ticket].error);
@@ -134,10 +134,10 @@
     EXPECT_TRUE (m_router.isLeakFree());
 }
 
-TEST_F (RouterAtMostOnceTest, ACallerThatLeavesDoesNotLoseTheOutcome)
+TEST_F (RouterAtMostOnceTest, OutcomeIsRecordedAfterTheCallerDisconnects)
 {
     m_router.answerClaims (ClaimVerdict::kGranted);
-    m_router.callerGone (m_ticket);
+    m_router.disconnectCaller (m_ticket);
     EXPECT_FALSE (m_router.isCancelled (m_router.starts[0].attempt));
     m_router.advance (milliseconds (30010));
     ASSERT_EQ (m_router.outcomes.size(), 1U);
@@ -145,7 +145,7 @@
     EXPECT_TRUE (m_router.core().isIdle());
 }
 
-TEST_F (RouterAtMostOnceTest, OutcomesGoOutAgainOnANewConnection)
+TEST_F (RouterAtMostOnceTest, OutcomesAreResentOnANewConnection)
 {
     m_router.answerClaims (ClaimVerdict::kGranted);
     m_router.answerWhole (m_router.starts[0].attempt, "done");
@@ -157,7 +157,7 @@
     EXPECT_EQ (m_router.outcomes[0].outcome, ClaimOutcome::kRan);
 }
 
-TEST_F (RouterAtMostOnceTest, EachVerdictHasItsAnswer)
+TEST_F (RouterAtMostOnceTest, EachClaimVerdictMapsToItsError)
 {
     const std::vector<std::pair<ClaimVerdict, ErrorKind>> expected{
         { ClaimVerdict::kInProgress, ErrorKind::kOutcomeUnknown },
@@ -179,7 +179,7 @@
     EXPECT_TRUE (m_router.outcomes.empty());
 }
 
-TEST (RouterClaimIdentityTest, TwoRequestsOfOneIdentifierNeverShareAClaim)
+TEST (RouterClaimIdentityTest, RequestsWithTheSameIdentifierNeverShareAClaim)
 {
     RouterHarness first (RouterHarness::defaultOptions(), 1);
     RouterHarness second (RouterHarness::defaultOptions(), 2);
--- a/src/router/RouterCore.cpp
+++ b/src/router/RouterCore.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-/// After a planned stop, outcomes that cannot be delivered keep the process no longer than this.
+/// Wait limit of a planned stop for outcomes that are not delivered to the controller.
 constexpr base::Duration kOutcomeFlushLimit = base::seconds (5);
-/// When a caller refused for lack of a lease should come back to this router.
+/// Retry-After for requests that are refused without a lease.
 constexpr base::Duration kLeaseRetry = base::seconds (1);
 
 }  // namespace
@@ -46,7 +46,7 @@
 void RouterCore::Implementation::onTick()
 {
     runTimers();
-    checkPace();
+    checkWaitEstimates();
     settle();
 }
 
@@ -84,7 +84,7 @@
 {
     if (! m_configuration.apply (update))
     {
-        // A whole text that cannot be read would not be better the next time.
+        // A complete text that cannot be parsed is not requested again: it would be the same.
         const bool isGap = update.baseVersion != 0 && update.version > m_configuration.version();
         if (isGap)
         {
@@ -103,17 +103,17 @@
     m_session.onGrant (grant);
     if (grant.cellTime > cellTime())
     {
-        m_cellTimeKnown = grant.cellTime;
-        m_cellTimeKnownAt = m_now;
+        m_lastCellTime = grant.cellTime;
+        m_lastCellTimeAt = m_now;
     }
     checkLease();
 }
 
 base::UnixMilliseconds RouterCore::Implementation::cellTime() const
 {
-    if (m_cellTimeKnown == 0)
+    if (m_lastCellTime == 0)
         return 0;
-    return m_cellTimeKnown + base::toMilliseconds (m_now - m_cellTimeKnownAt);
+    return m_lastCellTime + base::toMilliseconds (m_now - m_lastCellTimeAt);
 }
 
 void RouterCore::Implementation::handle (const cell::ReplicaUpdate& update)
--- a/src/router/RouterCore.h
+++ b/src/router/RouterCore.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// One router as a pure state machine: admission, choice of replica, dispatch, retry and the lease
-/// on the configuration. The Qt adapter and the simulator run the same code.
+/// State machine of one router without I/O: admission, choice of replica, dispatch, retry and the
+/// lease on the configuration. An adapter feeds it inputs and executes its effects; RouterProcess
+/// does so with sockets, the simulator without. Single-threaded.
 
 #include <cstdint>
 #include <memory>
@@ -20,24 +21,24 @@
 namespace fernlift::router
 {
 
-/// Identifies one caller's request inside this router; never reused.
+/// Identifier of one caller's request inside this router; never reused.
 using RequestTicket = std::uint64_t;
-/// Identifies one attempt at a back end inside this router; never reused.
+/// Identifier of one attempt at a back end inside this router; never reused.
 using AttemptId = std::uint64_t;
 
-/// Faults that tests plant to show that their checks find them. Never set outside tests.
+/// Faults injected by tests to prove that their checks detect them. Never set outside tests.
 enum class PlantedFault : std::uint8_t
 {
     kNone,
-    kRetrySentUnrepeatable,  ///< A request that may not be repeated is sent again.
-    kPassDuplicateChunks,    ///< Repeated chunks go to the caller again.
-    kDropRefusal,            ///< Refused requests get no answer.
+    kRetrySentUnrepeatable,  ///< A non-repeatable request is sent again.
+    kPassDuplicateChunks,    ///< Duplicate chunks are forwarded to the caller.
+    kDropRefusal,            ///< Refused requests are not answered.
     kIgnoreLease,            ///< Requests are admitted without a lease.
-    kNotRunAfterBytes,       ///< Every failure is said to be "not run".
-    kMixAttempts,            ///< Parts of an earlier attempt stay in an answer begun anew.
-    kDispatchToLeaving,      ///< Signs that a runner is leaving are not heeded.
-    kStarveUrgent,           ///< Queues are served in the wrong order of urgency.
-    kHoldHopeless,           ///< Requests that cannot be met wait for their deadline.
+    kNotRunAfterBytes,       ///< Every failure is reported as "not run".
+    kMixAttempts,            ///< A restarted answer keeps parts of an earlier attempt.
+    kDispatchToLeaving,      ///< Leaving notices of runners are ignored.
+    kStarveUrgent,           ///< Queues are served in reverse order of urgency.
+    kHoldHopeless,           ///< Unservable requests wait until their deadline.
 };
 
 struct RouterOptions
@@ -51,57 +52,57 @@
     std::size_t maximumQueuedPerTarget = 1024;
     base::Duration connectTimeout = base::milliseconds (300);
     base::Duration betweenTokensTimeout = base::seconds (5);
-    /// The whole answer has to be there this long after the deadline of its first byte.
+    /// Time from the deadline of the first byte to the deadline of the complete answer.
     base::Duration wholeAnswerTimeout = base::seconds (600);
     base::Duration demandInterval = base::milliseconds (200);
     std::uint32_t maximumAttempts = 3;
     double retryBudgetShare = 0.2;  ///< Retries allowed as a share of first attempts.
     std::size_t requestTraces = 4096;
     base::Duration claimWindow =
-        base::seconds (600);  ///< Claims are kept this long past a deadline.
-    /// An answer that is not streamed is kept back up to this size, so that an attempt that breaks
-    /// in the middle can be repeated.
+        base::seconds (600);  ///< Claims are kept this long after the request's deadline.
+    /// An answer that is not streamed is buffered up to this size, so that a broken attempt can be
+    /// repeated.
     std::size_t maximumBufferedAnswer = 1024UL * 1024;
-    /// Urgent repeatable requests without streaming get a second attempt elsewhere after this time
-    /// without a byte. Nothing: never.
+    /// Urgent repeatable requests without streaming get a second attempt at another replica after
+    /// this time without a byte. nullopt disables hedging.
     std::optional<base::Duration> hedgeAfter;
-    int hedgeMaximumUrgency = 0;  ///< Largest urgency that is hedged.
-    /// How long the outcome of a request that may not be repeated is awaited after its caller was
-    /// answered or left.
+    int hedgeMaximumUrgency = 0;  ///< Largest urgency value that is hedged.
+    /// Wait limit for the outcome of a non-repeatable request after its caller was answered or
+    /// disconnected.
     base::Duration outcomeWait = base::seconds (30);
     PlantedFault plantedFault = PlantedFault::kNone;
 };
 
 enum class Protocol : std::uint8_t
 {
-    kCompletions,  ///< /v1/chat/completions or /v1/completions at an engine.
-    kApplication,  ///< /apps/NAME/... at an application back end.
+    kCompletions,  ///< Calls of /v1/chat/completions or /v1/completions at an engine.
+    kApplication,  ///< Calls of /apps/NAME/... at an application back end.
 };
 
-/// What the core needs to know of a request; the adapter keeps the bytes.
+/// The part of a request that the core needs; the adapter keeps the bytes.
 struct RequestHead
 {
     base::RequestId id;
     Protocol protocol = Protocol::kCompletions;
     std::string target;  ///< Model, adapter or application name.
     std::optional<base::RequestClassName> requestClass;
-    std::optional<base::Duration> deadline;  ///< From arrival to the first byte.
+    std::optional<base::Duration> deadline;  ///< Time from arrival to the first byte.
     base::IdempotencyKey idempotencyKey;     ///< May be empty.
-    std::string requestDigest;               ///< sha256Hex of method, path and body.
-    std::string caller;                      ///< For fairness: API key or peer address.
+    std::string requestDigest;  ///< Result of sha256Hex over method, path, query and body.
+    std::string caller;         ///< API key or peer address, for fair queueing.
     bool isStreaming = false;
-    bool isSafeMethod = false;  ///< GET, HEAD: repeatable whatever the class says.
+    bool isSafeMethod = false;  ///< GET or HEAD, which are repeatable in every class.
     std::size_t bodyBytes = 0;
     std::vector<std::uint64_t> prefixHashes;  ///< Hashes of the prompt's leading blocks, in order.
 };
 
-// What happens to an attempt, told by the adapter (or simulator).
+// Events of an attempt, reported by the adapter (or simulator).
 
-/// The connection could not be opened: no byte left.
+/// The connection could not be opened; no byte was sent.
 struct AttemptNotSent
 {
 };
-/// The back end answered that it did not take the request (429, 503 with `not_run`).
+/// The back end refused the request without running it (429 or 503 with `not_run`).
 struct AttemptRefused
 {
     int httpStatus = 0;
@@ -114,19 +115,19 @@
     int httpStatus = 0;
     bool runnerIsLeaving = false;
 };
-/// Part of the answer arrived. For streams of completions `offset` is the position of its first
-/// token; for other bodies the position of its first byte.
+/// Part of the answer arrived. `offset` is the position of its first token in a completion stream,
+/// and of its first byte in other bodies.
 struct AttemptData
 {
     std::uint64_t offset = 0;
-    std::uint64_t count = 0;  ///< Tokens (or bytes) in `data`.
+    std::uint64_t count = 0;  ///< Number of tokens (or bytes) in `data`.
     std::string data;
 };
-/// The answer is whole.
+/// The answer is complete.
 struct AttemptEnded
 {
 };
-/// The connection broke, or the adapter's own checks found the answer damaged.
+/// The connection broke, or the adapter found the answer to be malformed.
 struct AttemptBroken
 {
 };
@@ -134,14 +135,14 @@
 using AttemptEvent = std::variant<AttemptNotSent, AttemptRefused, AttemptHeaders, AttemptData,
                                   AttemptEnded, AttemptBroken>;
 
-// Effects the adapter carries out.
+// Effects that the adapter executes.
 
 struct SendToController
 {
     cell::RouterToController message;
 };
 using cell::ConnectController;
-/// Send the request (the adapter has its bytes) to this back end, once.
+/// Send the request, whose bytes the adapter has, to this back end once.
 struct StartAttempt
 {
     RequestTicket ticket = 0;
@@ -151,32 +152,32 @@
     std::uint64_t resumeFrom = 0;  ///< Token offset for a resumed stream.
     base::Duration connectTimeout{};
 };
-/// Stop an attempt; nothing more is wanted of it. The back end is told to cancel.
+/// Cancel an attempt, also at the back end, and ignore the rest of its answer.
 struct CancelAttempt
 {
     AttemptId attempt = 0;
 };
-/// Begin the caller's answer. With several attempts at one request, the headers to pass on are
-/// those of `attempt`; its events may all have come before.
+/// Begin the caller's answer with the headers of `attempt`, one of possibly several attempts at the
+/// request. All events of the attempt may have arrived before.
 struct AnswerHeaders
 {
     RequestTicket ticket = 0;
     int httpStatus = 200;
     AttemptId attempt = 0;
 };
-/// Next part of the caller's answer.
+/// Write the next part of the caller's answer.
 struct AnswerData
 {
     RequestTicket ticket = 0;
     std::string data;
 };
-/// The caller's answer is whole.
+/// Complete the caller's answer.
 struct AnswerEnd
 {
     RequestTicket ticket = 0;
 };
-/// The request failed: the whole answer if nothing was sent yet, else an error event that ends the
-/// stream.
+/// Answer the caller with an error: as the complete answer if nothing was sent yet, else as an
+/// error event that ends the stream.
 struct AnswerError
 {
     RequestTicket ticket = 0;
@@ -188,8 +189,8 @@
 using Effect = std::variant<SendToController, ConnectController, StartAttempt, CancelAttempt,
                             AnswerHeaders, AnswerData, AnswerEnd, AnswerError>;
 
-/// Counters for /metrics and for the leak check: admitted = answered + refused + callersGone +
-/// open.
+/// Counters for /metrics and for the leak check:
+/// admitted = answered + refused + callersGone + open.
 struct RouterCounters
 {
     std::uint64_t admitted = 0;
@@ -203,7 +204,7 @@
     std::uint64_t claims = 0;
 };
 
-/// The state machine. Single-threaded; every call may produce effects, taken by takeEffects().
+/// The state machine. Every call may produce effects, which takeEffects() returns.
 class RouterCore
 {
 public:
@@ -213,7 +214,7 @@
     RouterCore (RouterCore&&) noexcept;
     RouterCore& operator= (RouterCore&&) noexcept;
 
-    /// Time for this and the following calls. Call before every other input.
+    /// Sets the time for the calls that follow. Call before every other input.
     void setTime (base::TimePoint now, base::UnixMilliseconds unixNow);
     void onTick();
 
@@ -221,33 +222,35 @@
     void onControllerLost();
     void onControllerMessage (const cell::ControllerToRouter& message);
 
-    /// A whole request arrived. It ends in exactly one AnswerEnd or AnswerError, unless
-    /// onCallerGone comes first.
+    /// A complete request arrived. It ends with exactly one AnswerEnd or AnswerError, unless
+    /// onCallerGone() is called first.
     RequestTicket onRequest (const RequestHead& head);
     void onCallerGone (RequestTicket ticket);
-    /// The caller does not read its answer, so that its attempts are not read either (or does
-    /// again). Meanwhile the silence of a back end is no fault of it.
+    /// The caller has stopped (or resumed) reading its answer, and with it the adapter the answers
+    /// of the attempts. Attempts do not time out while paused.
     void onCallerPaused (RequestTicket ticket, bool isPaused);
     void onAttemptEvent (AttemptId attempt, const AttemptEvent& event);
-    /// Prefix cache events of a runner, in order. Returns the sequence to ask after next.
+    /// Applies prefix cache events of a runner, in order. Returns the sequence number after which
+    /// the next poll continues.
     std::uint64_t onCacheEvents (const base::RunnerId& runner, base::Incarnation incarnation,
                                  const std::vector<routing::CacheEvent>& events);
 
-    /// Begins a planned stop: refuses new requests, finishes open ones. Done when isIdle().
+    /// Begins a planned stop: refuses new requests and completes open ones. The stop is complete
+    /// when isIdle() is true.
     void beginStop();
     [[nodiscard]] bool isIdle() const;
-    /// True while the lease on a configuration holds.
+    /// True while the router has a valid lease on its configuration.
     [[nodiscard]] bool isReady() const;
 
-    /// Of the configuration held, whether the lease holds or not; version 0: none yet.
+    /// Version of the held configuration, with or without a valid lease; 0 before the first one.
     [[nodiscard]] std::uint64_t configurationVersion() const;
     [[nodiscard]] const std::string& configurationDigest() const;
 
     [[nodiscard]] std::vector<Effect> takeEffects();
     [[nodiscard]] RouterCounters counters() const;
-    /// Models, adapters that callers may name, for /v1/models.
+    /// Models and adapters that callers may name, for /v1/models.
     [[nodiscard]] std::vector<std::string> targets() const;
-    /// What happened to a recent request, as JSON; empty when it is not remembered.
+    /// Trace of a recent request as JSON; empty if there is none.
     [[nodiscard]] std::string explainRequest (const base::RequestId& id) const;
     [[nodiscard]] std::string metricsText() const;
 
--- a/src/router/RouterCoreImplementation.h
+++ b/src/router/RouterCoreImplementation.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Inside of RouterCore. The parts are in three files: the controller's side in RouterCore.cpp,
-/// waiting and refusing in RouterAdmission.cpp, attempts and answers in RouterDispatch.cpp.
+/// Implementation of RouterCore, split over several files: controller messages in RouterCore.cpp,
+/// queueing and refusals in RouterAdmission.cpp, attempts and answers in RouterDispatch.cpp, final
+/// answers and timers in RouterEnds.cpp, metrics in RouterMetrics.cpp.
 
 #include <map>
 #include <optional>
@@ -63,7 +64,7 @@
 private:
     using Requests = std::map<RequestTicket, RouterRequest>;
 
-    /// Why a request cannot be served, and when it could be.
+    /// Reason for refusing a request, with the estimated time until it could be served.
     struct Refusal
     {
         base::ErrorKind kind = base::ErrorKind::kInternal;
@@ -71,46 +72,46 @@
         base::Duration estimate{};
     };
 
-    // The controller's side.
+    // Controller messages.
     void handle (const cell::NotLeaderReply& reply);
     void handle (const cell::ConfigurationUpdate& update);
     void handle (const cell::LeaseGrant& grant);
     void handle (const cell::ReplicaUpdate& update);
     void handle (const cell::ClaimReply& reply);
-    /// Registered services are the business of routers that forward.
+    /// Registered services are handled by ProxyProcess.
     void handle (const cell::InstanceUpdate& /*update*/) {}
-    /// Only controllers ask to join.
+    /// Only controllers request to join a cell.
     void handle (const cell::MemberJoinReply& /*reply*/) {}
-    /// Requests of tenants are forwarded by ProxyProcess.
+    /// Tenant quotas, suspects, loads and rates of instances are handled by ProxyProcess.
     void handle (const cell::QuotaGrant& /*grant*/) {}
     void handle (const cell::SuspectUpdate& /*update*/) {}
     void handle (const cell::SuspectReport& /*report*/) {}
     void handle (const cell::InstanceLoadUpdate& /*update*/) {}
     void handle (const cell::InstanceRateUpdate& /*update*/) {}
     void handle (const cell::InstancePermitGrant& /*grant*/) {}
-    /// The cell's time as the leader last told it; 0 before. It goes on with the monotonic clock,
-    /// so that a step of this machine's wall clock changes nothing.
+    /// Cell time, extrapolated from the leader's last value with the monotonic clock so that a step
+    /// of this machine's wall clock has no effect; 0 before the first value.
     [[nodiscard]] base::UnixMilliseconds cellTime() const;
     void pollController();
     void sendToController (cell::RouterToController message);
     void sendDemand();
     [[nodiscard]] DemandByTarget currentDemand() const;
     void checkLease();
-    /// Brings everything to rest after an input: serves the queues and sends what is due.
+    /// Follow-up work after an input: serves the queues and sends the messages that are due.
     void settle();
 
-    // Waiting and refusing.
+    // Queueing and refusals.
     [[nodiscard]] std::optional<Refusal> reasonToRefuseAtOnce (const RequestHead& head) const;
     [[nodiscard]] std::optional<Refusal> reasonNotServable (const RouterRequest& request,
                                                             std::size_t ahead) const;
     RouterRequest& admit (const RequestHead& head, const config::RequestClass& requestClass);
     void enqueueNew (RouterRequest& request);
-    void enqueueAgain (RouterRequest& request);
+    void requeue (RouterRequest& request);
     [[nodiscard]] admission::QueuedRequest queueEntry (const RouterRequest& request) const;
-    /// Refuses waiting requests that the table or the configuration rules out.
+    /// Refuses waiting requests that the replica table or the configuration does not allow.
     void refuseUnservable();
-    /// Refuses waiting requests whose queue has become too slow for their deadlines.
-    void checkPace();
+    /// Refuses waiting requests whose estimated wait exceeds their deadlines.
+    void checkWaitEstimates();
     void refuseWaiting (base::ErrorKind kind, const std::string& message, base::Duration estimate);
     void serveQueues();
     void serveTarget (const std::string& target, int urgency);
@@ -132,26 +133,26 @@
     void handle (RouterRequest& request, AttemptId id, const AttemptData& event);
     void handle (RouterRequest& request, AttemptId id, const AttemptEnded& event);
     void handle (RouterRequest& request, AttemptId id, const AttemptBroken& event);
-    bool takeLead (RouterRequest& request, AttemptId id);
-    void passPart (RouterRequest& request, const AttemptData& part);
+    bool selectAttempt (RouterRequest& request, AttemptId id);
+    void forwardData (RouterRequest& request, const AttemptData& part);
     void beginAnswer (RouterRequest& request);
     void onAttemptFailed (RouterRequest& request, AttemptId id, dispatch::AttemptFailure failure,
                           std::optional<base::Duration> retryAfter = std::nullopt);
     void retry (RouterRequest& request, dispatch::AttemptFailure failure);
     void failAfterAttempt (RouterRequest& request, dispatch::AttemptFailure failure,
                            std::optional<base::Duration> retryAfter);
-    void noteLeaving (const cell::RoutableReplica& replica);
-    /// Forgets an attempt; with `cancel` the back end is told to stop.
+    void reportLeavingRunner (const cell::RoutableReplica& replica);
+    /// Removes an attempt and, with `cancel`, cancels it at the back end.
     void dropAttempt (RouterRequest& request, AttemptId id, bool cancel);
 
-    // Ends and timers.
+    // Final answers and timers.
     void fail (RouterRequest& request, base::Error error, base::Execution execution,
                std::optional<base::Duration> retryAfter);
     void failNotRun (RouterRequest& request, const Refusal& refusal);
     void answerError (const RouterRequest& request, base::Error error, base::Execution execution,
                       std::optional<base::Duration> retryAfter);
     void recordOutcome (RouterRequest& request, cell::ClaimOutcome outcome, int httpStatus);
-    /// Frees everything a request holds and forgets it.
+    /// Releases the resources of a request and removes it.
     void forget (RouterRequest& request);
     void detach (RouterRequest& request);
     void onDeadline (RouterRequest& request);
@@ -166,13 +167,13 @@
     base::Random m_random;
     base::TimePoint m_now;
     base::UnixMilliseconds m_unixNow;
-    base::UnixMilliseconds m_cellTimeKnown = 0;  ///< 0: the leader has not told it yet.
-    base::TimePoint m_cellTimeKnownAt{};
-    std::string m_processNonce;  ///< Makes claims of this process unlike those of an earlier one.
+    base::UnixMilliseconds m_lastCellTime = 0;  ///< Zero before the first value from the leader.
+    base::TimePoint m_lastCellTimeAt{};
+    std::string m_processNonce;  ///< Part of claim identifiers, unique to this process run.
 
     cell::ControllerSession m_session;
     ActiveConfiguration m_configuration;
-    bool m_needsWholeConfiguration = false;  ///< A change came that does not fit.
+    bool m_needsWholeConfiguration = false;  ///< A delta to another version was received.
     routing::ReplicaTable m_table;
     routing::OutlierDetector m_outliers;
     routing::PrefixIndex m_prefixes;
@@ -191,8 +192,8 @@
     RequestTicket m_lastTicket = 0;
     AttemptId m_lastAttempt = 0;
     bool m_hadLease = false;
-    base::TimePoint m_nextPaceCheck{};
-    bool m_mustServe = false;  ///< Something changed that may let a waiting request go.
+    base::TimePoint m_nextWaitCheck{};
+    bool m_mustServe = false;  ///< Set by changes that may allow a dispatch.
     std::optional<base::TimePoint> m_stoppingSince;
     RouterCounters m_counters;
     std::map<base::ErrorKind, std::uint64_t> m_errorsByKind;
--- a/src/router/RouterCoreTest.cpp
+++ b/src/router/RouterCoreTest.cpp
@@ -15,7 +15,7 @@
 using base::milliseconds;
 using testing::RouterHarness;
 
-TEST (RouterCoreTest, StreamsTheAnswerOfOneReplicaThrough)
+TEST (RouterCoreTest, ForwardsTheStreamOfOneReplica)
 {
     RouterHarness router;
     router.connect ({ RouterHarness::replica ("r1", "m") });
@@ -35,7 +35,7 @@
     EXPECT_TRUE (router.core().isIdle());
 }
 
-TEST (RouterCoreTest, AsksForAConnectionAndGreetsTheController)
+TEST (RouterCoreTest, ConnectsAndSendsHelloToTheController)
 {
     RouterHarness router;
     router.advance (milliseconds (10));
@@ -57,7 +57,7 @@
     EXPECT_EQ (router.connects.back().address, "127.0.0.1:77");
 }
 
-TEST (RouterCoreTest, LeavesAControllerThatGoesSilentBeforeTheLeaseEnds)
+TEST (RouterCoreTest, ReconnectsFromASilentControllerBeforeTheLeaseEnds)
 {
     RouterHarness router;
     router.connect ({});
@@ -79,7 +79,7 @@
     EXPECT_TRUE (router.callers[early].error->retryAfter);
 }
 
-TEST (RouterCoreTest, LeaseRunsFromTheSendingOfTheRequest)
+TEST (RouterCoreTest, LeaseStartsWhenItsRequestIsSent)
 {
     RouterHarness router;
     router.core().onControllerConnected();
@@ -116,7 +116,7 @@
     EXPECT_TRUE (router.isLeakFree());
 }
 
-TEST (RouterCoreTest, AnOlderConfigurationIsDropped)
+TEST (RouterCoreTest, IgnoresAnOlderConfiguration)
 {
     RouterHarness router;
     router.connect ({ RouterHarness::replica ("r1", "m") });
@@ -160,7 +160,7 @@
     EXPECT_EQ (router.attemptsOf (ticket).size(), 1U);
 }
 
-TEST (RouterCoreTest, ALoadLongerThanTheDeadlineRefusesAtOnceWithTheEstimate)
+TEST (RouterCoreTest, RefusesAtOnceWithTheEstimateWhenALoadExceedsTheDeadline)
 {
     RouterHarness router;
     router.connect ({});
@@ -179,7 +179,7 @@
     EXPECT_EQ (router.callers[hopeless].error->error.kind, ErrorKind::kNoCapacity);
 }
 
-TEST (RouterCoreTest, TheDeadlineEndsTheWait)
+TEST (RouterCoreTest, WaitingRequestFailsAtItsDeadline)
 {
     RouterHarness router;
     router.connect ({});
@@ -192,7 +192,7 @@
     EXPECT_EQ (router.callers[ticket].error->execution, Execution::kNotRun);
 }
 
-TEST (RouterCoreTest, UrgentRequestsFindSlotsThatDeepWorkMayNotTake)
+TEST (RouterCoreTest, ReservedSlotsStayFreeForUrgentRequests)
 {
     RouterHarness router;
     router.connect (
@@ -207,7 +207,7 @@
     EXPECT_EQ (router.starts.back().urgency, 0);
 }
 
-TEST (RouterCoreTest, DeepRequestsTakeNoCreditsFromUrgentOnesOfTheSameModel)
+TEST (RouterCoreTest, DeepRequestsUseNoCreditsOfUrgentOnesOfTheSameModel)
 {
     RouterHarness router;
     auto replica = RouterHarness::replica ("r1", "m", 8);
@@ -249,7 +249,7 @@
     EXPECT_EQ (router.callers[waiting[21]].ends, 0) << "the next to be served still waits";
 }
 
-TEST (RouterCoreTest, ALeavingSignRefusesWhatCannotBeMetElsewhere)
+TEST (RouterCoreTest, LeavingNoticeRefusesRequestsWithoutAnotherReplica)
 {
     RouterHarness router;
     router.connect ({});
@@ -262,7 +262,7 @@
     EXPECT_EQ (router.callers[waiting].error->error.kind, ErrorKind::kDeadlineUnreachable);
 }
 
-TEST (RouterCoreTest, AFullQueueGivesUpTheLeastUrgentRequest)
+TEST (RouterCoreTest, FullQueueEvictsTheLeastUrgentRequest)
 {
     RouterOptions options = RouterHarness::defaultOptions();
     options.maximumQueuedRequests = 2;
--- a/src/router/RouterDispatch.cpp
+++ b/src/router/RouterDispatch.cpp
@@ -1,4 +1,4 @@
-// Attempts and answers: from the moment a request has room at a replica to its final answer.
+// Attempts and answers: from the time a request gets a slot at a replica to its final answer.
 
 #include <algorithm>
 #include <utility>
@@ -60,7 +60,7 @@
     claim.key = request.head.idempotencyKey;
     claim.requestDigest = request.head.requestDigest;
     claim.router = m_options.router;
-    // Callers may choose request identifiers; a claim needs one that nobody else can use.
+    // Callers may choose request identifiers, but the identifier of a claim must be unique.
     claim.request = base::RequestId (request.head.id.value + "/" + m_options.router.value + "/"
                                      + m_processNonce + "/" + std::to_string (request.ticket));
     const base::Duration kept = request.deadline - m_now + m_options.claimWindow;
@@ -70,7 +70,7 @@
     m_claimOwners[claim.request] = request.ticket;
     m_claims.add (claim);
     m_counters.claims += 1;
-    trace (request, "claim asked for");
+    trace (request, "claim requested");
     setTimer (request);
 }
 
@@ -86,7 +86,9 @@
             onClaimGranted (request);
             return;
         case cell::ClaimVerdict::kInProgress:
-            fail (request, { ErrorKind::kOutcomeUnknown, "a request with this key is in progress" },
+            fail (request,
+                  { ErrorKind::kOutcomeUnknown,
+                    "a request with this idempotency key is in progress" },
                   base::Execution::kUnknown, admission::retryAfter (kFailureEstimate, m_random));
             return;
         case cell::ClaimVerdict::kAlreadyRan:
@@ -97,7 +99,8 @@
             return;
         case cell::ClaimVerdict::kOutcomeUnknown:
             fail (request,
-                  { ErrorKind::kOutcomeUnknown, "the outcome of this key's request was lost" },
+                  { ErrorKind::kOutcomeUnknown,
+                    "the outcome of the request with this idempotency key is unknown" },
                   base::Execution::kUnknown, std::nullopt);
             return;
         case cell::ClaimVerdict::kConflict:
@@ -106,7 +109,9 @@
                   base::Execution::kNotRun, std::nullopt);
             return;
         case cell::ClaimVerdict::kWindowPassed:
-            fail (request, { ErrorKind::kIdempotencyWindowPassed, "the key's window has passed" },
+            fail (request,
+                  { ErrorKind::kIdempotencyWindowPassed,
+                    "the retention period of the idempotency key has passed" },
                   base::Execution::kNotRun, std::nullopt);
             return;
         case cell::ClaimVerdict::kTableFull:
@@ -127,7 +132,9 @@
     const bool hasLease = isReady() || m_options.plantedFault == PlantedFault::kIgnoreLease;
     if (! hasLease)
     {
-        failNotRun (request, { ErrorKind::kLeaseExpired, "the lease ended", kFailureEstimate });
+        failNotRun (request,
+                    { ErrorKind::kLeaseExpired,
+                      "the lease on the configuration ended before dispatch", kFailureEstimate });
     }
     else if (m_table.isUsable (replica))
     {
@@ -135,7 +142,7 @@
     }
     else
     {
-        enqueueAgain (request);
+        requeue (request);
     }
 }
 
@@ -143,7 +150,7 @@
 {
     if (request.hasReachedCaller)
         return m_now + m_options.betweenTokensTimeout;
-    // With time for another attempt elsewhere, a silent back end gets half of what is left.
+    // If another attempt is possible, a back end that does not answer gets half of the time left.
     const bool mayRetry = request.isRepeatable && request.attemptsMade < m_options.maximumAttempts
                           && m_table.usableReplicas (request.head.target).size() > 1;
     const base::Duration left = request.deadline - m_now;
@@ -198,7 +205,7 @@
 {
     const auto owner = m_attemptOwners.find (attempt);
     if (owner == m_attemptOwners.end())
-        return;  // Of an attempt that was given up.
+        return;  // The attempt was abandoned.
     RouterRequest& request = m_requests.at (owner->second);
     std::visit ([&] (const auto& content) { handle (request, attempt, content); }, event);
     settle();
@@ -225,7 +232,7 @@
                                          const AttemptRefused& event)
 {
     if (event.runnerIsLeaving)
-        noteLeaving (findAttempt (request, id)->replica());
+        reportLeavingRunner (findAttempt (request, id)->replica());
     onAttemptFailed (request, id, AttemptFailure::kRefused, event.retryAfter);
 }
 
@@ -234,9 +241,9 @@
 {
     dispatch::Attempt& attempt = *findAttempt (request, id);
     if (event.runnerIsLeaving)
-        noteLeaving (attempt.replica());
+        reportLeavingRunner (attempt.replica());
     attempt.onHeaders (event.httpStatus, m_now);
-    // An error page is no continuation of a stream.
+    // An error response cannot continue a stream.
     const bool cannotContinue = request.hasReachedCaller && event.httpStatus != kOk;
     const bool isWorthRetry = request.isRepeatable && isRetryableStatus (event.httpStatus)
                               && request.attemptsMade < m_options.maximumAttempts
@@ -250,9 +257,9 @@
     setTimer (request);
 }
 
-/// Makes an attempt the one whose answer is passed on; others under way are cancelled. False when
-/// another one was before.
-bool RouterCore::Implementation::takeLead (RouterRequest& request, AttemptId id)
+/// Selects the attempt whose answer is forwarded and cancels the other open attempts. Returns false
+/// if another open attempt was selected before.
+bool RouterCore::Implementation::selectAttempt (RouterRequest& request, AttemptId id)
 {
     if (request.answeringAttempt == id)
         return true;
@@ -278,7 +285,7 @@
 void RouterCore::Implementation::handle (RouterRequest& request, AttemptId id,
                                          const AttemptData& event)
 {
-    if (! takeLead (request, id))
+    if (! selectAttempt (request, id))
         return;
     dispatch::Attempt& attempt = *findAttempt (request, id);
     attempt.onPart (m_now);
@@ -294,13 +301,13 @@
         return;
     }
     request.answerStatus = attempt.hasHeaders() ? attempt.httpStatus() : kOk;
-    passPart (request, event);
+    forwardData (request, event);
     const bool isProgress = event.count > 0 && request.hasReachedCaller;
     if (isProgress)
         request.attemptsMade = 1;
 }
 
-void RouterCore::Implementation::passPart (RouterRequest& request, const AttemptData& part)
+void RouterCore::Implementation::forwardData (RouterRequest& request, const AttemptData& part)
 {
     if (request.isDetached)
         return;
@@ -316,7 +323,7 @@
         beginAnswer (request);
 }
 
-/// Sends the headers and what was kept back.
+/// Sends the headers and the buffered part of the answer.
 void RouterCore::Implementation::beginAnswer (RouterRequest& request)
 {
     request.hasReachedCaller = true;
@@ -330,13 +337,13 @@
 void RouterCore::Implementation::handle (RouterRequest& request, AttemptId id,
                                          const AttemptEnded& /*event*/)
 {
-    if (! takeLead (request, id))
+    if (! selectAttempt (request, id))
         return;
     const dispatch::Attempt attempt = *findAttempt (request, id);
     m_outliers.onSuccess (attempt.replica().runner, m_now);
     request.answerStatus = attempt.hasHeaders() ? attempt.httpStatus() : kOk;
     dropAttempt (request, id, false);
-    // Such an answer often comes from something in between, which does not know what became of it.
+    // Statuses 502 to 504 often come from an intermediary that does not know the outcome.
     const bool isKnown = ! isRetryableStatus (request.answerStatus);
     recordOutcome (request, isKnown ? cell::ClaimOutcome::kRan : cell::ClaimOutcome::kUnknown,
                    request.answerStatus);
@@ -357,14 +364,14 @@
     onAttemptFailed (request, id, AttemptFailure::kBroken);
 }
 
-void RouterCore::Implementation::noteLeaving (const cell::RoutableReplica& replica)
+void RouterCore::Implementation::reportLeavingRunner (const cell::RoutableReplica& replica)
 {
     if (m_options.plantedFault == PlantedFault::kDispatchToLeaving)
         return;
     if (! m_table.markLeaving (replica.runner, replica.incarnation))
         return;
     refuseUnservable();
-    // Without a connection it is told when there is one again.
+    // Without a connection, onControllerConnected() reports it later.
     if (! m_session.isConnected())
         return;
     sendToController (cell::RunnerLeavingSeen{ replica.runner, replica.incarnation });
@@ -398,7 +405,7 @@
     if (! request.attempts.empty())
     {
         setTimer (request);
-        return;  // A hedged request whose other attempt goes on.
+        return;  // The other attempt of a hedged request is still open.
     }
     if (request.isDetached)
     {
@@ -435,8 +442,8 @@
     }
     else
     {
-        failNotRun (request,
-                    { ErrorKind::kRetryBudgetSpent, "too many retries", kFailureEstimate });
+        failNotRun (request, { ErrorKind::kRetryBudgetSpent, "the retry budget is spent",
+                               kFailureEstimate });
     }
 }
 
@@ -450,10 +457,10 @@
                                        { return ! request.avoid.contains (state->info.runner); });
     if (hasOther)
     {
-        enqueueAgain (request);
+        requeue (request);
         return;
     }
-    // Everywhere was tried: come back after a while, and then anywhere.
+    // All replicas were tried. After a backoff the next attempt may use any of them.
     base::Duration backoff = kFirstBackoff;
     for (std::uint32_t made = 1; made < request.attemptsMade; ++made)
         backoff *= 2;
@@ -467,15 +474,15 @@
                                                    std::optional<base::Duration> retryAfter)
 {
     const ErrorKind kind = dispatch::errorKindOf (failure, request.isRepeatable);
-    const bool mayComeBack = request.isRepeatable || dispatch::provesNotRun (failure);
-    std::optional<base::Duration> comeBack;
-    if (mayComeBack)
+    const bool mayRetryLater = request.isRepeatable || dispatch::provesNotRun (failure);
+    std::optional<base::Duration> advisedDelay;
+    if (mayRetryLater)
     {
-        comeBack = admission::retryAfter (retryAfter.value_or (kFailureEstimate), m_random);
+        advisedDelay = admission::retryAfter (retryAfter.value_or (kFailureEstimate), m_random);
     }
     const auto execution =
         request.mayHaveRun ? base::Execution::kUnknown : base::Execution::kNotRun;
-    fail (request, { kind, "the back end failed" }, execution, comeBack);
+    fail (request, { kind, "the back end failed" }, execution, advisedDelay);
 }
 
 }  // namespace fernlift::router
--- a/src/router/RouterEnds.cpp
+++ b/src/router/RouterEnds.cpp
@@ -1,4 +1,4 @@
-// Final answers, callers that leave, and the timer of each request.
+// Final answers, disconnected callers and the timer of each request.
 
 #include <algorithm>
 #include <utility>
@@ -80,7 +80,7 @@
     m_requests.erase (ticket);
 }
 
-/// Keeps a request that may not be repeated only to learn its outcome.
+/// Keeps a non-repeatable request without its caller until its outcome is known.
 void RouterCore::Implementation::detach (RouterRequest& request)
 {
     request.isDetached = true;
@@ -111,7 +111,7 @@
     settle();
 }
 
-/// Whether nothing of the answer has reached the caller.
+/// True if no part of the answer was sent to the caller, who still waits for it.
 bool RouterCore::Implementation::awaitsFirstByte (const RouterRequest& request) const
 {
     return ! request.hasReachedCaller && ! request.isDetached;
@@ -127,7 +127,7 @@
         consider (request.detachedUntil);
         return next;
     }
-    consider (awaitsFirstByte (request) ? request.deadline : request.wholeBy);
+    consider (awaitsFirstByte (request) ? request.deadline : request.answerDeadline);
     if (request.state == RequestState::kBackingOff)
         consider (request.nextAttemptAt);
     if (request.resumeBy)
@@ -174,7 +174,7 @@
                                               { return attempt.id() == request.answeringAttempt; });
         if (isAnswering && ! request.buffered.empty())
         {
-            // What was kept back for the case of another attempt must wait no longer.
+            // The answer was buffered to allow another attempt; at the deadline it has to be sent.
             beginAnswer (request);
             setTimer (request);
         }
@@ -184,7 +184,7 @@
         }
         return;
     }
-    if (! awaitsFirstByte (request) && m_now >= request.wholeBy)
+    if (! awaitsFirstByte (request) && m_now >= request.answerDeadline)
     {
         onDeadline (request);
         return;
@@ -207,7 +207,7 @@
     if (request.state == RequestState::kBackingOff && m_now >= request.nextAttemptAt)
     {
         request.avoid.clear();
-        enqueueAgain (request);
+        requeue (request);
         return;
     }
     if (request.hedgeAt && m_now >= *request.hedgeAt)
@@ -231,7 +231,7 @@
     }
     answerError (request, { ErrorKind::kOutcomeUnknown, "the back end did not answer in time" },
                  base::Execution::kUnknown, std::nullopt);
-    trace (request, "deadline passed; outcome awaited");
+    trace (request, "deadline passed; waiting for the outcome");
     detach (request);
 }
 
--- a/src/router/RouterMetrics.cpp
+++ b/src/router/RouterMetrics.cpp
@@ -1,4 +1,4 @@
-// The router's own part of /metrics.
+// Metrics of RouterCore in the text format of /metrics.
 
 #include <string>
 #include <string_view>
--- a/src/router/RouterModelChecksTest.cpp
+++ b/src/router/RouterModelChecksTest.cpp
@@ -1,4 +1,4 @@
-// The model of RouterCore: what it does, and what must hold.
+// Model of RouterCore: handling of its effects, and the invariants.
 
 #include "router/RouterModelTestSupport.h"
 
@@ -21,16 +21,16 @@
     const cell::RoutableReplica& replica = start.replica;
     require (request.isOpen(), "no attempt for a request that was answered");
     require (! m_leaving.contains ({ replica.runner, replica.incarnation }),
-             "a leaving runner gets nothing new");
+             "a leaving runner gets no new requests");
     require (! request.attempts.empty() || ! m_controller.hasNoLease (m_now),
              "no request is dispatched first without a lease");
     if (! request.isRepeatable)
     {
         require (isProvenNotRun (request), "a request that may not be repeated is sent once");
         require (m_controller.isGranted (request.head.idempotencyKey, request.head.id.value),
-                 "bytes leave only under a granted claim");
+                 "a non-repeatable request is sent only under a granted claim");
     }
-    // A request that may not be repeated holds its room from the moment it asks for its claim.
+    // A non-repeatable request holds its slot from the time it requests its claim.
     if (! request.isRepeatable || ! request.attempts.empty())
         return;
     for (const auto& [ticket, other] : m_requests)
@@ -45,14 +45,14 @@
 void RouterModel::take (const AnswerHeaders& headers)
 {
     Request& request = m_requests.at (headers.ticket);
-    require (request.isOpen() && ! request.hasHeaders, "one begin to each answer");
+    require (request.isOpen() && ! request.hasHeaders, "each answer begins once");
     request.hasHeaders = true;
 }
 
 void RouterModel::take (const AnswerData& data)
 {
     Request& request = m_requests.at (data.ticket);
-    require (request.isOpen() && request.hasHeaders, "parts come inside of an answer");
+    require (request.isOpen() && request.hasHeaders, "parts are sent only within an answer");
     request.text += data.data;
     checkText (request, false);
 }
@@ -90,10 +90,10 @@
     if (error.execution == base::Execution::kNotRun)
     {
         require (isProvenNotRun (request),
-                 "\"not run\" is said only of what no back end can have run");
+                 "\"not run\" is reported only if no back end can have run the request");
         const bool isRetryable = base::traitsOf (error.error.kind).retryable;
         require (! isRetryable || (error.retryAfter && *error.retryAfter > base::Duration::zero()),
-                 "a refusal says when to come back");
+                 "a retryable refusal has a retry time");
     }
 }
 
@@ -109,7 +109,7 @@
         if (! request.isOpen())
             continue;
         open += 1;
-        checkNotHopeless (request);
+        checkServable (request);
         const bool hasBegun =
             request.hasHeaders
             || std::any_of (request.attempts.begin(), request.attempts.end(),
@@ -118,10 +118,10 @@
         require (hasBegun || m_now < request.deadline + base::milliseconds (20),
                  "a request is answered by its deadline");
     }
-    require (open == counters.open, "the router knows the requests that are open");
+    require (open == counters.open, "the router counts the open requests");
 }
 
-void RouterModel::checkNotHopeless (const Request& request) const
+void RouterModel::checkServable (const Request& request) const
 {
     const auto estimate = m_estimates.find (request.head.target);
     const bool waits = request.isRepeatable && request.attempts.empty();
@@ -130,7 +130,7 @@
     if (m_controller.hasRow (request.head.target, m_leaving))
         return;
     const bool isMet = estimate->second.canBeServed && estimate->second.readyAt <= request.deadline;
-    require (isMet, "a request that cannot be met is refused at once");
+    require (isMet, "an unservable request is refused at once");
 }
 
 }  // namespace fernlift::router::testing
--- a/src/router/RouterModelInputsTest.cpp
+++ b/src/router/RouterModelInputsTest.cpp
@@ -1,4 +1,4 @@
-// The model of RouterCore: what happens to it.
+// Model of RouterCore: the inputs.
 
 #include "router/RouterModelTestSupport.h"
 
@@ -42,7 +42,7 @@
     }
     else if (step.kind == 25)
     {
-        callerGone (step);
+        disconnectCaller (step);
     }
     else
     {
@@ -70,8 +70,8 @@
     m_controller.isConnected = true;
     m_core.onControllerConnected();
     takeEffects();
-    tell (m_controller.configuration (m_controller.configurationVersion));
-    tellAll (m_controller.grantLeases (2000));
+    deliver (m_controller.configuration (m_controller.configurationVersion));
+    deliverAll (m_controller.grantLeases (2000));
 }
 
 void RouterModel::request (const ModelStep& step)
@@ -82,13 +82,13 @@
     made.head = RouterHarness::completion (id, "m", step.detail % 3 != 0);
     base::Duration allowed = base::milliseconds (1000);
     if (shape == 3)
-    {  // Deep work on the same model.
+    {  // Less urgent class on the same model.
         made.head.requestClass = base::RequestClassName ("deep");
         made.urgency = 8;
         allowed = base::seconds (60);
     }
     else if (shape >= 4)
-    {  // Must not be repeated.
+    {  // Non-repeatable request.
         const std::string key = "key" + std::to_string (step.detail % 5);
         if (shape == 4)
             made.head = RouterHarness::payment (id, key);
@@ -110,7 +110,7 @@
              "nothing is admitted without a lease or while stopping");
 }
 
-void RouterModel::callerGone (const ModelStep& step)
+void RouterModel::disconnectCaller (const ModelStep& step)
 {
     if (m_requests.empty())
         return;
@@ -122,7 +122,7 @@
     takeEffects();
 }
 
-void RouterModel::give (AttemptId id, const AttemptEvent& event)
+void RouterModel::deliverEvent (AttemptId id, const AttemptEvent& event)
 {
     BackEndAttempt& attempt = m_attempts.at (id);
     const auto* headers = std::get_if<AttemptHeaders> (&event);
@@ -130,10 +130,10 @@
     const bool isProof = refused != nullptr || std::holds_alternative<AttemptNotSent> (event);
     if (attempt.isLive && isProof)
         attempt.isProvenNotRun = true;
-    const bool isSign = (headers != nullptr && headers->runnerIsLeaving)
-                        || (refused != nullptr && refused->runnerIsLeaving);
+    const bool isLeavingNotice = (headers != nullptr && headers->runnerIsLeaving)
+                                 || (refused != nullptr && refused->runnerIsLeaving);
     const cell::RoutableReplica& replica = attempt.start.replica;
-    if (attempt.isLive && isSign)
+    if (attempt.isLive && isLeavingNotice)
         m_leaving.emplace (replica.runner, replica.incarnation);
     if (headers != nullptr)
         attempt.hasHeaders = true;
@@ -152,22 +152,22 @@
     BackEndAttempt& attempt = m_attempts.at (id);
     const Request& request = m_requests.at (attempt.start.ticket);
     if (! attempt.hasHeaders)
-        give (id, AttemptHeaders{ 200, false });
+        deliverEvent (id, AttemptHeaders{ 200, false });
     const int first = static_cast<int> (attempt.start.resumeFrom) + attempt.tokens;
     for (int number = first; number < kTokens; ++number)
     {
         attempt.tokens += 1;
-        give (id,
-              AttemptData{ static_cast<std::uint64_t> (number), 1, token (request, id, number) });
+        deliverEvent (
+            id, AttemptData{ static_cast<std::uint64_t> (number), 1, token (request, id, number) });
     }
-    give (id, AttemptEnded{});
+    deliverEvent (id, AttemptEnded{});
 }
 
 void RouterModel::attemptEvent (const ModelStep& step)
 {
     if (m_attempts.empty())
         return;
-    // Mostly the latest attempts, also those that were given up.
+    // One of the six latest attempts, including abandoned ones.
     const std::size_t back =
         static_cast<std::size_t> (step.choice) % std::min<std::size_t> (m_attempts.size(), 6);
     auto& [id, attempt] = *std::prev (m_attempts.end(), static_cast<std::ptrdiff_t> (back) + 1);
@@ -180,27 +180,27 @@
     {
         case 7:
             if (! attempt.hasHeaders)
-                give (id, AttemptNotSent{});
+                deliverEvent (id, AttemptNotSent{});
             return;
         case 8:
             if (! attempt.hasHeaders)
-                give (id, AttemptRefused{ 503, isLeaving, std::nullopt });
+                deliverEvent (id, AttemptRefused{ 503, isLeaving, std::nullopt });
             return;
         case 9:
-            give (id, AttemptBroken{});
+            deliverEvent (id, AttemptBroken{});
             return;
         case 10:
             if (! attempt.hasHeaders)
-                give (id, AttemptHeaders{ step.detail % 2 == 0 ? 503 : 200, isLeaving });
+                deliverEvent (id, AttemptHeaders{ step.detail % 2 == 0 ? 503 : 200, isLeaving });
             return;
-        case 11:  // A part again.
+        case 11:  // Duplicate part.
             if (attempt.tokens > 0)
-                give (id,
-                      AttemptData{ next - 1, 1, token (request, id, static_cast<int> (next) - 1) });
+                deliverEvent (id, AttemptData{ next - 1, 1,
+                                               token (request, id, static_cast<int> (next) - 1) });
             return;
-        case 12:  // A part too early.
+        case 12:  // Part after a gap.
             if (attempt.hasHeaders)
-                give (id, AttemptData{ next + 1, 1, "GAP" });
+                deliverEvent (id, AttemptData{ next + 1, 1, "GAP" });
             return;
         case 13:
         case 14:
@@ -211,12 +211,12 @@
     }
     if (! attempt.hasHeaders)
     {
-        give (id, AttemptHeaders{ 200, isLeaving });
+        deliverEvent (id, AttemptHeaders{ 200, isLeaving });
     }
     else if (next < kTokens)
     {
         attempt.tokens += 1;
-        give (id, AttemptData{ next, 1, token (request, id, static_cast<int> (next)) });
+        deliverEvent (id, AttemptData{ next, 1, token (request, id, static_cast<int> (next)) });
     }
 }
 
@@ -242,12 +242,12 @@
         case 4:
             update = m_controller.estimate ({ target, step.choice % 2 == 0, 100L * step.choice });
             break;
-        default:  // This difference is lost; the next one shows the gap.
+        default:  // This delta is lost; the next one reveals the gap.
             m_controller.upsert (row (runner, target, m_restarts[runner]));
             m_hasTable = false;
             return;
     }
-    tell (update);
+    deliver (update);
 }
 
 void RouterModel::changeControl (const ModelStep& step)
@@ -257,7 +257,7 @@
         case 26:
             if (m_controller.isConnected && step.detail % 2 == 0)
             {
-                m_controller.lose (step.choice % 2 == 0);
+                m_controller.disconnect (step.choice % 2 == 0);
                 m_core.onControllerLost();
                 takeEffects();
             }
@@ -266,7 +266,7 @@
             connect();
             return;
         case 28:
-            tellAll (m_controller.commit());
+            deliverAll (m_controller.commit());
             return;
         default:
             break;
@@ -275,30 +275,30 @@
     if (change == 0)
         m_controller.configurationVersion += 1;
     if (change <= 1)
-        tell (m_controller.configuration (m_controller.configurationVersion));
+        deliver (m_controller.configuration (m_controller.configurationVersion));
     if (change == 2)
-        tell (m_controller.configuration (1));
+        deliver (m_controller.configuration (1));
     if (change == 3 && step.choice == 0)
     {
         m_isStopping = true;
         m_core.beginStop();
     }
     if (change > 2)
-        tellAll (m_controller.grantLeases (2000));
+        deliverAll (m_controller.grantLeases (2000));
 }
 
 void RouterModel::healAndFinish()
 {
     connect();
     for (const char* runner : { "h1", "h2" })
-        tell (m_controller.upsert (row (runner, "m", 0)));
-    tell (m_controller.upsert (row ("h3", "portal", 0)));
+        deliver (m_controller.upsert (row (runner, "m", 0)));
+    deliver (m_controller.upsert (row ("h3", "portal", 0)));
     for (int round = 0; round < 200; ++round)
     {
         connect();
-        tellAll (m_controller.grantLeases (2000));
-        tellAll (m_controller.commit());
-        tell (m_controller.wholeTable());
+        deliverAll (m_controller.grantLeases (2000));
+        deliverAll (m_controller.commit());
+        deliver (m_controller.wholeTable());
         for (const auto& [id, attempt] : std::map (m_attempts))
         {
             if (attempt.isLive && ! attempt.isOver)
@@ -314,8 +314,8 @@
     const std::string metrics = m_core.metricsText();
     require (metrics.find ("requests_waiting 0\n") != std::string::npos
                  && metrics.find ("waiting_bytes 0\n") != std::string::npos,
-             "nothing is left in a queue");
-    require (m_core.isIdle(), "the router comes to rest");
+             "the queues are empty at the end");
+    require (m_core.isIdle(), "the router becomes idle");
 }
 
 }  // namespace fernlift::router::testing
--- a/src/router/RouterModelTest.cpp
+++ b/src/router/RouterModelTest.cpp
@@ -1,4 +1,4 @@
-// Random sequences of inputs to RouterCore, checked against what the router promises.
+// Random sequences of inputs to RouterCore, checked against the invariants of the router.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -42,7 +42,7 @@
     return steps;
 }
 
-/// Runs sequences until one breaks a promise.
+/// Runs random sequences and returns the first violated invariant, with its seed.
 std::optional<std::string> firstViolation (PlantedFault fault, int sequences)
 {
     for (int seed = 1; seed <= sequences; ++seed)
@@ -55,7 +55,7 @@
     return std::nullopt;
 }
 
-RC_GTEST_PROP (RouterModelProperty, PromisesHoldWhateverHappens, ())
+RC_GTEST_PROP (RouterModelProperty, InvariantsHoldForRandomInputs, ())
 {
     const auto step =
         rc::gen::construct<ModelStep> (rc::gen::inRange (0, testing::kModelStepKinds),
@@ -67,13 +67,13 @@
         RC_FAIL (*violation);
 }
 
-TEST (RouterModelTest, PromisesHoldInLongSequences)
+TEST (RouterModelTest, InvariantsHoldInLongSequences)
 {
     const auto violation = firstViolation (PlantedFault::kNone, 300);
     EXPECT_FALSE (violation) << *violation;
 }
 
-/// A planted fault and the promise whose check must find it.
+/// A planted fault and part of the text of the invariant whose check must detect it.
 struct FaultCase
 {
     PlantedFault fault;
--- a/src/router/RouterModelTestSupport.h
+++ b/src/router/RouterModelTestSupport.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Test support: a world of callers, back ends and a controller around one RouterCore. It turns a
-/// list of numbers into inputs in any order and checks the promises of the router at each effect.
+/// Test support: a model of the callers, back ends and controller of one RouterCore. It turns a
+/// list of numbers into inputs in any order and checks the invariants of the router at each effect.
 
 #include <algorithm>
 #include <map>
@@ -19,7 +19,7 @@
 namespace fernlift::router::testing
 {
 
-/// One input, chosen by numbers so that any sequence makes sense and can be shortened.
+/// One input, encoded in numbers so that every sequence is valid and can be shrunk.
 struct ModelStep
 {
     int kind = 0;
@@ -42,12 +42,12 @@
         m_controller.upsert (row ("r1", "m", 0));
         m_controller.upsert (row ("r2", "m", 0));
         m_controller.upsert (row ("a1", "portal", 0));
-        tell (m_controller.wholeTable());
+        deliver (m_controller.wholeTable());
     }
 
-    /// Carries out one input and checks what must hold after each.
+    /// Applies one input and checks the invariants.
     void run (const ModelStep& step);
-    /// Mends everything, lets it come to rest and checks that nothing is left.
+    /// Adds healthy replicas, answers everything that is open and checks that nothing is left.
     void healAndFinish();
 
 private:
@@ -57,7 +57,7 @@
         int urgency = 0;
         bool isRepeatable = true;
         base::TimePoint deadline{};
-        std::string text;  ///< What the caller got.
+        std::string text;  ///< Text that the caller received.
         bool hasHeaders = false;
         int ends = 0;
         bool isGone = false;
@@ -67,15 +67,15 @@
     struct BackEndAttempt
     {
         StartAttempt start;
-        int tokens = 0;  ///< Given so far.
+        int tokens = 0;  ///< Tokens delivered so far.
         bool hasHeaders = false;
-        bool isOver = false;          ///< For the back end.
-        bool isLive = true;           ///< For the router.
-        bool isProvenNotRun = false;  ///< It was told so.
+        bool isOver = false;          ///< The back end has ended the attempt.
+        bool isLive = true;           ///< Not ended, and not cancelled by the router.
+        bool isProvenNotRun = false;  ///< The router received a proof that it did not run.
     };
 
     static constexpr base::UnixMilliseconds kUnixStart = 1'800'000'000'000;
-    static constexpr int kTokens = 4;  ///< Of every answer.
+    static constexpr int kTokens = 4;  ///< Tokens of every answer.
 
     static void require (bool holds, const std::string& promise)
     {
@@ -91,7 +91,7 @@
         made.replica = made.isApplication ? 0 : 10;
         return made;
     }
-    /// Streams of tokens are the same at every back end; other answers tell the attempt.
+    /// Token streams are the same at every back end; other answers contain the attempt.
     [[nodiscard]] static std::string token (const Request& request, AttemptId attempt, int number)
     {
         const bool isStream =
@@ -103,18 +103,18 @@
     // Inputs.
     void advance (base::Duration duration);
     void connect();
-    void tell (const cell::ControllerToRouter& message)
+    void deliver (const cell::ControllerToRouter& message)
     {
         const auto* update = std::get_if<cell::ReplicaUpdate> (&message);
         if (update != nullptr)
-            noteTable (*update);
+            trackTable (*update);
         if (! m_controller.isConnected)
             return;
         m_core.onControllerMessage (message);
         takeEffects();
     }
-    /// Follows which table the router has.
-    void noteTable (const cell::ReplicaUpdate& update)
+    /// Tracks the replica table and estimates that the router has.
+    void trackTable (const cell::ReplicaUpdate& update)
     {
         const bool isWhole = update.fromVersion == 0;
         m_hasTable = m_controller.isConnected && (isWhole || m_hasTable);
@@ -128,15 +128,15 @@
             m_estimates[estimate.target] = { estimate.canBeServed, readyAt };
         }
     }
-    void tellAll (const std::vector<cell::ControllerToRouter>& messages)
+    void deliverAll (const std::vector<cell::ControllerToRouter>& messages)
     {
         for (const auto& message : messages)
-            tell (message);
+            deliver (message);
     }
     void request (const ModelStep& step);
-    void callerGone (const ModelStep& step);
+    void disconnectCaller (const ModelStep& step);
     void attemptEvent (const ModelStep& step);
-    void give (AttemptId id, const AttemptEvent& event);
+    void deliverEvent (AttemptId id, const AttemptEvent& event);
     void finishAttempt (AttemptId id);
     void changeReplicas (const ModelStep& step);
     void changeControl (const ModelStep& step);
@@ -157,7 +157,7 @@
     void take (const ConnectController& /*connect*/)
     {
         if (m_controller.isConnected)
-            m_controller.lose (false);
+            m_controller.disconnect (false);
     }
     void take (const StartAttempt& start);
     void take (const CancelAttempt& cancel) { m_attempts.at (cancel.attempt).isLive = false; }
@@ -170,7 +170,7 @@
     void checkStart (const Request& request, const StartAttempt& start) const;
     void checkText (const Request& request, bool isWhole) const;
     void checkAll() const;
-    void checkNotHopeless (const Request& request) const;
+    void checkServable (const Request& request) const;
     [[nodiscard]] bool isProvenNotRun (const Request& request) const
     {
         return std::all_of (request.attempts.begin(), request.attempts.end(),
@@ -183,14 +183,14 @@
     std::map<AttemptId, BackEndAttempt> m_attempts;
     std::set<std::pair<base::RunnerId, base::Incarnation>> m_leaving;
     std::map<std::string, base::Incarnation> m_restarts;
-    std::optional<Request> m_arriving;  ///< Its ticket is not known until onRequest returns.
+    std::optional<Request> m_arriving;  ///< Request whose ticket onRequest() has not returned yet.
     bool m_isStopping = false;
-    bool m_hasTable = false;  ///< The router has the controller's present table.
+    bool m_hasTable = false;  ///< The router has the current table of the controller.
     std::map<std::string, routing::ReadyEstimate> m_estimates;
     RouterCore m_core;
 };
 
-/// The promise that the inputs break, if any.
+/// The first invariant that the inputs violate, if any.
 std::optional<std::string> violationOf (const std::vector<ModelStep>& steps,
                                         const RouterOptions& options);
 
--- a/src/router/RouterProcess.cpp
+++ b/src/router/RouterProcess.cpp
@@ -16,7 +16,7 @@
 {
 
 constexpr base::milliseconds kTickInterval (10);
-/// How long connections may take to close after the last answer of a planned stop.
+/// Wait limit for connections to close after the last answer of a planned stop.
 constexpr base::Duration kCloseLimit = base::seconds (1);
 constexpr int kOk = 200;
 constexpr std::string_view kModelsPath = "/v1/models";
@@ -50,7 +50,7 @@
                   { [this] (AttemptId attempt, const AttemptEvent& event)
                     { feed ([&] (RouterCore& core) { core.onAttemptEvent (attempt, event); }); },
                     [this] (RequestTicket ticket, AttemptId attempt, const http::Headers& headers)
-                    { m_callers.noteHeaders (ticket, attempt, headers); } }),
+                    { m_callers.recordHeaders (ticket, attempt, headers); } }),
       m_callers (
           static_cast<std::size_t> (m_settings.callerBufferBytes), m_clock, m_metrics,
           { [this] (RequestTicket ticket)
@@ -76,7 +76,7 @@
 
 RouterProcess::~RouterProcess()
 {
-    // What closes from here on is no input any more.
+    // Connections that the member destructors close must not feed the core.
     m_isFinished = true;
 }
 
@@ -145,7 +145,7 @@
             BOOST_LEAF_ASSIGN (id, requestIdOf (request, id));
             if (! isServedByBackEnds (request.path))
             {
-                handleOwn (request, id, *responder);
+                handleRouterPath (request, id, *responder);
                 return {};
             }
             BOOST_LEAF_AUTO (parsed, parseCallerRequest (request, id));
@@ -165,8 +165,8 @@
         });
 }
 
-void RouterProcess::handleOwn (const http::Request& request, const base::RequestId& id,
-                               http::Responder& responder)
+void RouterProcess::handleRouterPath (const http::Request& request, const base::RequestId& id,
+                                      http::Responder& responder)
 {
     const bool isKnown = request.path == kModelsPath || request.path.starts_with (kExplainPrefix);
     const bool isRead = request.method == "GET" || request.method == "HEAD";
@@ -182,14 +182,14 @@
     }
     else if (isKnown)
     {
-        const std::string asked = request.path.substr (kExplainPrefix.size());
-        const std::string trace = m_core->explainRequest (base::RequestId (asked));
+        const std::string requestedId = request.path.substr (kExplainPrefix.size());
+        const std::string trace = m_core->explainRequest (base::RequestId (requestedId));
         if (! trace.empty())
         {
             http::jsonResponse (kOk, trace).sendTo (responder);
             return;
         }
-        error.message = "request '" + asked + "' is not remembered";
+        error.message = "no trace of request '" + requestedId + "'";
     }
     http::errorResponse (error, base::traitsOf (error.kind).execution, id.value).sendTo (responder);
 }
@@ -260,7 +260,7 @@
         m_attempts.start (effect, *request);
         return;
     }
-    // The caller left after the core had decided; nothing was sent.
+    // The caller disconnected after the core had started the attempt; nothing was sent.
     feed ([&] (RouterCore& core) { core.onAttemptEvent (effect.attempt, AttemptNotSent{}); });
 }
 
@@ -276,11 +276,11 @@
 void RouterProcess::onTick()
 {
     feed ([] (RouterCore& core) { core.onTick(); });
-    noteReadiness();
+    updateReadiness();
     checkStop();
 }
 
-void RouterProcess::noteReadiness()
+void RouterProcess::updateReadiness()
 {
     const bool isReady = m_core->isReady();
     if (isReady == m_wasReady)
--- a/src/router/RouterProcess.h
+++ b/src/router/RouterProcess.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One router as a process: carries out the effects of RouterCore on sockets and timers.
+/// The router process: executes the effects of RouterCore with sockets and timers.
 
 #include <QObject>
 #include <QTimer>
@@ -26,47 +26,47 @@
 namespace fernlift::router
 {
 
-/// Lives on the thread of the Qt event loop.
+/// Used only on the thread of the Qt event loop.
 class RouterProcess
 {
 public:
-    /// `onFinished` is called once, with the exit code, when a planned stop is done. `clock` must
-    /// outlive the process.
+    /// `onFinished` is called once, with the exit code, when a planned stop is complete. `clock`
+    /// must outlive this object.
     RouterProcess (RouterSettings settings, const base::Clock& clock, std::uint64_t randomSeed,
                    std::function<void (int exitCode)> onFinished);
     ~RouterProcess();
     RouterProcess (const RouterProcess&) = delete;
     RouterProcess& operator= (const RouterProcess&) = delete;
 
-    /// Listens and begins to look for the leader of the cell. Returns the address for callers.
+    /// Listens and starts to search for the leader of the cell. Returns the address for callers.
     base::Result<base::SocketAddress> start();
-    /// Begins a planned stop: refuses new requests and finishes open ones. A second call ends it at
-    /// once.
+    /// Begins a planned stop: refuses new requests and completes open ones. A second call stops the
+    /// process at once.
     void beginStop();
 
 private:
     // Callers.
     void handle (const http::Request& request, const std::shared_ptr<http::Responder>& responder);
-    void handleOwn (const http::Request& request, const base::RequestId& id,
-                    http::Responder& responder);
+    void handleRouterPath (const http::Request& request, const base::RequestId& id,
+                           http::Responder& responder);
     [[nodiscard]] base::RequestId newRequestId();
     [[nodiscard]] std::string modelsJson() const;
     void setCallerPaused (RequestTicket ticket, bool isPaused);
 
     // The core.
     void createCore (const base::SocketAddress& address);
-    /// Gives one input to the core and carries out the effects. Inputs that arise while effects are
-    /// carried out are taken at once, and their effects come after.
+    /// Passes one input to the core and executes the resulting effects. An input that arises during
+    /// the execution of effects is passed at once; its effects are executed after the current ones.
     void feed (const std::function<void (RouterCore& core)>& input);
     void carryOut (const Effect& effect);
     void startAttempt (const StartAttempt& effect);
     void onControllerMessage (const cell::ControllerToRouter& message);
 
-    // Life of the process.
+    // Start, periodic work and stop.
     void createMetrics();
     [[nodiscard]] std::string trafficMetrics() const;
     void onTick();
-    void noteReadiness();
+    void updateReadiness();
     void checkStop();
     void finish (int exitCode);
 
--- a/src/router/RouterProcessTest.cpp
+++ b/src/router/RouterProcessTest.cpp
@@ -33,7 +33,7 @@
     return count;
 }
 
-/// The whole error body of an answer, which must have the documented form.
+/// Checks that an answer is an error in the documented form.
 void expectError (const std::string& answer, const std::string& status, const std::string& kind,
                   const std::string& execution)
 {
@@ -46,7 +46,7 @@
     EXPECT_TRUE (contains (answer, "X-Request-Id: ")) << answer;
 }
 
-TEST (RouterProcess, PassesAStreamOnAndEndsItWithDone)
+TEST (RouterProcess, ForwardsAStreamAndEndsItWithDone)
 {
     FakeBackEnd engine (
         [] (const http::Request&, const ResponderPointer& responder)
@@ -57,7 +57,7 @@
             responder->end();
         });
     const RunningRouter router ({ engine.row ("r1", "m") });
-    const std::string answer = router.ask (
+    const std::string answer = router.sendRequest (
         chatRequest ("m", true, "X-Request-Id: q-1\r\nX-Fernlift-Class: deep\r\n"), kDone);
     EXPECT_TRUE (answer.starts_with ("HTTP/1.1 200 OK\r\n")) << answer;
     EXPECT_TRUE (contains (answer, tokenEvent (0, "a"))) << answer;
@@ -69,19 +69,20 @@
     EXPECT_EQ (headers.value ("X-Fernlift-Replica"), "10");
     EXPECT_EQ (headers.value ("X-Fernlift-Priority"), "8");
     EXPECT_FALSE (headers.contains ("X-Fernlift-Resume-From"));
-    EXPECT_TRUE (contains (
-        router.ask ("GET /admin/v1/explain/request/q-1 HTTP/1.1\r\nHost: t\r\n\r\n", "steps"),
-        "attempt 1 at r1"));
+    EXPECT_TRUE (
+        contains (router.sendRequest (
+                      "GET /admin/v1/explain/request/q-1 HTTP/1.1\r\nHost: t\r\n\r\n", "steps"),
+                  "attempt 1 at r1"));
 }
 
-TEST (RouterProcess, PassesApplicationCallsOnWithoutConnectionHeaders)
+TEST (RouterProcess, ForwardsApplicationCallsWithoutConnectionHeaders)
 {
     FakeBackEnd application (
         [] (const http::Request&, const ResponderPointer& responder) {
             responder->send (202, { { "X-Answer", "1" }, { "X-Fernlift-Leaving", "0" } }, "taken");
         });
     const RunningRouter router ({ application.row ("a1", "portal", true) });
-    const std::string answer = router.ask (
+    const std::string answer = router.sendRequest (
         "DELETE /apps/portal/bills/7?x=%2F HTTP/1.1\r\nHost: t\r\nConnection: X-Hop\r\nX-Hop: 1\r\n"
         "TE: trailers\r\nX-Kept: 1\r\nX-Fernlift-Class: urgent\r\nIdempotency-Key: k\r\n\r\n",
         "taken");
@@ -131,7 +132,7 @@
     const RunningRouter router ({});
     const std::string post = "{\"model\":\"m\",\"messages\":[]}";
     const auto chat = [&] (const std::string& body, const std::string& fields = {})
-    { return router.ask (postRequest ("/v1/chat/completions", body, fields), "}}"); };
+    { return router.sendRequest (postRequest ("/v1/chat/completions", body, fields), "}}"); };
     expectError (chat ("no json"), "400", "invalid_request", "not_run");
     expectError (chat ("{\"messages\":[]}"), "400", "invalid_request", "not_run");
     expectError (chat ("{\"model\":\"m\"}"), "400", "invalid_request", "not_run");
@@ -143,10 +144,10 @@
     expectError (chat (post, "X-Fernlift-Deadline-Ms: soon\r\n"), "400", "invalid_request",
                  "not_run");
     expectError (chat (post, "X-Request-Id: a/b\r\n"), "400", "invalid_request", "not_run");
-    expectError (router.ask ("GET /v1/completions HTTP/1.1\r\nHost: t\r\n\r\n", "}}"), "405",
-                 "method_not_allowed", "not_run");
-    expectError (router.ask ("GET /other HTTP/1.1\r\nHost: t\r\n\r\n", "}}"), "404", "not_found",
-                 "not_run");
+    expectError (router.sendRequest ("GET /v1/completions HTTP/1.1\r\nHost: t\r\n\r\n", "}}"),
+                 "405", "method_not_allowed", "not_run");
+    expectError (router.sendRequest ("GET /other HTTP/1.1\r\nHost: t\r\n\r\n", "}}"), "404",
+                 "not_found", "not_run");
     const std::string late = chat (post, "X-Request-Id: q-9\r\nX-Fernlift-Deadline-Ms: 20\r\n");
     expectError (late, "504", "deadline_passed", "not_run");
     EXPECT_TRUE (contains (late, "\"request_id\":\"q-9\"")) << late;
@@ -212,7 +213,7 @@
     EXPECT_FALSE (contains (caller.received(), "error"));
 }
 
-TEST (RouterProcess, CancelsAtTheBackEndWhenTheCallerLeaves)
+TEST (RouterProcess, CancelsAtTheBackEndWhenTheCallerDisconnects)
 {
     bool isCancelled = false;
     ResponderPointer open;
@@ -255,10 +256,11 @@
     caller.stopReading (1024);
     caller.write (chatRequest ("m", true));
     ASSERT_TRUE (waitUntil ([&] { return open != nullptr; }));
-    // Far longer than the longest silence allowed within an answer.
+    // Four times the timeout between tokens.
     http::test::runFor (std::chrono::milliseconds (400));
-    EXPECT_GT (open->bytesToWrite(), kBound) << "the router takes in what its caller does not";
-    const std::string metrics = router.ask ("GET /metrics HTTP/1.1\r\nHost: t\r\n\r\n", "ready");
+    EXPECT_GT (open->bytesToWrite(), kBound) << "the router reads more than its caller does";
+    const std::string metrics =
+        router.sendRequest ("GET /metrics HTTP/1.1\r\nHost: t\r\n\r\n", "ready");
     EXPECT_FALSE (contains (metrics, "\nfernlift_router_slow_caller_pauses_total 0\n")) << metrics;
     EXPECT_TRUE (contains (metrics, "\nfernlift_router_resumes_total 0\n")) << metrics;
     caller.resumeReading();
@@ -268,7 +270,7 @@
     EXPECT_EQ (engine.requests.size(), 1U);
 }
 
-TEST (RouterProcess, LearnsTheOutcomeThoughASlowCallerLeaves)
+TEST (RouterProcess, RecordsTheOutcomeAfterASlowCallerDisconnects)
 {
     constexpr std::size_t kEvents = 800;
     const std::string text (64UL * 1024, 'x');
@@ -339,15 +341,15 @@
                                     { settings.maximumAttempts = 1; });
         if (reusesConnection)
         {
-            router.ask ("GET /apps/portal/ HTTP/1.1\r\nHost: t\r\n\r\n", "warm");
+            router.sendRequest ("GET /apps/portal/ HTTP/1.1\r\nHost: t\r\n\r\n", "warm");
         }
         const std::size_t before = application.requests.size();
-        // Once as a request that may not be repeated and once as one that may.
-        const std::string once =
-            router.ask (postRequest ("/apps/portal/pay", "x", "Idempotency-Key: k1\r\n"), "}}");
+        // One non-repeatable and one repeatable request.
+        const std::string once = router.sendRequest (
+            postRequest ("/apps/portal/pay", "x", "Idempotency-Key: k1\r\n"), "}}");
         expectError (once, "502", "outcome_unknown", "unknown");
         EXPECT_EQ (application.requests.size(), before + 1);
-        const std::string repeatable = router.ask (
+        const std::string repeatable = router.sendRequest (
             postRequest ("/apps/portal/pay", "x", "X-Fernlift-Class: urgent\r\n"), "}}");
         expectError (repeatable, "502", "upstream_broken", "unknown");
         EXPECT_EQ (application.requests.size(), before + 2);
@@ -371,9 +373,9 @@
     caller.write (chatRequest ("m", true));
     ASSERT_TRUE (caller.waitFor ("\"offset\":0"));
     router.process->beginStop();
-    expectError (router.ask (chatRequest ("m", true), "}}"), "503", "stopping", "not_run");
-    EXPECT_TRUE (
-        contains (router.ask ("GET /readyz HTTP/1.1\r\nHost: t\r\n\r\n", "ready\n"), " 503 "));
+    expectError (router.sendRequest (chatRequest ("m", true), "}}"), "503", "stopping", "not_run");
+    EXPECT_TRUE (contains (
+        router.sendRequest ("GET /readyz HTTP/1.1\r\nHost: t\r\n\r\n", "ready\n"), " 503 "));
     EXPECT_TRUE (router.exitCodes.empty());
     open->write (tokenEvent (1, "b") + kDone);
     open->end();
--- a/src/router/RouterProcessTestSupport.h
+++ b/src/router/RouterProcessTestSupport.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// Test support: a router process on loopback, with a controller that grants everything and back
-/// ends that the test plays.
+/// ends whose handlers the test supplies.
 
 #include <gtest/gtest.h>
 
@@ -24,7 +24,7 @@
 namespace fernlift::router::testing
 {
 
-/// Listens on any free port; fails the test when it cannot.
+/// Listens on any free port; a failure fails the test.
 inline base::SocketAddress listenOnLoopback (http::Server& server)
 {
     return base::handleErrors (
@@ -119,7 +119,7 @@
     std::unique_ptr<wire::FrameConnection> m_connection;
 };
 
-/// A back end whose answers the test gives.
+/// A back end with a handler supplied by the test.
 class FakeBackEnd
 {
 public:
@@ -135,7 +135,7 @@
             });
         address = listenOnLoopback (m_server);
     }
-    /// A row of the replica table that stands for this back end.
+    /// The row of this back end in the replica table.
     [[nodiscard]] cell::RoutableReplica row (const std::string& runner, const std::string& target,
                                              bool isApplication = false) const
     {
@@ -159,7 +159,7 @@
            + ",\"choices\":[{\"delta\":{\"content\":\"" + text + "\"}}]}\n\n";
 }
 
-/// A router that knows the given replicas and is ready.
+/// A ready router with the given replicas.
 class RunningRouter
 {
 public:
@@ -188,9 +188,9 @@
         waitUntilReady();
     }
 
-    /// One request on a connection of its own; returns all that comes until `end` was seen or the
-    /// connection closed.
-    std::string ask (const std::string& request, const std::string& end) const
+    /// Sends a request on a new connection and returns everything received until `end` arrives or
+    /// the connection closes.
+    std::string sendRequest (const std::string& request, const std::string& end) const
     {
         http::test::RawCaller caller (address);
         caller.write (request);
@@ -210,15 +210,16 @@
         bool isReady = false;
         while (! isReady && ! ::testing::Test::HasFailure())
         {
-            isReady = ask ("GET /readyz HTTP/1.1\r\nHost: t\r\n\r\n", "ready\n").find (" 200 ")
-                      != std::string::npos;
+            isReady =
+                sendRequest ("GET /readyz HTTP/1.1\r\nHost: t\r\n\r\n", "ready\n").find (" 200 ")
+                != std::string::npos;
         }
     }
 
     base::SystemClock m_clock;
 };
 
-/// A POST of a JSON body, with further header fields ("Name: value\r\n").
+/// A POST request with a body and additional header fields ("Name: value\r\n").
 inline std::string postRequest (const std::string& path, const std::string& body,
                                 const std::string& fields = {})
 {
--- a/src/router/RouterRequest.h
+++ b/src/router/RouterRequest.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One request inside a router, from its arrival to its final answer.
+/// State of one request inside a router, from its arrival to its final answer.
 
 #include <cstdint>
 #include <optional>
@@ -17,10 +17,10 @@
 
 enum class RequestState : std::uint8_t
 {
-    kQueued,      ///< Waits for room at a replica.
-    kBackingOff,  ///< Waits for the time of its next attempt.
-    kClaiming,    ///< Waits for the claim of its key; holds room at a replica.
-    kDispatched,  ///< Has an attempt under way.
+    kQueued,      ///< Waits for a free slot at a replica.
+    kBackingOff,  ///< Waits for the backoff before its next attempt.
+    kClaiming,    ///< Waits for the claim of its key and holds a slot at a replica.
+    kDispatched,  ///< Has an open attempt.
 };
 
 struct RouterRequest
@@ -30,37 +30,37 @@
     int urgency = 0;
     bool isRepeatable = true;
     base::TimePoint arrivedAt{};
-    base::TimePoint deadline{};  ///< For the first byte.
-    base::TimePoint wholeBy{};   ///< For the whole answer.
+    base::TimePoint deadline{};        ///< Deadline of the first byte.
+    base::TimePoint answerDeadline{};  ///< Deadline of the complete answer.
     RequestState state = RequestState::kQueued;
 
-    // At most once.
-    std::optional<cell::Claim> claim;  ///< Set once the claim was asked for.
+    // Claim of a non-repeatable request.
+    std::optional<cell::Claim> claim;  ///< Set when the claim is requested.
     bool isClaimed = false;
-    std::optional<cell::RoutableReplica> reserved;  ///< While claiming.
-    bool isDetached = false;  ///< The caller was answered or left; only the outcome is awaited.
+    std::optional<cell::RoutableReplica> reserved;  ///< Replica whose slot is held while claiming.
+    bool isDetached = false;  ///< Only the outcome is awaited, without a caller.
     base::TimePoint detachedUntil{};
 
     // Attempts.
-    std::vector<dispatch::Attempt> attempts;  ///< Under way; two when hedged.
-    std::uint32_t attemptsMade = 0;           ///< Since the answer last made progress.
+    std::vector<dispatch::Attempt> attempts;  ///< Open attempts; two when hedged.
+    std::uint32_t attemptsMade = 0;           ///< Attempts since the last progress of the answer.
     bool wasDispatched = false;
-    bool mayHaveRun = false;  ///< Some attempt may have been performed.
+    bool mayHaveRun = false;  ///< A back end may have run an attempt.
     std::set<base::RunnerId> avoid;
-    base::TimePoint nextAttemptAt{};          ///< While backing off.
-    std::optional<base::TimePoint> hedgeAt;   ///< Set until the second attempt is made.
-    std::optional<base::TimePoint> resumeBy;  ///< A broken stream must go on by then.
+    base::TimePoint nextAttemptAt{};         ///< End of the backoff.
+    std::optional<base::TimePoint> hedgeAt;  ///< Time of the second attempt; reset when it is made.
+    std::optional<base::TimePoint> resumeBy;  ///< Deadline for resuming a broken stream.
 
     // Answer.
     dispatch::StreamAssembler assembler;
-    AttemptId answeringAttempt = 0;  ///< Whose parts are being taken.
+    AttemptId answeringAttempt = 0;  ///< Attempt whose parts are forwarded.
     bool hasReachedCaller = false;
     int answerStatus = 0;
     std::string buffered;
 
-    std::optional<base::TimePoint> timerAt;  ///< Its entry among the timers.
+    std::optional<base::TimePoint> timerAt;  ///< Time of the request's entry in the timer set.
 
-    /// Whether the answer is a stream of tokens that can go on from an offset.
+    /// True if the answer is a token stream, which can be resumed at an offset.
     [[nodiscard]] bool isTokenStream() const
     {
         return head.isStreaming && head.protocol == Protocol::kCompletions;
--- a/src/router/RouterRetryTest.cpp
+++ b/src/router/RouterRetryTest.cpp
@@ -1,4 +1,4 @@
-// Retry, resume, hedging and leaving runners.
+// Retries, resumed streams, hedging and leaving runners.
 
 #include <gtest/gtest.h>
 
@@ -23,7 +23,7 @@
     return { RouterHarness::replica ("r1", "m"), second };
 }
 
-TEST (RouterRetryTest, AnAttemptThatWasNotSentGoesElsewhere)
+TEST (RouterRetryTest, UnsentAttemptIsRetriedAtAnotherReplica)
 {
     RouterHarness router;
     router.connect (twoReplicas());
@@ -34,7 +34,7 @@
     EXPECT_NE (attempts[0].replica.runner, attempts[1].replica.runner);
 }
 
-TEST (RouterRetryTest, ABrokenStreamResumesElsewhereAndTheTextIsWhole)
+TEST (RouterRetryTest, BrokenStreamResumesElsewhereWithCompleteText)
 {
     RouterHarness router;
     router.connect (twoReplicas());
@@ -57,7 +57,7 @@
     EXPECT_EQ (router.core().counters().resumes, 1U);
 }
 
-TEST (RouterRetryTest, HeadersWithoutABodyDoNotOutlastTheDeadline)
+TEST (RouterRetryTest, HeadersWithoutABodyTimeOutAtTheDeadline)
 {
     RouterHarness router;
     router.connect ({ RouterHarness::replica ("r1", "m") });
@@ -69,7 +69,7 @@
     EXPECT_EQ (router.callers[ticket].error->execution, Execution::kUnknown);
 }
 
-TEST (RouterRetryTest, APartOfABodyIsKeptBackUntilTheDeadlineAtMost)
+TEST (RouterRetryTest, PartialBodyIsBufferedUntilTheDeadlineAtMost)
 {
     RouterHarness router;
     router.connect ({ RouterHarness::replica ("r1", "m") });
@@ -87,7 +87,7 @@
     EXPECT_EQ (router.callers[ticket].ends, 1);
 }
 
-TEST (RouterRetryTest, AGapInAStreamIsABrokenAttempt)
+TEST (RouterRetryTest, GapInAStreamFailsTheAttempt)
 {
     RouterHarness router;
     router.connect (twoReplicas());
@@ -102,7 +102,7 @@
     EXPECT_EQ (router.starts[1].resumeFrom, 1U);
 }
 
-TEST (RouterRetryTest, AnErrorPageIsNeverPassedAsTheRestOfAStream)
+TEST (RouterRetryTest, ErrorResponseIsNeverForwardedAsRestOfAStream)
 {
     RouterHarness router;
     router.connect (twoReplicas());
@@ -114,7 +114,7 @@
     EXPECT_EQ (router.callers[ticket].text, "a");
 }
 
-TEST (RouterRetryTest, AWholeAnswerIsRepeatedFromItsStartWhenTheAttemptBreaks)
+TEST (RouterRetryTest, BufferedAnswerRestartsWhenTheAttemptBreaks)
 {
     RouterHarness router;
     router.connect (twoReplicas());
@@ -146,7 +146,7 @@
     EXPECT_TRUE (router.callers[ticket].error->retryAfter);
 }
 
-TEST (RouterRetryTest, TheRetryBudgetEndsRetries)
+TEST (RouterRetryTest, RetryBudgetLimitsRetries)
 {
     RouterOptions options = RouterHarness::defaultOptions();
     options.retryBudgetShare = 0;
@@ -171,7 +171,7 @@
     EXPECT_EQ (budgetErrors, 20);
 }
 
-TEST (RouterRetryTest, ABrokenAttemptIsNotSaidToBeNotRun)
+TEST (RouterRetryTest, BrokenAttemptIsNotReportedAsNotRun)
 {
     RouterHarness router;
     router.connect ({ RouterHarness::replica ("r1", "m") });
@@ -185,7 +185,7 @@
     EXPECT_EQ (router.callers[ticket].error->execution, Execution::kUnknown);
 }
 
-TEST (RouterRetryTest, ASilentBackEndIsGivenUpForAnotherAndThenAtTheDeadline)
+TEST (RouterRetryTest, SilentBackEndIsRetriedElsewhereAndFailsAtTheDeadline)
 {
     RouterHarness router;
     router.connect (twoReplicas());
@@ -212,7 +212,7 @@
     EXPECT_EQ (router.starts[1].resumeFrom, 3U);
 }
 
-TEST (RouterRetryTest, AnAnswerThatNeverEndsIsEnded)
+TEST (RouterRetryTest, EndlessAnswerTimesOut)
 {
     RouterOptions options = RouterHarness::defaultOptions();
     options.wholeAnswerTimeout = base::seconds (20);
@@ -242,7 +242,7 @@
     router.event (router.starts[0].attempt, AttemptHeaders{ 200, true });
     ASSERT_EQ (router.leavingSeen.size(), 1U);
     EXPECT_EQ (router.leavingSeen[0].runner, leaving);
-    router.setReplicas (twoReplicas());  // The controller has not heard of it yet.
+    router.setReplicas (twoReplicas());  // The controller has not processed the notice.
     for (int number = 0; number < 8; ++number)
     {
         router.request (RouterHarness::completion (std::to_string (number)));
@@ -273,14 +273,14 @@
     EXPECT_TRUE (router.isLeakFree());
 }
 
-TEST (RouterRetryTest, ACallerThatLeavesFreesTheSlot)
+TEST (RouterRetryTest, DisconnectedCallerFreesTheSlot)
 {
     RouterHarness router;
     router.connect ({ RouterHarness::replica ("r1", "m", 1) });
     const RequestTicket first = router.request (RouterHarness::completion ("a"));
     const RequestTicket second = router.request (RouterHarness::completion ("b"));
     EXPECT_TRUE (router.attemptsOf (second).empty());
-    router.callerGone (first);
+    router.disconnectCaller (first);
     EXPECT_TRUE (router.isCancelled (router.starts[0].attempt));
     EXPECT_EQ (router.attemptsOf (second).size(), 1U);
     EXPECT_EQ (router.core().counters().callersGone, 1U);
--- a/src/router/RouterSettings.h
+++ b/src/router/RouterSettings.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Settings of fernlift-router.
+/// Settings of the program fernlift-router.
 
 #include <cstdint>
 #include <string>
@@ -22,7 +22,7 @@
     std::string cell;
     std::string zone;
     base::SocketAddress httpAddress;
-    std::vector<base::SocketAddress> controllers;  ///< Peer addresses.
+    std::vector<base::SocketAddress> controllers;  ///< Peer addresses of the controllers.
 
     /// Identity, address and the sizes below are filled in by coreOptions().
     RouterOptions core;
@@ -32,7 +32,7 @@
     std::int64_t maximumAttempts = 3;
     std::int64_t requestTraces = 4096;
     std::int64_t bufferedAnswerBytes = 1024LL * 1024;
-    base::Duration hedgeAfter{};  ///< Zero: never.
+    base::Duration hedgeAfter{};  ///< Zero disables hedging.
     std::int64_t hedgeMaximumUrgency = 0;
 
     /// The sizes below are filled in by serverLimits().
@@ -41,20 +41,21 @@
     std::int64_t bodyBytes = 16LL * 1024 * 1024;
     std::int64_t connections = 4096;
 
-    /// Unsent bytes of one caller's answer that pause the back end.
+    /// Limit of unsent bytes of one caller's answer; above it the back end is paused.
     std::int64_t callerBufferBytes = 256LL * 1024;
-    /// Unread bytes of one back end's answer.
+    /// Limit of unread bytes of one back end's answer.
     std::int64_t backEndBufferBytes = 256LL * 1024;
-    base::Duration cacheEventInterval = base::seconds (1);  ///< Zero: never.
+    base::Duration cacheEventInterval = base::seconds (1);  ///< Zero disables polling.
     base::Duration stopGrace = base::milliseconds (200);
     base::Duration stopTimeout = base::seconds (120);
     log::Options logging;
 };
 
-/// Declares every setting and the checks over them. `settings` must outlive `schema`.
+/// Declares all settings and the checks that span several of them. `settings` must outlive
+/// `schema`.
 void declareSettings (config::SettingsSchema& schema, RouterSettings& settings);
 
-/// Options of the core that the settings stand for, with the address the process listens on.
+/// Options of the core for these settings and the address that the process listens on.
 [[nodiscard]] RouterOptions coreOptions (const RouterSettings& settings,
                                          const base::SocketAddress& httpAddress);
 [[nodiscard]] http::ServerLimits serverLimits (const RouterSettings& settings);
--- a/src/router/RouterStandinTest.cpp
+++ b/src/router/RouterStandinTest.cpp
@@ -1,4 +1,4 @@
-// A router with real stand-in engines, each a process of its own.
+// A router with stand-in engines that run as separate processes.
 
 #include <gtest/gtest.h>
 
@@ -55,7 +55,7 @@
         return row;
     }
     void setFault (const std::string& json) { call ("POST", "/standin/faults", json); }
-    /// Body of the answer; empty when there is none.
+    /// Sends a request and returns the body of the answer; empty on failure.
     std::string call (const std::string& method, const std::string& path,
                       const std::string& body = {})
     {
@@ -125,7 +125,7 @@
     QProcess m_process;
 };
 
-/// Text and offsets of a stream; fails the test when an offset is not the next.
+/// Text of a stream; fails the test if an offset is not the expected next one.
 std::string textOfStream (const std::string& answer)
 {
     std::string text;
@@ -150,25 +150,25 @@
 
 std::string streamOf (const RunningRouter& router)
 {
-    std::string answer = router.ask (chatRequest ("m", true), "0\r\n\r\n");
+    std::string answer = router.sendRequest (chatRequest ("m", true), "0\r\n\r\n");
     EXPECT_NE (answer.find ("data: [DONE]\n\n"), std::string::npos) << answer;
     return answer;
 }
 
-/// Value of a counter of the router's metrics; -1 when there is none.
+/// Value of a counter in the router's metrics; -1 if it is missing.
 int counterOf (const RunningRouter& router, const std::string& name)
 {
-    const std::string text = router.ask ("GET /metrics HTTP/1.1\r\nHost: t\r\n\r\n",
-                                         "caller_bytes_total{direction=\"out");
+    const std::string text = router.sendRequest ("GET /metrics HTTP/1.1\r\nHost: t\r\n\r\n",
+                                                 "caller_bytes_total{direction=\"out");
     const std::size_t at = text.find ("\n" + name + " ");
     return at == std::string::npos ? -1 : std::stoi (text.substr (at + name.size() + 2));
 }
 
-/// Two engines with the same model.
+/// Fixture with two engines that serve the same model.
 class RouterStandin : public ::testing::Test
 {
 protected:
-    /// Streams through a new router, whose retry budget no other fault has used.
+    /// Compares answers with `expected`. Uses a new router, so that the retry budget is unused.
     void expectSameAnswers (const std::string& fault)
     {
         const RunningRouter router ({ first.row(), second.row() }, [] (RouterSettings& settings)
@@ -204,8 +204,7 @@
     first.setFault (fault);
     second.setFault (fault);
     expectSameAnswers (fault);
-    // Of 16 tokens each attempt gives at most 5, so that each answer is resumed three times at
-    // least.
+    // Each attempt delivers at most 5 of 16 tokens, so each answer is resumed at least three times.
     EXPECT_GE (resumes, 3 * kRounds);
 }
 
@@ -216,7 +215,7 @@
     expectSameAnswers ("repeat_chunks");
 }
 
-TEST_F (RouterStandin, NeverPassesPartsOutOfOrder)
+TEST_F (RouterStandin, NeverForwardsPartsOutOfOrder)
 {
     for (StandinEngine* const engine : { &first, &second })
     {
@@ -226,7 +225,7 @@
     }
 }
 
-TEST_F (RouterStandin, GoesElsewhereWhenAnEngineLeaves)
+TEST_F (RouterStandin, UsesTheOtherEngineWhenOneIsLeaving)
 {
     for (StandinEngine* const engine : { &first, &second })
     {
@@ -234,12 +233,12 @@
         expectSameAnswers ("leaving");
         engine->setFault ("{\"fault\":\"leaving\",\"enabled\":false}");
     }
-    // One refusal is enough: the router tells the controller and sends nothing more there.
+    // After one refusal the router reports the leaving runner and sends it no more requests.
     EXPECT_GE (leavingSeen, 1U);
     EXPECT_EQ (attempts, 2 * kRounds + static_cast<int> (leavingSeen));
 }
 
-TEST (RouterStandinCaller, FreesTheEngineWhenItLeaves)
+TEST (RouterStandinCaller, DisconnectFreesTheEngine)
 {
     StandinEngine engine ("r1");
     const RunningRouter router ({ engine.row() });
--- a/src/router/RouterTestHarness.h
+++ b/src/router/RouterTestHarness.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Test support: drives a RouterCore without a network. The test plays the controller and the back
-/// ends; effects are sorted by what they concern.
+/// Test support: drives a RouterCore without a network. The test acts as the controller and the
+/// back ends; effects are collected by kind.
 
 #include <map>
 #include <optional>
@@ -64,12 +64,12 @@
 class = "payment"
 )";
 
-/// What a caller got so far.
+/// The answer that a caller has received so far.
 struct CallerView
 {
     std::optional<AnswerHeaders> headers;
     std::string text;
-    int ends = 0;  ///< Final events: AnswerEnd or AnswerError.
+    int ends = 0;  ///< Number of final events, AnswerEnd or AnswerError.
     std::optional<AnswerError> error;
 };
 
@@ -117,7 +117,7 @@
     RouterCore& core() { return m_core; }
     [[nodiscard]] base::TimePoint now() const { return m_now; }
 
-    /// Moves time on in steps of at most 10 ms, with a tick at each.
+    /// Advances time in steps of at most 10 ms, with a tick at each.
     void advance (base::Duration duration)
     {
         const base::TimePoint end = m_now + duration;
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Connects and hands out configuration, lease and replicas.
+    /// Connects the controller and sends configuration, lease and replicas.
     void connect (std::vector<cell::RoutableReplica> replicas)
     {
         m_core.onControllerConnected();
@@ -158,7 +158,7 @@
         collect();
     }
 
-    /// Grants every lease request not answered yet.
+    /// Grants every unanswered lease request.
     void answerLeases()
     {
         for (const cell::LeaseRequest& request : std::exchange (leaseRequests, {}))
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Answers every claim not answered yet with the same verdict.
+    /// Answers every unanswered claim with the same verdict.
     void answerClaims (cell::ClaimVerdict verdict)
     {
         for (const cell::ClaimRequest& request : std::exchange (claimRequests, {}))
@@ -210,7 +210,7 @@
         collect();
         return ticket;
     }
-    void callerGone (RequestTicket ticket)
+    void disconnectCaller (RequestTicket ticket)
     {
         m_core.onCallerGone (ticket);
         collect();
@@ -220,7 +220,7 @@
         m_core.onAttemptEvent (attempt, event);
         collect();
     }
-    /// A stream or body of one part.
+    /// Answers an attempt with a stream or body of one part.
     void answerWhole (AttemptId attempt, const std::string& text, int httpStatus = 200)
     {
         event (attempt, AttemptHeaders{ httpStatus, false });
@@ -228,7 +228,7 @@
         event (attempt, AttemptEnded{});
     }
 
-    /// Attempts of a request, in order.
+    /// Attempts of a request, in the order of their start.
     [[nodiscard]] std::vector<StartAttempt> attemptsOf (RequestTicket ticket) const
     {
         std::vector<StartAttempt> attempts;
@@ -263,7 +263,7 @@
     std::vector<cell::DemandReport> demands;
     std::vector<cell::RunnerLeavingSeen> leavingSeen;
 
-    /// Sorts what the core wants done.
+    /// Collects the effects of the core by kind.
     void collect()
     {
         for (Effect& effect : m_core.takeEffects())
@@ -292,7 +292,7 @@
     }
 
     void takeMessage (const cell::RouterHello& hello) { hellos.push_back (hello); }
-    // A router of the completions interface sends neither.
+    // A router of the completions interface does not send these messages.
     void takeMessage (const cell::EngineDemandReport& /*report*/) {}
     void takeMessage (const cell::MemberJoinRequest& /*request*/) {}
     void takeMessage (const cell::InstanceUnreachable& /*report*/) {}
