--- a/src/engine/EngineApi.cpp
+++ b/src/engine/EngineApi.cpp
@@ -122,7 +122,7 @@
         machine.applications.emplace_back (std::move (name));
 }
 
-/// Parses an object and reads its fields into a new `Value`.
+/// Parses a JSON object and reads its fields into a new `Value`.
 template <class Value, class Read>
 base::Result<Value> parse (std::string_view json, const Read& read)
 {
--- a/src/engine/EngineApi.h
+++ b/src/engine/EngineApi.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Typed form of the HTTP and JSON protocol of model engines, application back ends, the weight
-/// store and the machine list. docs/back-end-protocol.md describes it for the owners of back ends.
+/// Types and JSON conversions of the protocol of model engines, application back ends, the weight
+/// store and the machine list. docs/back-end-protocol.md specifies it for implementers of back
+/// ends.
 
 #include <boost/serialization/string.hpp>
 #include <boost/serialization/vector.hpp>
@@ -26,28 +27,28 @@
     kUnloadAdapter
 };
 
-/// A fenced order. An engine takes it when `incarnation` is its own and `fence` is at least the
-/// highest it has taken; an equal fence is the same order sent again and gets the same answer.
+/// A fenced order. An engine accepts it if `incarnation` is its own and `fence` is at least the
+/// highest accepted so far. An equal fence marks a retransmission, which gets the same answer.
 struct Order
 {
     OrderKind kind = OrderKind::kLoadModel;
     base::Fence fence = 0;
     base::Incarnation incarnation = 0;
     base::ReplicaId replica = 0;
-    base::ReplicaId baseReplica = 0;  ///< Adapters: the loaded replica of the base model.
+    base::ReplicaId baseReplica = 0;  ///< Loaded replica of the base model, for orders on adapters.
     base::ModelName model;
     std::string version;
-    base::AdapterName adapter;  ///< Adapters only.
+    base::AdapterName adapter;  ///< Set only in orders on adapters.
     Megabytes memory = 0;
 
     bool operator== (const Order&) const = default;
 };
 
-/// Answer to an order. Acceptance means the order is recorded; progress shows in reports.
+/// Answer to an order. An accepted order is recorded; its progress appears in reports.
 struct OrderAnswer
 {
     bool accepted = false;
-    base::ErrorKind refusal = base::ErrorKind::kInternal;  ///< When not accepted.
+    base::ErrorKind refusal = base::ErrorKind::kInternal;  ///< Reason, if not accepted.
     base::Fence highestFence = 0;
     base::Incarnation incarnation = 0;
 
@@ -62,7 +63,7 @@
     kFailed
 };
 
-/// One replica as its engine reports it.
+/// State of one replica in an engine's report.
 struct ReplicaReport
 {
     base::ReplicaId replica = 0;
@@ -84,7 +85,7 @@
     kMemory
 };
 
-/// Where a runner has a checkpoint cached. Checkpoints that are not listed are remote.
+/// Location of a checkpoint at a runner. Checkpoints that are not listed are remote.
 struct CheckpointReport
 {
     std::string artifact;  ///< Model or adapter name.
@@ -93,7 +94,7 @@
     bool operator== (const CheckpointReport&) const = default;
 };
 
-/// GET /engine/report. Lags behind the engine's real state.
+/// Answer to GET /engine/report. Lags behind the actual state of the engine.
 struct Report
 {
     base::RunnerId runner;
@@ -102,7 +103,7 @@
     Megabytes totalMemory = 0;
     Megabytes usedMemory = 0;
     base::Fence highestFence = 0;
-    std::uint32_t slots = 0;  ///< Requests it can run at once.
+    std::uint32_t slots = 0;  ///< Maximum of requests running at the same time.
     std::uint32_t runningRequests = 0;
     std::uint32_t waitingRequests = 0;
     std::vector<ReplicaReport> replicas;
@@ -122,17 +123,17 @@
     kLeaving
 };
 
-/// One machine of the platform's list.
+/// One entry of the platform's machine list.
 struct Machine
 {
     base::RunnerId runner;
     MachineRole role = MachineRole::kModelRunner;
     MachineState state = MachineState::kLive;
     base::ZoneName zone;
-    std::string address;   ///< "ip:port" of its HTTP interface.
+    std::string address;   ///< Address of the HTTP interface as "ip:port".
     Megabytes memory = 0;  ///< Accelerator memory.
     std::uint32_t accelerators = 0;
-    std::vector<base::ApplicationName> applications;  ///< Application runners only.
+    std::vector<base::ApplicationName> applications;  ///< Set only for application runners.
 
     bool operator== (const Machine&) const = default;
     template <class Archive>
@@ -142,7 +143,7 @@
     }
 };
 
-/// GET /machines. Lags behind the platform's real state.
+/// Answer to GET /machines. Lags behind the actual state of the platform.
 struct MachineList
 {
     std::vector<Machine> machines;
@@ -150,7 +151,8 @@
     bool operator== (const MachineList&) const = default;
 };
 
-/// JSON forms. Parsers fail with kMessageInvalid and name the field.
+/// Conversions to and from JSON. Parsers fail with kMessageInvalid and an error that names the
+/// field.
 [[nodiscard]] std::string toJson (const Order& order);
 [[nodiscard]] std::string toJson (const OrderAnswer& answer);
 [[nodiscard]] std::string toJson (const Report& report);
--- a/src/engine/EngineApiTest.cpp
+++ b/src/engine/EngineApiTest.cpp
@@ -101,7 +101,7 @@
     return list;
 }
 
-/// The message a parse fails with; empty when it succeeds.
+/// Error message of a failed parse; empty if it succeeds.
 template <class Parse>
 std::string problemOf (const Parse& parse)
 {
--- a/src/engine/JsonFields.h
+++ b/src/engine/JsonFields.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Strict reading of JSON objects: each wrong field is named with its path, what was found and what
-/// is allowed. Fields that no reader asks for are ignored, so that a peer may add some.
+/// Strict parsing of JSON objects. The error for an invalid field contains its path, the value
+/// found and the values allowed. Unknown fields are ignored, so that newer peers can add fields.
 
 #include <QJsonArray>
 #include <QJsonObject>
@@ -20,10 +20,10 @@
 namespace fernlift::engine
 {
 
-/// Largest integer that every JSON implementation keeps exactly.
+/// Largest integer that every JSON implementation represents exactly.
 constexpr std::uint64_t kMaximumJsonInteger = (std::uint64_t{ 1 } << 53) - 1;
 
-/// One name of an enumeration in JSON.
+/// JSON name of one value of an enumeration.
 template <class Value>
 struct JsonName
 {
@@ -31,7 +31,8 @@
     std::string_view name;
 };
 
-/// Reads the fields of one JSON object. The first problem is kept; later reads do nothing.
+/// Reader for the fields of one JSON object. After the first problem, which is kept, further reads
+/// do nothing.
 class JsonFields
 {
 public:
@@ -41,7 +42,7 @@
     JsonFields& readBoolean (std::string_view key, bool* target);
     JsonFields& readReal (std::string_view key, double* target);
 
-    /// A whole number from 0 to 2^53 - 1 that fits the target.
+    /// Reads an integer from 0 to 2^53 - 1 that fits the type of the target.
     template <class Integer>
     JsonFields& readInteger (std::string_view key, Integer* target)
     {
@@ -55,7 +56,7 @@
         return *this;
     }
 
-    /// A text that is one of `names`.
+    /// Reads a string that is one of `names`.
     template <class Value, std::size_t kCount>
     JsonFields& readEnumeration (std::string_view key,
                                  const std::array<JsonName<Value>, kCount>& names, Value* target)
@@ -77,7 +78,7 @@
         return problem (key, "found \"" + text + "\", allowed: " + allowed);
     }
 
-    /// An array of objects; `readElement` reads one of them.
+    /// Reads an array of objects; `readElement` reads one of them.
     template <class Element>
     JsonFields& readObjects (std::string_view key, std::vector<Element>* target,
                              const std::function<void (JsonFields&, Element&)>& readElement)
@@ -93,13 +94,13 @@
         return *this;
     }
 
-    /// An array of texts.
+    /// Reads an array of strings.
     JsonFields& readTexts (std::string_view key, std::vector<std::string>* target);
 
-    /// True when the object has the field; for fields that may be left out.
+    /// True if the object has the field; for optional fields.
     [[nodiscard]] bool has (std::string_view key) const;
     [[nodiscard]] bool failed() const { return ! m_problem.empty(); }
-    /// Success, or kMessageInvalid with the first problem.
+    /// Returns success, or fails with kMessageInvalid and the first problem.
     [[nodiscard]] base::Result<void> finish() const;
 
 private:
@@ -116,13 +117,13 @@
     std::string m_problem;
 };
 
-/// Parses bytes that must be one JSON object; fails with kMessageInvalid.
+/// Parses the text of one JSON object; fails with kMessageInvalid.
 [[nodiscard]] base::Result<QJsonObject> parseJsonObject (std::string_view json);
-/// Compact JSON text of an object.
+/// Returns an object as compact JSON text.
 [[nodiscard]] std::string writeJson (const QJsonObject& object);
-/// A JSON string value.
+/// Converts UTF-8 text to a JSON string.
 [[nodiscard]] QJsonValue jsonText (std::string_view text);
-/// A JSON number value.
+/// Converts an integer, at most kMaximumJsonInteger, to a JSON number.
 [[nodiscard]] QJsonValue jsonInteger (std::uint64_t value);
 
 }  // namespace fernlift::engine
