--- a/src/base/Time.h
+++ b/src/base/Time.h
@@ -75,13 +75,13 @@
         const Duration gained = m_isFirst ? Duration::zero() : ahead - m_ahead;
         m_isFirst = false;
         m_ahead = ahead;
-        return gained >= kShortestSuspension ? gained : Duration::zero();
+        return gained >= kMinSuspension ? gained : Duration::zero();
     }
 
 private:
     /// Shorter differences are ignored: the process may be delayed between reading the two clocks,
     /// while suspensions last for seconds.
-    static constexpr Duration kShortestSuspension = milliseconds (50);
+    static constexpr Duration kMinSuspension = milliseconds (50);
 
     bool m_isFirst = true;
     Duration m_ahead{};  ///< Difference of `now` and `runningTime` at the last call.
--- a/src/cell/CellStateTest.cpp
+++ b/src/cell/CellStateTest.cpp
@@ -99,17 +99,17 @@
     state.apply (2, test::observationOf ("r1", 1, kStart));
     const std::string longReason (100'000, 'r');
     base::LogIndex index = 2;
-    for (std::size_t number = 0; number < 2 * DecisionJournal::kMaximumRecords; ++number)
+    for (std::size_t number = 0; number < 2 * DecisionJournal::kMaxRecords; ++number)
     {
         state.apply (++index, DecideLoad{ base::RunnerId ("r1"), 1, base::ModelName ("a"),
                                           base::AdapterName(), 0, longReason, kStart });
     }
     const auto& records = state.journal().records();
-    ASSERT_EQ (records.size(), DecisionJournal::kMaximumRecords);
+    ASSERT_EQ (records.size(), DecisionJournal::kMaxRecords);
     EXPECT_EQ (records.back().kind, DecisionKind::kLoad);
     EXPECT_EQ (records.back().target, "a");
     EXPECT_EQ (records.back().outcome, "replica_bound");
-    EXPECT_EQ (records.back().reason, longReason.substr (0, DecisionJournal::kMaximumReasonBytes));
+    EXPECT_EQ (records.back().reason, longReason.substr (0, DecisionJournal::kMaxReasonBytes));
 }
 
 // Figures for docs/design/replica-bound.md and at-most-once-claims.md.
--- a/src/cell/ClaimTable.cpp
+++ b/src/cell/ClaimTable.cpp
@@ -26,10 +26,10 @@
 
 bool isTooLong (const Claim& claim)
 {
-    return claim.key.value.size() > ClaimTable::kMaximumKeyBytes
-           || claim.requestDigest.size() > ClaimTable::kMaximumFieldBytes
-           || claim.router.value.size() > ClaimTable::kMaximumFieldBytes
-           || claim.request.value.size() > ClaimTable::kMaximumFieldBytes;
+    return claim.key.value.size() > ClaimTable::kMaxKeyBytes
+           || claim.requestDigest.size() > ClaimTable::kMaxFieldBytes
+           || claim.router.value.size() > ClaimTable::kMaxFieldBytes
+           || claim.request.value.size() > ClaimTable::kMaxFieldBytes;
 }
 
 }  // namespace
@@ -44,10 +44,10 @@
         answer.httpStatus = held->second.httpStatus;
         return answer;
     }
-    const bool isOutsideWindow = claim.expiresAt < now || claim.expiresAt > now + kMaximumLifetime;
+    const bool isOutsideWindow = claim.expiresAt < now || claim.expiresAt > now + kMaxLifetime;
     if (isOutsideWindow || isTooLong (claim))
         return answer;
-    if (m_claims.size() >= kMaximumKeys)
+    if (m_claims.size() >= kMaxKeys)
     {
         answer.verdict = ClaimVerdict::kTableFull;
         return answer;
--- a/src/cell/ClaimTable.h
+++ b/src/cell/ClaimTable.h
@@ -43,13 +43,13 @@
 {
 public:
     /// Maximum number of keys in the table.
-    static constexpr std::size_t kMaximumKeys = 500'000;
+    static constexpr std::size_t kMaxKeys = 500'000;
     /// Longest time for which a claim may be kept, in milliseconds: the longest deadline of a class
     /// (one day) plus a window of up to another day.
-    static constexpr base::UnixMilliseconds kMaximumLifetime = 172'800'000;
-    static constexpr std::size_t kMaximumKeyBytes = 256;
+    static constexpr base::UnixMilliseconds kMaxLifetime = 172'800'000;
+    static constexpr std::size_t kMaxKeyBytes = 256;
     /// Limit for each of the digest, the router id and the request id.
-    static constexpr std::size_t kMaximumFieldBytes = 512;
+    static constexpr std::size_t kMaxFieldBytes = 512;
 
     /// Decides a claim; `now` is the time of the replicated state.
     ClaimAnswer claim (const Claim& claim, base::UnixMilliseconds now);
--- a/src/cell/ClaimTableTest.cpp
+++ b/src/cell/ClaimTableTest.cpp
@@ -82,7 +82,7 @@
 TEST_F (ClaimTableTest, ClaimOutsideTheWindowIsRefused)
 {
     EXPECT_EQ (claim (claimOf ("late", "first", kNow - 1)), kWindowPassed);
-    EXPECT_EQ (claim (claimOf ("far", "first", kNow + ClaimTable::kMaximumLifetime + 1)),
+    EXPECT_EQ (claim (claimOf ("far", "first", kNow + ClaimTable::kMaxLifetime + 1)),
                kWindowPassed);
     EXPECT_EQ (claim (claimOf ("edge", "first", kNow)), kGranted);
     EXPECT_EQ (m_table.size(), 1U);
@@ -98,16 +98,16 @@
 
 TEST_F (ClaimTableTest, MemoryIsBounded)
 {
-    const std::string longKey (ClaimTable::kMaximumKeyBytes + 1, 'k');
+    const std::string longKey (ClaimTable::kMaxKeyBytes + 1, 'k');
     EXPECT_EQ (claim (claimOf (longKey, "first")), kWindowPassed);
-    Claim longFields = claimOf ("k", std::string (ClaimTable::kMaximumFieldBytes + 1, 'r'));
+    Claim longFields = claimOf ("k", std::string (ClaimTable::kMaxFieldBytes + 1, 'r'));
     EXPECT_EQ (claim (longFields), kWindowPassed);
-    for (std::size_t number = 0; number < ClaimTable::kMaximumKeys; ++number)
+    for (std::size_t number = 0; number < ClaimTable::kMaxKeys; ++number)
     {
         m_table.claim (claimOf (std::to_string (number), "first", kExpiry + (number == 0 ? 0 : 1)),
                        kNow);
     }
-    ASSERT_EQ (m_table.size(), ClaimTable::kMaximumKeys);
+    ASSERT_EQ (m_table.size(), ClaimTable::kMaxKeys);
     EXPECT_EQ (claim (claimOf ("one more", "first")), kTableFull);
     EXPECT_EQ (claim (claimOf ("1", "first")), kGranted)
         << "a claim of a held key must be answered even if the table is full";
--- a/src/cell/CommandCodec.cpp
+++ b/src/cell/CommandCodec.cpp
@@ -30,7 +30,7 @@
     if (! bytes.starts_with (kCompressed))
         return wire::decodeMessage<Command> (bytes);
     const std::optional<std::string> plain =
-        base::decompress (bytes.substr (1), wire::kMaximumFrameBytes);
+        base::decompress (bytes.substr (1), wire::kMaxFrameBytes);
     if (! plain)
         return base::fail (base::ErrorKind::kMessageInvalid,
                            "compressed command in the log cannot be decompressed");
--- a/src/cell/ConfigurationDelta.cpp
+++ b/src/cell/ConfigurationDelta.cpp
@@ -12,7 +12,7 @@
 
 /// Shortest segment that is looked up in the base: a kept part takes about as many bytes on the
 /// wire (its position, its length and two lengths of strings).
-constexpr std::size_t kShortestKept = 32;
+constexpr std::size_t kMinKept = 32;
 
 std::size_t commonPrefix (std::string_view left, std::string_view right)
 {
@@ -44,7 +44,7 @@
     while (! base.empty())
     {
         const std::string_view segment = takeSegment (base);
-        if (segment.size() >= kShortestKept)
+        if (segment.size() >= kMinKept)
             positions.emplace (segment, position);
         position += segment.size();
     }
--- a/src/cell/ConfigurationState.cpp
+++ b/src/cell/ConfigurationState.cpp
@@ -11,7 +11,7 @@
 
 /// Limit for the catalogues of pending proposals: few files are proposed at the same time, and each
 /// may be large.
-constexpr std::size_t kMostParsed = 8;
+constexpr std::size_t kMaxParsed = 8;
 
 }  // namespace
 
@@ -46,7 +46,7 @@
 
 void ConfigurationState::keepParsed (std::string digest, config::Catalogue catalogue)
 {
-    if (m_parsed.size() >= kMostParsed)
+    if (m_parsed.size() >= kMaxParsed)
         m_parsed.erase (m_parsed.begin());
     m_parsed.insert_or_assign (std::move (digest), std::move (catalogue));
 }
--- a/src/cell/ControllerSession.cpp
+++ b/src/cell/ControllerSession.cpp
@@ -16,8 +16,8 @@
 /// Delays before the next connection, which limit the rate of connections to a cell without a
 /// leader.
 constexpr base::Duration kRedirectDelay = base::milliseconds (10);
-constexpr base::Duration kShortestDelay = base::milliseconds (50);
-constexpr base::Duration kLongestDelay = base::milliseconds (150);
+constexpr base::Duration kMinDelay = base::milliseconds (50);
+constexpr base::Duration kMaxDelay = base::milliseconds (150);
 /// Divisor of the delay for a router that has not found a leader since its start. It retries sooner
 /// because callers wait for its first configuration.
 constexpr int kFirstDelayShare = 3;
@@ -27,7 +27,7 @@
 
 base::Duration randomDelay (base::Random& random)
 {
-    return base::Duration (random.uniformInteger (kShortestDelay.count(), kLongestDelay.count()));
+    return base::Duration (random.uniformInteger (kMinDelay.count(), kMaxDelay.count()));
 }
 
 }  // namespace
--- a/src/cell/DecisionJournal.cpp
+++ b/src/cell/DecisionJournal.cpp
@@ -31,10 +31,10 @@
 
 void DecisionJournal::add (DecisionRecord record)
 {
-    if (record.reason.size() > kMaximumReasonBytes)
-        record.reason.resize (kMaximumReasonBytes);
+    if (record.reason.size() > kMaxReasonBytes)
+        record.reason.resize (kMaxReasonBytes);
     m_records.push_back (std::move (record));
-    if (m_records.size() > kMaximumRecords)
+    if (m_records.size() > kMaxRecords)
         m_records.pop_front();
 }
 
--- a/src/cell/DecisionJournal.h
+++ b/src/cell/DecisionJournal.h
@@ -53,9 +53,9 @@
 class DecisionJournal
 {
 public:
-    static constexpr std::size_t kMaximumRecords = 2000;
+    static constexpr std::size_t kMaxRecords = 2000;
     /// Longer reasons are truncated.
-    static constexpr std::size_t kMaximumReasonBytes = 1000;
+    static constexpr std::size_t kMaxReasonBytes = 1000;
 
     void add (DecisionRecord record);
     [[nodiscard]] const std::deque<DecisionRecord>& records() const { return m_records; }
--- a/src/cell/InstanceLoadMessages.h
+++ b/src/cell/InstanceLoadMessages.h
@@ -20,8 +20,8 @@
 /** Nominal value of speeds and slowdowns, which are percentages. */
 constexpr std::uint32_t kUsualPercent = 100;
 /** Bounds of speeds and slowdowns. Values beyond them do not help to distinguish runners. */
-constexpr std::uint32_t kLeastPercent = 10;
-constexpr std::uint32_t kMostPercent = 1000;
+constexpr std::uint32_t kMinPercent = 10;
+constexpr std::uint32_t kMaxPercent = 1000;
 /** Time after which a reported slowdown is outdated. Other load on the machine of a runner changes
    within about half a second.
 */
--- a/src/cell/InstanceRateMessages.h
+++ b/src/cell/InstanceRateMessages.h
@@ -27,7 +27,7 @@
    runner without requests would stay limited forever. Runners that state a lower rate still receive
    one request in 10 s.
 */
-constexpr double kLeastRatePerSecond = 0.1;
+constexpr double kMinRatePerSecond = 0.1;
 
 /** Rate limit stated, or not stated, in one answer of a runner. */
 struct InstanceRateStatement
--- a/src/cell/QuarantineTable.cpp
+++ b/src/cell/QuarantineTable.cpp
@@ -81,9 +81,9 @@
         m_removedAt.erase (end.request.digest);
     }
     Suspect& suspect = found->second;
-    if (suspect.ends.size() >= kMostEnds)
+    if (suspect.ends.size() >= kMaxCrashes)
         dropRedundantCrash (suspect);
-    if (suspect.ends.size() < kMostEnds)
+    if (suspect.ends.size() < kMaxCrashes)
         suspect.ends.push_back (end);
     suspect.successive = suspect.consecutiveCrashes();
     suspect.lastEndAt = std::max (suspect.lastEndAt, end.endedAt);
@@ -94,7 +94,7 @@
 
 void QuarantineTable::makeRoom (base::LogIndex index)
 {
-    if (m_suspects.size() < kMostSuspects)
+    if (m_suspects.size() < kMaxSuspects)
         return;
     const auto least = std::ranges::min_element (
         m_suspects, {},
@@ -110,7 +110,7 @@
     m_version = index;
     if (! wasShared)
         return;
-    if (m_removedAt.size() >= kMostSuspects)
+    if (m_removedAt.size() >= kMaxSuspects)
     {
         m_removedAt.clear();
         m_removalsKnownSince = index;
--- a/src/cell/QuarantineTable.h
+++ b/src/cell/QuarantineTable.h
@@ -60,7 +60,7 @@
 struct Suspect
 {
     RequestIdentity request;
-    /** Crashes in the order in which they were reported, one per instance; at most kMostEnds. */
+    /** Crashes in the order in which they were reported, one per instance; at most kMaxCrashes. */
     std::vector<RunnerEnd> ends;
     base::UnixMilliseconds lastEndAt = 0;
     base::LogIndex changedAt = 0;
@@ -91,8 +91,8 @@
         crashes is evicted. A row takes about 300 bytes, so that the table stays below 1.3 MB at
         controllers and routers.
     */
-    static constexpr std::size_t kMostSuspects = 4096;
-    static constexpr std::size_t kMostEnds = 8;
+    static constexpr std::size_t kMaxSuspects = 4096;
+    static constexpr std::size_t kMaxCrashes = 8;
     /** Lifetime in milliseconds after the last crash. Requests that crash runners were repeated
        after 0.2 to 2.9 s.
     */
@@ -142,7 +142,7 @@
     base::LogIndex m_version = 0;
     // Not stored: after a restart of the member its routers receive the whole table.
     std::map<std::string, base::LogIndex>
-        m_removedAt;  ///< Removals of shared suspects; at most kMostSuspects.
+        m_removedAt;  ///< Removals of shared suspects; at most kMaxSuspects.
     /** Version since which all removals are known; for a restored table, its own version. */
     base::LogIndex m_removalsKnownSince = 0;
 };
--- a/src/cell/QuarantineTableTest.cpp
+++ b/src/cell/QuarantineTableTest.cpp
@@ -69,7 +69,7 @@
     table.note (2, endOf ("r", "b", 200, 250));
     table.note (3, endOf ("r", "c", 300, 350));
     EXPECT_TRUE (table.find ("r")->isInQuarantine());
-    EXPECT_LE (table.find ("r")->ends.size(), QuarantineTable::kMostEnds);
+    EXPECT_LE (table.find ("r")->ends.size(), QuarantineTable::kMaxCrashes);
 }
 
 TEST (QuarantineTableTest, AReleasedRequestStartsWithoutCrashes)
@@ -102,10 +102,10 @@
     QuarantineTable table;
     for (int end = 0; end < 3; ++end)
         table.note (1, endOf ("old", std::to_string (end), 100 * end, 100 * end + 50));
-    for (std::size_t each = 0; each < QuarantineTable::kMostSuspects; ++each)
+    for (std::size_t each = 0; each < QuarantineTable::kMaxSuspects; ++each)
         table.note (2, endOf ("s" + std::to_string (each), "a", 1000,
                               1000 + static_cast<base::UnixMilliseconds> (each)));
-    EXPECT_EQ (table.all().size(), QuarantineTable::kMostSuspects);
+    EXPECT_EQ (table.all().size(), QuarantineTable::kMaxSuspects);
     EXPECT_TRUE (table.find ("old")->isInQuarantine());
     EXPECT_EQ (table.find ("s0"), nullptr);
 }
--- a/src/config/CatalogueChecks.cpp
+++ b/src/config/CatalogueChecks.cpp
@@ -114,11 +114,11 @@
         for (const RequestClass& each : m_catalogue.classes)
             sum += each.reservedSlotShare;
         constexpr double kRoundingError = 1e-9;
-        if (sum <= kMaximumReservedSlotShare + kRoundingError)
+        if (sum <= kMaxReservedSlotShare + kRoundingError)
             return;
         m_problems.reportAt ("class", "found reserved_slot_share of all classes adding up to "
                                           + std::to_string (sum) + ", allowed: at most "
-                                          + std::to_string (kMaximumReservedSlotShare));
+                                          + std::to_string (kMaxReservedSlotShare));
     }
 
     void checkModel (const Model& model, const std::string& key)
--- a/src/config/CatalogueLimits.h
+++ b/src/config/CatalogueLimits.h
@@ -8,27 +8,27 @@
 namespace fernlift::config
 {
 
-constexpr std::size_t kMaximumCatalogueBytes = 1024UL * 1024;
-constexpr std::size_t kMaximumZones = 64;
-constexpr std::size_t kMaximumClasses = 32;
-constexpr std::size_t kMaximumModels = 2000;
-constexpr std::size_t kMaximumAdapters = 8000;
-constexpr std::size_t kMaximumApplications = 500;
+constexpr std::size_t kMaxCatalogueBytes = 1024UL * 1024;
+constexpr std::size_t kMaxZones = 64;
+constexpr std::size_t kMaxClasses = 32;
+constexpr std::size_t kMaxModels = 2000;
+constexpr std::size_t kMaxAdapters = 8000;
+constexpr std::size_t kMaxApplications = 500;
 /// Length of a name or of a model's version, in characters.
-constexpr std::size_t kMaximumNameLength = 128;
-constexpr std::int64_t kMaximumMemoryMegabytes = 100'000'000;
-constexpr std::int64_t kMaximumReplicas = 10'000;
+constexpr std::size_t kMaxNameLength = 128;
+constexpr std::int64_t kMaxMemoryMegabytes = 100'000'000;
+constexpr std::int64_t kMaxReplicas = 10'000;
 constexpr std::int64_t kMostUrgent = 0;
 constexpr std::int64_t kLeastUrgent = 9;
-constexpr std::int64_t kMaximumDeadlineMilliseconds = 24LL * 60 * 60 * 1000;
+constexpr std::int64_t kMaxDeadlineMilliseconds = 24LL * 60 * 60 * 1000;
 /// Of one class, and of all classes together, so that every runner keeps slots that any class may
 /// use.
-constexpr double kMaximumReservedSlotShare = 0.9;
-constexpr double kMaximumPrice = 1e9;
-constexpr double kMinimumLoadsPerSecond = 0.001;
-constexpr double kMaximumLoadsPerSecond = 10'000;
-constexpr std::int64_t kMaximumConcurrentLoads = 10'000;
+constexpr double kMaxReservedSlotShare = 0.9;
+constexpr double kMaxPrice = 1e9;
+constexpr double kMinLoadsPerSecond = 0.001;
+constexpr double kMaxLoadsPerSecond = 10'000;
+constexpr std::int64_t kMaxConcurrentLoads = 10'000;
 /// Problems that are reported of one file; one more says that there are others.
-constexpr std::size_t kMaximumProblems = 1000;
+constexpr std::size_t kMaxProblems = 1000;
 
 }  // namespace fernlift::config
--- a/src/config/CatalogueParser.cpp
+++ b/src/config/CatalogueParser.cpp
@@ -13,12 +13,12 @@
 namespace
 {
 
-constexpr IntegerRange kMemoryRange{ 1, kMaximumMemoryMegabytes };
+constexpr IntegerRange kMemoryRange{ 1, kMaxMemoryMegabytes };
 
 std::vector<base::ZoneName> readZones (TableReader& reader, Presence presence)
 {
     std::vector<base::ZoneName> zones;
-    for (std::string& name : reader.readNames ("zones", kMaximumZones, presence))
+    for (std::string& name : reader.readNames ("zones", kMaxZones, presence))
     {
         zones.emplace_back (std::move (name));
     }
@@ -28,7 +28,7 @@
 std::uint32_t readMaximumReplicas (TableReader& reader)
 {
     return static_cast<std::uint32_t> (
-        reader.readInteger ("max_replicas", { 1, kMaximumReplicas }, Presence::kRequired, 1));
+        reader.readInteger ("max_replicas", { 1, kMaxReplicas }, Presence::kRequired, 1));
 }
 
 Megabytes readMemory (TableReader& reader)
@@ -44,10 +44,10 @@
     result.urgency = static_cast<int> (reader.readInteger ("urgency", { kMostUrgent, kLeastUrgent },
                                                            Presence::kRequired, kLeastUrgent));
     result.deadline = base::milliseconds (reader.readInteger (
-        "deadline_ms", { 1, kMaximumDeadlineMilliseconds }, Presence::kRequired, 1));
+        "deadline_ms", { 1, kMaxDeadlineMilliseconds }, Presence::kRequired, 1));
     result.repeatable = reader.readBoolean ("repeatable", result.repeatable);
     result.reservedSlotShare =
-        reader.readReal ("reserved_slot_share", { 0, kMaximumReservedSlotShare }, 0);
+        reader.readReal ("reserved_slot_share", { 0, kMaxReservedSlotShare }, 0);
     return result;
 }
 
@@ -59,7 +59,7 @@
     model.memory = readMemory (reader);
     model.maxReplicas = readMaximumReplicas (reader);
     model.minReplicas = static_cast<std::uint32_t> (
-        reader.readInteger ("min_replicas", { 0, kMaximumReplicas }, Presence::kOptional, 0));
+        reader.readInteger ("min_replicas", { 0, kMaxReplicas }, Presence::kOptional, 0));
     model.zones = readZones (reader, Presence::kOptional);
     model.defaultClass = base::RequestClassName (reader.readName ("class"));
     return model;
@@ -89,20 +89,19 @@
 {
     Prices prices;
     prices.coldStartSecond =
-        reader.readReal ("cold_start_second", { 0, kMaximumPrice }, prices.coldStartSecond);
+        reader.readReal ("cold_start_second", { 0, kMaxPrice }, prices.coldStartSecond);
     prices.idleAcceleratorHour =
-        reader.readReal ("idle_accelerator_hour", { 0, kMaximumPrice }, prices.idleAcceleratorHour);
+        reader.readReal ("idle_accelerator_hour", { 0, kMaxPrice }, prices.idleAcceleratorHour);
     return prices;
 }
 
 WeightStoreLimits readWeightStore (TableReader& reader)
 {
     WeightStoreLimits limits;
-    limits.loadsPerSecond =
-        reader.readReal ("loads_per_second", { kMinimumLoadsPerSecond, kMaximumLoadsPerSecond },
-                         limits.loadsPerSecond);
+    limits.loadsPerSecond = reader.readReal (
+        "loads_per_second", { kMinLoadsPerSecond, kMaxLoadsPerSecond }, limits.loadsPerSecond);
     limits.concurrentLoads = static_cast<std::uint32_t> (reader.readInteger (
-        "concurrent_loads", { 1, kMaximumConcurrentLoads }, Presence::kOptional, 1));
+        "concurrent_loads", { 1, kMaxConcurrentLoads }, Presence::kOptional, 1));
     return limits;
 }
 
@@ -144,11 +143,11 @@
     catalogue.largestRunnerMemory = static_cast<Megabytes> (
         file.readInteger ("largest_runner_memory_mb", kMemoryRange, Presence::kOptional, 0));
     catalogue.zones = readZones (file, Presence::kRequired);
-    catalogue.classes = readAll (file, "class", kMaximumClasses, problems, readClass);
-    catalogue.models = readAll (file, "model", kMaximumModels, problems, readModel);
-    catalogue.adapters = readAll (file, "adapter", kMaximumAdapters, problems, readAdapter);
+    catalogue.classes = readAll (file, "class", kMaxClasses, problems, readClass);
+    catalogue.models = readAll (file, "model", kMaxModels, problems, readModel);
+    catalogue.adapters = readAll (file, "adapter", kMaxAdapters, problems, readAdapter);
     catalogue.applications =
-        readAll (file, "application", kMaximumApplications, problems, readApplication);
+        readAll (file, "application", kMaxApplications, problems, readApplication);
     catalogue.prices = readSection (file, "prices", problems, readPrices);
     catalogue.weightStore = readSection (file, "weight_store", problems, readWeightStore);
     file.reportUnknownKeys();
@@ -178,11 +177,11 @@
 
 CatalogueOutcome parseCatalogue (std::string_view tomlText)
 {
-    if (tomlText.size() > kMaximumCatalogueBytes)
+    if (tomlText.size() > kMaxCatalogueBytes)
     {
         return failedWith (0, "found " + std::to_string (tomlText.size())
                                   + " bytes, allowed: at most "
-                                  + std::to_string (kMaximumCatalogueBytes));
+                                  + std::to_string (kMaxCatalogueBytes));
     }
     try
     {
--- a/src/config/CatalogueTest.cpp
+++ b/src/config/CatalogueTest.cpp
@@ -213,7 +213,7 @@
 TEST (CatalogueTest, LimitsAreKept)
 {
     std::string models;
-    for (std::size_t index = 0; index < kMaximumModels; ++index)
+    for (std::size_t index = 0; index < kMaxModels; ++index)
     {
         models += "[[model]]\nname = \"n" + std::to_string (index)
                   + "\"\nversion = \"1\"\nmemory_mb = 1\nmax_replicas = 1\nclass = \"urgent\"\n";
@@ -222,10 +222,10 @@
     ASSERT_EQ (many.problems.size(), 1U) << listOf (many.problems);
     EXPECT_EQ (many.problems[0].key, "model");
     const CatalogueOutcome large =
-        parseCatalogue (fileWith ("#" + std::string (kMaximumCatalogueBytes, 'x')));
+        parseCatalogue (fileWith ("#" + std::string (kMaxCatalogueBytes, 'x')));
     ASSERT_EQ (large.problems.size(), 1U);
     EXPECT_NE (large.problems[0].message.find ("bytes"), std::string::npos);
-    const std::string longName (kMaximumNameLength + 1, 'n');
+    const std::string longName (kMaxNameLength + 1, 'n');
     EXPECT_EQ (parseCatalogue (
                    fileWith ("[[application]]\nname = \"" + longName + "\"\nclass = \"urgent\""))
                    .problems.size(),
@@ -235,12 +235,12 @@
 TEST (CatalogueTest, ProblemsAreCutOffWithANote)
 {
     std::string unknown;
-    for (std::size_t index = 0; index < 2 * kMaximumProblems; ++index)
+    for (std::size_t index = 0; index < 2 * kMaxProblems; ++index)
     {
         unknown += "k" + std::to_string (index) + " = 1\n";
     }
     const CatalogueOutcome outcome = parseCatalogue (unknown + fileWith (""));
-    EXPECT_EQ (outcome.problems.size(), kMaximumProblems + 1);
+    EXPECT_EQ (outcome.problems.size(), kMaxProblems + 1);
 }
 
 TEST (CatalogueTest, BrokenTomlIsNamedWithItsLine)
--- a/src/config/ServiceCatalogue.cpp
+++ b/src/config/ServiceCatalogue.cpp
@@ -10,7 +10,7 @@
 {
 
 // Callers give up a stream after a pause of the longest of these.
-constexpr base::Duration kShortestPatience = base::seconds (2);
+constexpr base::Duration kMinPatience = base::seconds (2);
 constexpr int kPatienceInTargets = 4;
 constexpr int kPatienceInGaps = 8;
 
@@ -97,7 +97,7 @@
 base::Duration Route::patience() const
 {
     return std::max<base::Duration> (
-        { kShortestPatience, targetLatency * kPatienceInTargets, gapTarget * kPatienceInGaps });
+        { kMinPatience, targetLatency * kPatienceInTargets, gapTarget * kPatienceInGaps });
 }
 
 const EngineModel* EngineSpec::findModel (std::string_view name) const
--- a/src/config/TableReader.cpp
+++ b/src/config/TableReader.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr std::size_t kMaximumQuotedLength = 80;
+constexpr std::size_t kMaxQuotedLength = 80;
 
 int lineOf (const toml::node& node) { return static_cast<int> (node.source().begin.line); }
 
@@ -23,7 +23,7 @@
 
 bool isName (std::string_view text)
 {
-    if (text.empty() || text.size() > kMaximumNameLength || ! isLetterOrDigit (text.front()))
+    if (text.empty() || text.size() > kMaxNameLength || ! isLetterOrDigit (text.front()))
     {
         return false;
     }
@@ -38,7 +38,7 @@
 
 std::string allowedName()
 {
-    return "1 to " + std::to_string (kMaximumNameLength)
+    return "1 to " + std::to_string (kMaxNameLength)
            + " characters, letters, digits and . _ - :, the first a letter or digit";
 }
 
@@ -51,8 +51,8 @@
     std::ostringstream stream;
     node.visit ([&] (const auto& value) { stream << value; });
     std::string text = stream.str();
-    if (text.size() > kMaximumQuotedLength)
-        text = text.substr (0, kMaximumQuotedLength) + "...";
+    if (text.size() > kMaxQuotedLength)
+        text = text.substr (0, kMaxQuotedLength) + "...";
     return text;
 }
 
@@ -72,9 +72,9 @@
 
 void ProblemList::report (int line, const std::string& key, std::string message)
 {
-    if (m_problems.size() > kMaximumProblems)
+    if (m_problems.size() > kMaxProblems)
         return;
-    if (m_problems.size() == kMaximumProblems)
+    if (m_problems.size() == kMaxProblems)
         message = "there are more problems than are shown";
     m_problems.push_back (CatalogueProblem{ line, key, std::move (message) });
 }
--- a/src/consensus/ClusterOperatorTest.cpp
+++ b/src/consensus/ClusterOperatorTest.cpp
@@ -174,7 +174,7 @@
         m_invariants.fail ("liveness", 0, "the operator's change of members was not carried out");
         return;
     }
-    constexpr LogIndex kMaximumLag = 30;
+    constexpr LogIndex kMaxLag = 30;
     MemberId leader = 0;
     for (const MemberId id : m_desired)
     {
@@ -183,7 +183,7 @@
         if (leader == 0)
             leader = status.leader;
         const bool follows = status.leader != 0 && status.leader == leader;
-        if (! follows || status.appliedIndex + kMaximumLag < m_invariants.committedIndex())
+        if (! follows || status.appliedIndex + kMaxLag < m_invariants.committedIndex())
         {
             m_invariants.fail ("liveness", id,
                                "follows " + std::to_string (status.leader) + ", applied "
--- a/src/consensus/ClusterSimulationTest.cpp
+++ b/src/consensus/ClusterSimulationTest.cpp
@@ -366,8 +366,8 @@
 double ClusterSimulation::randomClockRate()
 {
     /// Greatest deviation of a clock rate; two clocks differ by a ratio of 1.22 at most.
-    constexpr double kMaximumDrift = 0.1;
-    return 1.0 + kMaximumDrift * (2 * m_random.uniformReal() - 1);
+    constexpr double kMaxDrift = 0.1;
+    return 1.0 + kMaxDrift * (2 * m_random.uniformReal() - 1);
 }
 
 std::string replayHint (const ClusterOptions& options)
--- a/src/consensus/MemberReplication.cpp
+++ b/src/consensus/MemberReplication.cpp
@@ -8,14 +8,14 @@
 {
 
 /// Limit of rounds kept for a member that does not reply; older ones can no longer extend a lease.
-constexpr std::size_t kMaximumUnansweredRounds = 256;
+constexpr std::size_t kMaxUnansweredRounds = 256;
 
 }  // namespace
 
 void MemberReplication::beginRound (std::uint64_t round, base::TimePoint now)
 {
     m_unanswered.push_back ({ round, now });
-    if (m_unanswered.size() > kMaximumUnansweredRounds)
+    if (m_unanswered.size() > kMaxUnansweredRounds)
         m_unanswered.pop_front();
 }
 
--- a/src/consensus/RaftMembership.cpp
+++ b/src/consensus/RaftMembership.cpp
@@ -10,7 +10,7 @@
 {
 
 /// A learner can be promoted when it lacks at most this many committed entries.
-constexpr LogIndex kMaximumPromotionLag = 128;
+constexpr LogIndex kMaxPromotionLag = 128;
 
 boost::leaf::error_id refuse (std::string message)
 {
@@ -46,7 +46,7 @@
 {
     const MemberReplication& member = m_replications.at (id);
     const bool isCaughtUp = member.mode == ReplicationMode::kPipeline
-                            && member.matchIndex + kMaximumPromotionLag >= m_commitIndex;
+                            && member.matchIndex + kMaxPromotionLag >= m_commitIndex;
     const bool isAlive = m_now - member.lastReplyAt < m_options.electionTimeoutMinimum;
     if (isCaughtUp && isAlive && member.matchIndex > 0)
         return {};
--- a/src/controller/AdminRequests.cpp
+++ b/src/controller/AdminRequests.cpp
@@ -16,7 +16,7 @@
 constexpr std::string_view kPrefix = "/admin/v1/";
 constexpr std::string_view kExplainPrefix = "explain/";
 constexpr base::Duration kDefaultTimeout = base::seconds (10);
-constexpr std::int64_t kLongestTimeoutMilliseconds = 600'000;
+constexpr std::int64_t kMaxTimeoutMilliseconds = 600'000;
 
 base::Result<QJsonObject> parseObject (const std::string& body)
 {
@@ -66,7 +66,7 @@
     const auto [end, status] =
         std::from_chars (text.data(), text.data() + text.size(), milliseconds);
     const bool isWhole = status == std::errc() && end == text.data() + text.size();
-    if (! isWhole || milliseconds < 1 || milliseconds > kLongestTimeoutMilliseconds)
+    if (! isWhole || milliseconds < 1 || milliseconds > kMaxTimeoutMilliseconds)
     {
         return base::fail (ErrorKind::kInvalidRequest,
                            "'timeout_ms' must be a whole number from 1 to 600000");
--- a/src/controller/ClaimBatcher.cpp
+++ b/src/controller/ClaimBatcher.cpp
@@ -9,7 +9,7 @@
 std::optional<cell::ClaimReply> ClaimBatcher::add (ClaimSource source,
                                                    const cell::ClaimRequest& request)
 {
-    if (m_waitingClaims + request.claims.size() > kMaximumWaitingClaims)
+    if (m_waitingClaims + request.claims.size() > kMaxWaitingClaims)
     {
         cell::ClaimReply refusal{ request.sequence, {} };
         for (const cell::Claim& claim : request.claims)
@@ -31,14 +31,14 @@
 
 std::optional<cell::ClaimKeys> ClaimBatcher::takeClaims (std::uint64_t* batch)
 {
-    if (m_waiting.empty() || m_inFlight.size() >= kMaximumBatchesInFlight)
+    if (m_waiting.empty() || m_inFlight.size() >= kMaxBatchesInFlight)
         return std::nullopt;
     cell::ClaimKeys command;
     std::vector<Part> parts;
     std::size_t taken = 0;
     for (Waiting& waiting : m_waiting)
     {
-        const bool isFull = command.claims.size() + waiting.claims.size() > kMaximumClaimsPerBatch;
+        const bool isFull = command.claims.size() + waiting.claims.size() > kMaxClaimsPerBatch;
         if (isFull && taken > 0)
             break;
         ++taken;
--- a/src/controller/ClaimBatcher.h
+++ b/src/controller/ClaimBatcher.h
@@ -29,10 +29,10 @@
 {
 public:
     /// Maximum number of batches that are in the log and not yet committed.
-    static constexpr std::size_t kMaximumBatchesInFlight = 4;
-    static constexpr std::size_t kMaximumClaimsPerBatch = 2000;
+    static constexpr std::size_t kMaxBatchesInFlight = 4;
+    static constexpr std::size_t kMaxClaimsPerBatch = 2000;
     /// Maximum number of claims that wait for a batch; further ones are refused.
-    static constexpr std::size_t kMaximumWaitingClaims = 50'000;
+    static constexpr std::size_t kMaxWaitingClaims = 50'000;
 
     /// Queues the claims, or returns the reply that refuses them because too many are waiting.
     std::optional<cell::ClaimReply> add (ClaimSource source, const cell::ClaimRequest& request);
--- a/src/controller/ClaimBatcherTest.cpp
+++ b/src/controller/ClaimBatcherTest.cpp
@@ -50,7 +50,7 @@
 {
     ClaimBatcher batcher;
     std::uint64_t batch = 0;
-    for (std::size_t number = 0; number < ClaimBatcher::kMaximumBatchesInFlight; ++number)
+    for (std::size_t number = 0; number < ClaimBatcher::kMaxBatchesInFlight; ++number)
     {
         batcher.add (1, requestOf (number, 1));
         ASSERT_TRUE (batcher.takeClaims (&batch));
@@ -65,13 +65,13 @@
 TEST (ClaimBatcherTest, RefusesClaimsWhenTheQueueIsFull)
 {
     ClaimBatcher batcher;
-    batcher.add (1, requestOf (1, ClaimBatcher::kMaximumWaitingClaims));
+    batcher.add (1, requestOf (1, ClaimBatcher::kMaxWaitingClaims));
     const auto refusal = batcher.add (2, requestOf (2, 1));
     ASSERT_TRUE (refusal);
     EXPECT_EQ (refusal->sequence, 2U);
     EXPECT_EQ (refusal->answers.at (0).verdict, ClaimVerdict::kTableFull);
     std::uint64_t batch = 0;
-    EXPECT_EQ (batcher.takeClaims (&batch)->claims.size(), ClaimBatcher::kMaximumWaitingClaims);
+    EXPECT_EQ (batcher.takeClaims (&batch)->claims.size(), ClaimBatcher::kMaxWaitingClaims);
     EXPECT_FALSE (batcher.add (2, requestOf (3, 1)));
 }
 
--- a/src/controller/ControllerCore.cpp
+++ b/src/controller/ControllerCore.cpp
@@ -15,7 +15,7 @@
 /// Longest time that a planned stop waits for another member to take over the leadership.
 constexpr base::Duration kStopTimeout = base::seconds (3);
 /// A new leader moves the cell's time forward by at most this many milliseconds.
-constexpr base::UnixMilliseconds kLargestTimeJump = 10'000;
+constexpr base::UnixMilliseconds kMaxTimeJump = 10'000;
 
 std::optional<cell::Command> decodeCommand (const std::string& bytes)
 {
@@ -259,7 +259,7 @@
     // Claims expire by the cell's time: a step of the wall clock must not expire them early.
     if (m_state.time() != 0)
     {
-        m_leader->unixSince = std::min (m_leader->unixSince, m_state.time() + kLargestTimeJump);
+        m_leader->unixSince = std::min (m_leader->unixSince, m_state.time() + kMaxTimeJump);
     }
     m_leader->watch.addKnown (m_state.replicas().runners());
     for (const auto& [id, runner] : m_state.replicas().runners())
--- a/src/controller/ControllerEngines.cpp
+++ b/src/controller/ControllerEngines.cpp
@@ -12,7 +12,7 @@
 
 /// Time after its decision within which an order is sent, or else dropped. A new leader adds it to
 /// the time it waits before it sends orders.
-constexpr base::Duration kLongestOrderDelay = base::milliseconds (400);
+constexpr base::Duration kMaxOrderDelay = base::milliseconds (400);
 
 constexpr std::size_t kUnknownStoreLoads = 8;
 
@@ -25,7 +25,7 @@
 constexpr int kPartsOfTimeForPlacement = 10;
 /// Instances passed to placement in one portion, when many have changed or all are passed: the
 /// leader's event loop runs in between.
-constexpr std::size_t kMostInstancesAtOnce = 1000;
+constexpr std::size_t kMaxInstancesAtOnce = 1000;
 constexpr base::Duration kMissingInstancesInterval = base::milliseconds (20);
 /// Minimum interval between placements of models that requests wait for, in cells of any size.
 constexpr base::Duration kUrgentPlacementInterval = base::milliseconds (10);
@@ -57,7 +57,7 @@
 {
     const InstanceTable& instances = m_leader->instances;
     const std::uint64_t last =
-        instances.versionAfter (m_leader->placedInstances, kMostInstancesAtOnce);
+        instances.versionAfter (m_leader->placedInstances, kMaxInstancesAtOnce);
     instances.visitBetween (m_leader->placedInstances, last,
                             [this] (const std::string& id, const cell::RoutableInstance* row)
                             { m_leader->engines.refreshRow (id, row, m_now); });
@@ -76,7 +76,7 @@
         return;
     const auto& rows = m_leader->instances.rows();
     auto row = rows.lower_bound (*m_leader->firstUnplaced);
-    for (std::size_t count = 0; count < kMostInstancesAtOnce && row != rows.end(); ++count, ++row)
+    for (std::size_t count = 0; count < kMaxInstancesAtOnce && row != rows.end(); ++count, ++row)
         m_leader->engines.refreshRow (row->first, &row->second, m_now);
     m_leader->firstUnplaced.reset();
     if (row != rows.end())
@@ -122,7 +122,7 @@
     options.fence = m_status.term;
     options.fetchesAhead = m_options.fetchesAhead;
     options.ordersFrom = [this] (const std::string& instance)
-    { return m_orderNotes.orderedAt (instance) + m_options.orderPause + kLongestOrderDelay; };
+    { return m_orderNotes.orderedAt (instance) + m_options.orderPause + kMaxOrderDelay; };
     options.earlierStoreLoads = m_orderNotes.storeLoads();
     // Loads from before the first recorded order are unknown.
     options.earlierStoreLoads.insert (options.earlierStoreLoads.begin(), kUnknownStoreLoads,
@@ -202,7 +202,7 @@
                                              base::LogIndex /*index*/,
                                              const cell::ApplyResult& /*result*/)
 {
-    const bool maySend = holdsLease() && m_now - purpose.recordedAt < kLongestOrderDelay;
+    const bool maySend = holdsLease() && m_now - purpose.recordedAt < kMaxOrderDelay;
     for (const placement::SendEngineOrder& order : purpose.orders)
     {
         if (maySend)
--- a/src/controller/ControllerInstances.cpp
+++ b/src/controller/ControllerInstances.cpp
@@ -20,7 +20,7 @@
 /// Rate of heartbeats up to which the leader keeps the runners that send to it; above it, runners
 /// are sent to other controllers. A heartbeat takes about 0.1 ms of processor time, and runners
 /// whose controller had no leader for a while all turn to the leader: a third of 3,000 did.
-constexpr double kMostHeartbeatsPerSecond = 40;
+constexpr double kMaxHeartbeatsPerSecond = 40;
 constexpr base::Duration kHeartbeatRateWindow = base::seconds (2);
 /// Minimum interval between changes of the table, for each router that receives them.
 constexpr base::Duration kTableIntervalForRouter = std::chrono::microseconds (1000);
@@ -100,7 +100,7 @@
 std::string ControllerCore::Implementation::heartbeatAddressFor (const std::string& instance)
 {
     m_leader->heartbeats.add (1, kHeartbeatRateWindow, m_now);
-    if (m_leader->heartbeats.perSecond (kHeartbeatRateWindow, m_now) <= kMostHeartbeatsPerSecond)
+    if (m_leader->heartbeats.perSecond (kHeartbeatRateWindow, m_now) <= kMaxHeartbeatsPerSecond)
         return ownAdminAddress();
     // Rendezvous hashing: spreads instances over the controllers, each always to the same one.
     std::string address = ownAdminAddress();
--- a/src/controller/ControllerProcess.cpp
+++ b/src/controller/ControllerProcess.cpp
@@ -19,7 +19,7 @@
 constexpr base::milliseconds kTickInterval (10);
 /// Longest time between ticks. Timers fire late in an event loop with hundreds of ready sockets;
 /// after this time an input ticks too, so that heartbeats to the other members are sent in time.
-constexpr base::Duration kLongestTickPause = base::milliseconds (30);
+constexpr base::Duration kMaxTickPause = base::milliseconds (30);
 constexpr base::Duration kLeaderlessTimeBeforeJoinRequest = base::seconds (2);
 constexpr base::Duration kEngineCallTimeout = base::milliseconds (300);
 constexpr double kMicrosecondsInSecond = 1e6;
@@ -224,7 +224,7 @@
     if (m_isFinished)
         return;
     m_core->setTime (m_clock.now(), m_clock.unixNow());
-    if (m_clock.now() - m_tickedAt > kLongestTickPause)
+    if (m_clock.now() - m_tickedAt > kMaxTickPause)
         tick();
     input (*m_core);
     carryOutEffects();
--- a/src/controller/ControllerSettings.cpp
+++ b/src/controller/ControllerSettings.cpp
@@ -11,9 +11,9 @@
 using base::milliseconds;
 using base::seconds;
 
-constexpr std::int64_t kLargestId = 1'000'000'000'000;
-constexpr std::int64_t kLargestPort = 65535;
-constexpr std::int64_t kMostEntriesBetweenSnapshots = 10'000'000;
+constexpr std::int64_t kMaxId = 1'000'000'000'000;
+constexpr std::int64_t kMaxPort = 65535;
+constexpr std::int64_t kMaxEntriesBetweenSnapshots = 10'000'000;
 constexpr base::Duration kMinDuration = milliseconds (1);
 constexpr base::Duration kMaxDuration = std::chrono::hours (24);
 constexpr std::size_t kMemberParts = 4;
@@ -34,7 +34,7 @@
 void declareIdentity (config::SettingsSchema& schema, ControllerSettings& settings)
 {
     schema.addInteger (
-        "id", &settings.id, 0, kLargestId,
+        "id", &settings.id, 0, kMaxId,
         "identity of this member's disk, never reused after the disk is lost; 0, only "
         "with seeds: drawn at the first start");
     schema.addString ("cell", &settings.cell, "name of the cell").required();
@@ -60,7 +60,7 @@
         "seeds", &settings.seeds,
         "control addresses of the controllers that found the cell (with bootstrap) "
         "and are asked to join it; when set, members are managed by the cell");
-    schema.addInteger ("seed_peer_port", &settings.seedPeerPort, 0, kLargestPort,
+    schema.addInteger ("seed_peer_port", &settings.seedPeerPort, 0, kMaxPort,
                        "port of peer_address at every seed");
 }
 
@@ -90,8 +90,7 @@
     schema.addDuration ("lease_margin_ms", &raft.leaseMargin, kMinDuration, seconds (30),
                         "the leader's lease ends this much before election_timeout_min_ms");
     schema.addInteger ("entries_between_snapshots", &settings.entriesBetweenSnapshots, 1,
-                       kMostEntriesBetweenSnapshots,
-                       "log entries kept before the log is compacted");
+                       kMaxEntriesBetweenSnapshots, "log entries kept before the log is compacted");
 }
 
 void declareCellTiming (config::SettingsSchema& schema, ControllerSettings& settings)
--- a/src/controller/DemandTable.cpp
+++ b/src/controller/DemandTable.cpp
@@ -43,7 +43,7 @@
             if (found->second.empty())
                 m_demands.erase (found);
         }
-        else if (m_demands.size() < kMaximumTargets || m_demands.count (demand.target) != 0)
+        else if (m_demands.size() < kMaxTargets || m_demands.count (demand.target) != 0)
         {
             SourceDemand& sourceDemand = m_demands[demand.target][source];
             // Running requests keep the urgency that they had while waiting.
--- a/src/controller/DemandTable.h
+++ b/src/controller/DemandTable.h
@@ -21,7 +21,7 @@
 {
 public:
     /// Demand for further targets is ignored.
-    static constexpr std::size_t kMaximumTargets = 20'000;
+    static constexpr std::size_t kMaxTargets = 20'000;
 
     /// Applies a report. A later report of the same source replaces the demand for the targets that
     /// it names.
--- a/src/controller/DemandTableTest.cpp
+++ b/src/controller/DemandTableTest.cpp
@@ -66,12 +66,12 @@
 
 TEST_F (DemandTableTest, NumberOfTargetsIsBounded)
 {
-    for (std::size_t number = 0; number < DemandTable::kMaximumTargets; ++number)
+    for (std::size_t number = 0; number < DemandTable::kMaxTargets; ++number)
     {
         report (1, demandOf (std::to_string (number), 1, 0));
     }
     report (1, demandOf ("one more", 1, 0));
-    EXPECT_EQ (m_table.totals().size(), DemandTable::kMaximumTargets);
+    EXPECT_EQ (m_table.totals().size(), DemandTable::kMaxTargets);
     report (2, demandOf ("1", 4, 0));
     EXPECT_EQ (m_table.total ("1").waiting, 5U);
 }
--- a/src/controller/HeartbeatBatch.h
+++ b/src/controller/HeartbeatBatch.h
@@ -38,7 +38,7 @@
     [[nodiscard]] std::vector<cell::InstanceSighting> takeDue (base::TimePoint now);
 
 private:
-    static constexpr double kMostRepeatsAtOnce = 50;
+    static constexpr double kMaxRepeatsAtOnce = 50;
     static constexpr double kRepeatsPerSecond = 100;
 
     struct SentModels
@@ -61,7 +61,7 @@
         of all runners of a large cell within one heartbeat interval, it had no time left to send
         its own heartbeats.
     */
-    base::TokenBucket m_repeats{ kMostRepeatsAtOnce, kRepeatsPerSecond };
+    base::TokenBucket m_repeats{ kMaxRepeatsAtOnce, kRepeatsPerSecond };
     bool m_isUrgent = false;
     base::TimePoint m_sentAt{};
 };
--- a/src/controller/InstanceRateLedger.cpp
+++ b/src/controller/InstanceRateLedger.cpp
@@ -40,7 +40,7 @@
     constexpr base::Duration kGrantWindow = kWindow + kPermitLifetime + kDeliveryDelay;
     const double part = m_share * base::toSeconds (kWindow) / base::toSeconds (kGrantWindow);
     // At the minimum rate, a window holds no more permits than the burst.
-    return std::max (stated * part, cell::kLeastRatePerSecond);
+    return std::max (stated * part, cell::kMinRatePerSecond);
 }
 
 void InstanceRateLedger::setShare (double share, base::TimePoint now)
--- a/src/controller/LargeFleetTest.cpp
+++ b/src/controller/LargeFleetTest.cpp
@@ -25,11 +25,11 @@
 constexpr std::size_t kRouters = 4;
 constexpr std::size_t kEnginesInMessage = 1000;
 /// Bound of the time from a request that waits for an adapter to the order for it.
-constexpr base::Duration kLongestToOrder = milliseconds (50);
+constexpr base::Duration kMaxOrderLatency = milliseconds (50);
 /// Bound of the time until all routers have a change of an engine.
-constexpr base::Duration kLongestToRouters = milliseconds (300);
+constexpr base::Duration kMaxRouterUpdateLatency = milliseconds (300);
 /// Bound of the time until a new leader sends orders to engines.
-constexpr base::Duration kLongestToOrderOfNewLeader = milliseconds (500);
+constexpr base::Duration kMaxOrderLatencyOfNewLeader = milliseconds (500);
 
 config::CatalogueOutcome parseCatalogueOfAdapters (std::string_view text)
 {
@@ -80,7 +80,7 @@
 
 /// Bound of the engines added in one step of the cell, which is a few milliseconds. The leader's
 /// event loop is free between steps.
-constexpr std::size_t kMostEnginesInStep = 2000;
+constexpr std::size_t kMaxEnginesInStep = 2000;
 
 /// The parameter is the number of engines. All hold the models "common" and "base"; the last one
 /// also holds "rare".
@@ -229,14 +229,14 @@
     for (const char* adapter : { "a2", "a3", "a4" })
     {
         m_cell.run (milliseconds (130));
-        EXPECT_LE (timeToOrder (adapter), kLongestToOrder) << adapter;
+        EXPECT_LE (timeToOrder (adapter), kMaxOrderLatency) << adapter;
     }
 }
 
 TEST_P (LargeFleetTest, ANewLeaderPollsTheNeededEngineFirst)
 {
     setReport (lastEngine(), { { "rare", 1, {} }, { "common", 1, {} }, { "base", 1, {} } });
-    EXPECT_LE (timeToOrder ("a1"), kLongestToOrderOfNewLeader);
+    EXPECT_LE (timeToOrder ("a1"), kMaxOrderLatencyOfNewLeader);
 }
 
 TEST_P (LargeFleetTest, AllRoutersReceiveALoadedAdapterSoon)
@@ -248,7 +248,7 @@
         const base::TimePoint before = m_cell.now();
         EXPECT_TRUE (m_cell.runUntil ([&] { return allRoutersHaveAdapter (lastEngine(), adapter); },
                                       seconds (30)));
-        EXPECT_LE (m_cell.now() - before, kLongestToRouters) << adapter;
+        EXPECT_LE (m_cell.now() - before, kMaxRouterUpdateLatency) << adapter;
     }
 }
 
@@ -307,7 +307,7 @@
         return growth.known == GetParam();
     };
     EXPECT_TRUE (m_cell.runUntil (hasAll, seconds (5)));
-    EXPECT_LE (growth.largest, kMostEnginesInStep);
+    EXPECT_LE (growth.largest, kMaxEnginesInStep);
 }
 
 INSTANTIATE_TEST_SUITE_P (Engines, LargeFleetTest, ::testing::Values (1000, 20'000));
@@ -327,7 +327,7 @@
     m_cell.onStep = [&] { growth.update (enginesAt (m_cell.leader())); };
     configure();
     EXPECT_TRUE (m_cell.runUntil ([&] { return growth.known == GetParam(); }, seconds (5)));
-    EXPECT_LE (growth.largest, kMostEnginesInStep);
+    EXPECT_LE (growth.largest, kMaxEnginesInStep);
 }
 
 INSTANTIATE_TEST_SUITE_P (Engines, LargeFleetBeforeConfigurationTest,
--- a/src/controller/PeerListener.cpp
+++ b/src/controller/PeerListener.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr std::size_t kMaximumConnections = 8192;
+constexpr std::size_t kMaxConnections = 8192;
 constexpr int kListenBacklog = 1024;
 /// Time without messages after which a connection is closed. Lease renewals of routers and
 /// heartbeats of leaders arrive far more often.
@@ -59,7 +59,7 @@
     {
         accepted->setParent (nullptr);
         std::unique_ptr<QTcpSocket> socket (accepted);
-        if (m_connections.size() >= kMaximumConnections)
+        if (m_connections.size() >= kMaxConnections)
             continue;
         const RouterConnection number = ++m_lastNumber;
         wire::FrameConnectionOptions options;
--- a/src/controller/PeerTransport.cpp
+++ b/src/controller/PeerTransport.cpp
@@ -12,14 +12,14 @@
 {
 
 constexpr base::Duration kFirstBackoff = base::milliseconds (20);
-constexpr base::Duration kLongestBackoff = base::milliseconds (500);
-constexpr std::size_t kMaximumWaitingBytes = 1024UL * 1024;
+constexpr base::Duration kMaxBackoff = base::milliseconds (500);
+constexpr std::size_t kMaxWaitingBytes = 1024UL * 1024;
 constexpr double kBackoffSpread = 0.5;
 /// Time without acknowledgement after which a connection is closed. Members elect another leader
 /// after 0.6 s without heartbeats; on a connection that loses all data the leader would be deposed
 /// again and again until it opens another one. Single lost packets are retransmitted after 0.2 s
 /// and 0.6 s.
-constexpr base::Duration kLongestSilence = base::milliseconds (1000);
+constexpr base::Duration kMaxSilence = base::milliseconds (1000);
 
 }  // namespace
 
@@ -39,7 +39,7 @@
         return;
     if (! peer.connection)
         connect (address, peer);
-    if (peer.unsentBytes + payload.size() > kMaximumWaitingBytes)
+    if (peer.unsentBytes + payload.size() > kMaxWaitingBytes)
         return;
     peer.unsentBytes += payload.size();
     peer.unsent.push_back (std::move (payload));
@@ -54,7 +54,7 @@
     handlers.onConnected = [this, address] { onConnected (address); };
     handlers.onClosed = [this, address] { onClosed (address); };
     wire::FrameConnectionOptions options;
-    options.unacknowledgedTimeout = kLongestSilence;
+    options.unacknowledgedTimeout = kMaxSilence;
     peer.connection =
         wire::FrameConnection::connectTo (parsed, options, std::move (handlers), nullptr);
 }
@@ -85,7 +85,7 @@
 
 base::Duration PeerTransport::nextBackoff (Peer& peer)
 {
-    peer.backoff = std::clamp (2 * peer.backoff, kFirstBackoff, kLongestBackoff);
+    peer.backoff = std::clamp (2 * peer.backoff, kFirstBackoff, kMaxBackoff);
     const double factor = 1.0 - kBackoffSpread * m_random.uniformReal();
     return std::chrono::duration_cast<base::Duration> (peer.backoff * factor);
 }
--- a/src/controller/QuarantineBoundTest.cpp
+++ b/src/controller/QuarantineBoundTest.cpp
@@ -40,7 +40,7 @@
 /// Time within which all routers must have the crashes observed at one router, as platforms
 /// require.
 constexpr base::Duration kPropagationLimit = seconds (3);
-constexpr std::uint32_t kMostAttempts = 2;
+constexpr std::uint32_t kMaxAttempts = 2;
 
 enum class Fault : std::uint8_t
 {
@@ -279,7 +279,7 @@
                                              : request.instance;
             suspects.onBrokenOff (request.identity, instance, sentAt, m_cell.now());
             suspects.onFate (instance, counts ? RunnerFate::kGone : RunnerFate::kAlive);
-            request.isEnded = request.attempts >= kMostAttempts;
+            request.isEnded = request.attempts >= kMaxAttempts;
         }
     }
     void restartRunners()
--- a/src/controller/QuotaCellTestSupport.h
+++ b/src/controller/QuotaCellTestSupport.h
@@ -166,7 +166,7 @@
     static constexpr base::Duration kElection = base::milliseconds (500);
     static constexpr base::Duration kGrantTimeout = base::milliseconds (60);
     /// A request is refused if no controller has answered within this time.
-    static constexpr base::Duration kLongestWait = base::seconds (1);
+    static constexpr base::Duration kMaxWait = base::seconds (1);
     /// A router that cannot reach any controller stops serving after this time (isolated_grace_ms).
     static constexpr base::Duration kIsolatedRouterLifetime = base::seconds (10);
 
@@ -335,7 +335,7 @@
             router.pool.giveUp (request.claim);
             return end (request, true);
         }
-        if (waited < kLongestWait)
+        if (waited < kMaxWait)
             return false;
         router.pool.giveUp (request.claim);
         return end (request, false);
--- a/src/controller/QuotaRelay.cpp
+++ b/src/controller/QuotaRelay.cpp
@@ -18,7 +18,7 @@
 /// longer on average, in addition to about 5 ms of transit time.
 constexpr base::Duration kRequestInterval = base::milliseconds (5);
 /// A router repeats an unanswered request after 150 ms, so older ones are dropped.
-constexpr base::Duration kLongestWait = base::milliseconds (200);
+constexpr base::Duration kMaxWait = base::milliseconds (200);
 
 /// Adds units with the given lifetime to an allowance; all of its units get the shortest lifetime.
 void add (cell::QuotaAllowance& allowance, std::uint64_t units, base::Duration lifetime)
@@ -147,7 +147,7 @@
 
 void QuotaRelay::dropExpired (base::TimePoint now)
 {
-    while (! m_pending.empty() && now - m_pending.front().since > kLongestWait)
+    while (! m_pending.empty() && now - m_pending.front().since > kMaxWait)
     {
         giveUp (m_pending.front());
         m_pending.pop_front();
--- a/src/controller/RateRelay.cpp
+++ b/src/controller/RateRelay.cpp
@@ -8,7 +8,7 @@
 {
 
 /// A router stops waiting for a permit before this time.
-constexpr base::Duration kLongestWait = base::milliseconds (200);
+constexpr base::Duration kMaxWait = base::milliseconds (200);
 
 }  // namespace
 
@@ -52,7 +52,7 @@
                                                   const cell::InstancePermitRequest& request,
                                                   base::TimePoint now)
 {
-    while (! m_pending.empty() && now - m_pending.begin()->second.at > kLongestWait)
+    while (! m_pending.empty() && now - m_pending.begin()->second.at > kMaxWait)
         m_pending.erase (m_pending.begin());
     cell::InstancePermitRequest forwarded = request;
     forwarded.claims.sequence = m_nextSequence++;
--- a/src/controller/RunnerSpeeds.cpp
+++ b/src/controller/RunnerSpeeds.cpp
@@ -14,19 +14,19 @@
 /// Temporary slowdowns last some tenths of a second: reports that are closer together are likely to
 /// describe the same one.
 constexpr base::Duration kMinReportSpacing = base::milliseconds (700);
-constexpr std::size_t kMostStated = 16;
+constexpr std::size_t kMaxReportedWorkTimes = 16;
 /// Quantile of the reported work times that is used as nominal: temporary slowdowns only lengthen
 /// work, and take a small share of the time.
 constexpr double kNominalQuantile = 0.25;
 /// With fewer samples the shortest one may be long by chance.
-constexpr std::size_t kLeastSamples = 4;
-constexpr std::size_t kMostSamples = 32;
+constexpr std::size_t kMinSamples = 4;
+constexpr std::size_t kMaxSamples = 32;
 /// Quantile of the pauses that is used as undelayed: prompts processed concurrently with a stream
 /// lengthen many of its pauses, up to several times; only few pauses are shortened.
 constexpr double kUndelayedQuantile = 0.25;
 /// A smaller relative difference does not affect routing.
 constexpr double kNegligibleShare = 0.05;
-constexpr base::Duration kShortestInterval = base::milliseconds (500);
+constexpr base::Duration kMinInterval = base::milliseconds (500);
 /// An estimation visits every runner and each of its models.
 constexpr base::Duration kIntervalPerRunner = std::chrono::microseconds (500);
 
@@ -62,7 +62,7 @@
     }
     state.reportedAt = now;
     state.reported.push_back (percent);
-    if (state.reported.size() > kMostStated)
+    if (state.reported.size() > kMaxReportedWorkTimes)
         state.reported.pop_front();
 }
 
@@ -73,7 +73,7 @@
     std::deque<Sample>& samples = stateOf (runner).samples[pauses.model];
     const double mean = static_cast<double> (pauses.microseconds) / pauses.count;
     samples.push_back ({ std::log (mean), static_cast<double> (inFlight) });
-    if (samples.size() > kMostSamples)
+    if (samples.size() > kMaxSamples)
         samples.pop_front();
 }
 
@@ -110,7 +110,7 @@
     {
         for (const auto& [model, samples] : runners[runner]->samples)
         {
-            if (samples.size() < kLeastSamples)
+            if (samples.size() < kMinSamples)
                 continue;
             Observation observation = observationOf (samples);
             observation.runner = runner;
@@ -179,7 +179,7 @@
         percent *= cell::kUsualPercent / std::max<double> (reported[nominal], 1);
     }
     return static_cast<std::uint32_t> (
-        std::lround (std::clamp<double> (percent, cell::kLeastPercent, cell::kMostPercent)));
+        std::lround (std::clamp<double> (percent, cell::kMinPercent, cell::kMaxPercent)));
 }
 
 std::uint32_t RunnerSpeeds::speedOf (const std::string& instance) const
@@ -191,7 +191,7 @@
 std::vector<RunnerSpeeds::Speed> RunnerSpeeds::takeChanged (base::TimePoint now)
 {
     const base::Duration interval = std::max<base::Duration> (
-        kShortestInterval, static_cast<std::int64_t> (m_runners.size()) * kIntervalPerRunner);
+        kMinInterval, static_cast<std::int64_t> (m_runners.size()) * kIntervalPerRunner);
     if (! m_estimating.takeDue (now, interval))
         return {};
     std::map<std::string, std::vector<RunnerState*>> services;
--- a/src/dispatch/RetryBudget.cpp
+++ b/src/dispatch/RetryBudget.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr double kLargestBalance = 100;
+constexpr double kMaxBalance = 100;
 /// The number of names that hash below a threshold varies from one set of names to another. The
 /// threshold is lowered by this many standard deviations, so that the sum stays within the reserve.
 constexpr double kReservedDeviations = 3;
@@ -18,7 +18,7 @@
 }  // namespace
 
 RetryBudget::RetryBudget (double share, double reserve)
-    : m_share (share), m_limit (std::max (reserve, kLargestBalance)), m_balance (reserve)
+    : m_share (share), m_limit (std::max (reserve, kMaxBalance)), m_balance (reserve)
 {
 }
 
--- a/src/engine/EngineApiTest.cpp
+++ b/src/engine/EngineApiTest.cpp
@@ -13,8 +13,8 @@
 std::uint64_t anyInteger()
 {
     return *rc::gen::oneOf (rc::gen::inRange<std::uint64_t> (0, 1000),
-                            rc::gen::inRange<std::uint64_t> (0, kMaximumJsonInteger + 1),
-                            rc::gen::just (kMaximumJsonInteger));
+                            rc::gen::inRange<std::uint64_t> (0, kMaxJsonInteger + 1),
+                            rc::gen::just (kMaxJsonInteger));
 }
 
 std::uint32_t anyCount() { return *rc::gen::arbitrary<std::uint32_t>(); }
--- a/src/engine/JsonFields.h
+++ b/src/engine/JsonFields.h
@@ -21,7 +21,7 @@
 {
 
 /// Largest integer that every JSON implementation represents exactly.
-constexpr std::uint64_t kMaximumJsonInteger = (std::uint64_t{ 1 } << 53) - 1;
+constexpr std::uint64_t kMaxJsonInteger = (std::uint64_t{ 1 } << 53) - 1;
 
 /// JSON name of one value of an enumeration.
 template <class Value>
@@ -49,7 +49,7 @@
         std::uint64_t value = 0;
         constexpr auto kTargetMaximum =
             static_cast<std::uint64_t> (std::numeric_limits<Integer>::max());
-        if (readUnsigned (key, std::min (kTargetMaximum, kMaximumJsonInteger), &value))
+        if (readUnsigned (key, std::min (kTargetMaximum, kMaxJsonInteger), &value))
         {
             *target = static_cast<Integer> (value);
         }
@@ -123,7 +123,7 @@
 [[nodiscard]] std::string writeJson (const QJsonObject& object);
 /// Converts UTF-8 text to a JSON string.
 [[nodiscard]] QJsonValue jsonText (std::string_view text);
-/// Converts an integer, at most kMaximumJsonInteger, to a JSON number.
+/// Converts an integer, at most kMaxJsonInteger, to a JSON number.
 [[nodiscard]] QJsonValue jsonInteger (std::uint64_t value);
 
 }  // namespace fernlift::engine
--- a/src/engine/PromptBlocks.cpp
+++ b/src/engine/PromptBlocks.cpp
@@ -26,7 +26,7 @@
     {
         std::string input = std::to_string (previous) + ":";
         input += prompt.substr (index * kPromptBlockBytes, kPromptBlockBytes);
-        previous = base::stableHash (input) & kMaximumJsonInteger;
+        previous = base::stableHash (input) & kMaxJsonInteger;
         hashes.push_back (previous);
     }
     return hashes;
--- a/src/http/ConnectionSlots.cpp
+++ b/src/http/ConnectionSlots.cpp
@@ -6,13 +6,13 @@
 {
 
 /// Connections idle for longer may be closed by the back end at any moment and are not reused.
-constexpr base::Duration kMaximumIdle = base::seconds (15);
+constexpr base::Duration kMaxIdle = base::seconds (15);
 
 }  // namespace
 
 ConnectionSlots::Slot ConnectionSlots::acquire (base::TimePoint now, bool needsFreshConnection)
 {
-    std::erase_if (m_open, [&] (const Slot& slot) { return now - slot.lastUsed > kMaximumIdle; });
+    std::erase_if (m_open, [&] (const Slot& slot) { return now - slot.lastUsed > kMaxIdle; });
     std::vector<Slot>& source = needsFreshConnection || m_open.empty() ? m_closed : m_open;
     if (source.empty())
         return Slot{ m_next++, false, now };
--- a/src/http/RequestReader.cpp
+++ b/src/http/RequestReader.cpp
@@ -14,8 +14,8 @@
 
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr std::string_view kHeaderEnd = "\r\n\r\n";
-constexpr std::size_t kMaximumHeaderFields = 128;
-constexpr std::size_t kMaximumChunkLine = 256;
+constexpr std::size_t kMaxHeaderFields = 128;
+constexpr std::size_t kMaxChunkLine = 256;
 constexpr int kHexadecimal = 16;
 
 bool isTokenCharacter (char character)
@@ -183,10 +183,10 @@
         fail (ErrorKind::kInvalidRequest, "a header field is malformed");
         return false;
     }
-    if (m_headers.fields().size() >= kMaximumHeaderFields)
+    if (m_headers.fields().size() >= kMaxHeaderFields)
     {
         fail (ErrorKind::kHeaderTooLarge,
-              "more than " + std::to_string (kMaximumHeaderFields) + " header fields");
+              "more than " + std::to_string (kMaxHeaderFields) + " header fields");
         return false;
     }
     m_headers.add (std::string (name), std::string (trim (value)));
@@ -283,7 +283,7 @@
     const std::size_t feedPosition = bytes.find ('\n');
     const std::size_t taken =
         feedPosition == std::string_view::npos ? bytes.size() : feedPosition + 1;
-    if (m_line.size() + taken > kMaximumChunkLine)
+    if (m_line.size() + taken > kMaxChunkLine)
     {
         fail (ErrorKind::kInvalidRequest, "a line of the chunked body is too long");
         return taken;
--- a/src/http/StreamSocket.cpp
+++ b/src/http/StreamSocket.cpp
@@ -22,13 +22,13 @@
 constexpr std::size_t kReadBytes = 64UL * 1024;
 /// Callers wait 5 s for the most urgent answers, and a lost packet is sent again within 0.2 s, 0.6
 /// s and 1.4 s.
-constexpr base::Duration kLongestSilence = base::seconds (4);
+constexpr base::Duration kMaxSilence = base::seconds (4);
 
 void setOptions (int descriptor)
 {
     constexpr int kOn = 1;
     ::setsockopt (descriptor, IPPROTO_TCP, TCP_NODELAY, &kOn, sizeof kOn);
-    base::endWhenSilent (descriptor, kLongestSilence);
+    base::endWhenSilent (descriptor, kMaxSilence);
 }
 
 /// Drops a notifier that may be in the middle of emitting its signal.
--- a/src/lab/DeadlyRequestTest.cpp
+++ b/src/lab/DeadlyRequestTest.cpp
@@ -28,9 +28,9 @@
 {
 
 /// Runners that one such request may end when its tries come one after the other.
-constexpr std::uint32_t kMostCrashes = 3;
+constexpr std::uint32_t kMaxCrashes = 3;
 /// The same when copies of it reach several routers at once.
-constexpr std::uint32_t kMostCrashesOfCopies = 5;
+constexpr std::uint32_t kMaxCrashesOfCopies = 5;
 constexpr const char* kDeadly = "deadly chat";
 
 /// Sends the request that many times, each after the end of the last, at changing routers. Returns
@@ -51,7 +51,7 @@
     ForwardingCell cell ({ .controllers = 3, .routers = 2, .runners = 8 });
     ASSERT_TRUE (cell.awaitReady());
     const int status = repeat (cell, 12);
-    EXPECT_LE (cell.crashes(), kMostCrashes);
+    EXPECT_LE (cell.crashes(), kMaxCrashes);
     EXPECT_EQ (status, 502) << "it did run: no status may promise that it has not";
     EXPECT_EQ (cell.call (0, "app.test", "another request"), 200);
 }
@@ -68,7 +68,7 @@
     cell.replaceRouter (1);
     ASSERT_TRUE (cell.awaitReady());
     repeat (cell, 8);
-    EXPECT_LE (cell.crashes(), kMostCrashes);
+    EXPECT_LE (cell.crashes(), kMaxCrashes);
 }
 
 TEST (DeadlyRequestTest, CopiesThatComeAtOnceEndFewRunners)
@@ -89,7 +89,7 @@
                 return std::ranges::all_of (statuses, [] (const auto& each) { return *each >= 0; });
             });
     }
-    EXPECT_LE (cell.crashes(), kMostCrashesOfCopies);
+    EXPECT_LE (cell.crashes(), kMaxCrashesOfCopies);
 }
 
 TEST (DeadlyRequestTest, RequestsBesideCrashesAndResetConnectionsAreServed)
--- a/src/lab/FaultPipe.cpp
+++ b/src/lab/FaultPipe.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::size_t kMaximumHeldBytes = 256UL * 1024;
+constexpr std::size_t kMaxHeldBytes = 256UL * 1024;
 constexpr std::uint64_t kMicrosecondsPerSecond = 1'000'000;
 constexpr std::uint64_t kUnlimited = std::numeric_limits<std::uint64_t>::max();
 
@@ -91,7 +91,7 @@
     return m_faults.isCut || (m_faults.cutAfterBytes && m_passedBytes >= *m_faults.cutAfterBytes);
 }
 
-bool FaultPipe::hasRoom() const { return m_heldBytes < kMaximumHeldBytes; }
+bool FaultPipe::hasRoom() const { return m_heldBytes < kMaxHeldBytes; }
 
 std::uint64_t FaultPipe::allowance (base::TimePoint now) const
 {
--- a/src/lab/FaultProxy.cpp
+++ b/src/lab/FaultProxy.cpp
@@ -14,7 +14,7 @@
 {
 
 constexpr qint64 kReadBufferBytes = 64LL * 1024;
-constexpr qint64 kMaximumUnwrittenBytes = 256LL * 1024;
+constexpr qint64 kMaxUnwrittenBytes = 256LL * 1024;
 
 /// Closes with a reset instead of an orderly end.
 void resetSocket (QTcpSocket& socket)
@@ -255,8 +255,8 @@
             pipe.push (
                 now, std::string_view (bytes.constData(), static_cast<std::size_t> (bytes.size())));
         }
-        const bool canWrite = to.state() == QAbstractSocket::ConnectedState
-                              && to.bytesToWrite() < kMaximumUnwrittenBytes;
+        const bool canWrite =
+            to.state() == QAbstractSocket::ConnectedState && to.bytesToWrite() < kMaxUnwrittenBytes;
         if (! canWrite)
         {
             return false;
--- a/src/lab/FleetProgram.cpp
+++ b/src/lab/FleetProgram.cpp
@@ -35,9 +35,9 @@
     "  replace NODE   End a process and start it without its files; a controller gets a new id.\n"
     "  measure NAME   Measure real controllers: failover, claims or apply.\n"
     "  demo           Show the main job on an embedded fleet.\n";
-constexpr std::int64_t kMostTrials = 10'000;
-constexpr std::int64_t kMostRouters = 1'000;
-constexpr std::int64_t kMostSeconds = 3'600;
+constexpr std::int64_t kMaxTrials = 10'000;
+constexpr std::int64_t kMaxRouters = 1'000;
+constexpr std::int64_t kMaxSeconds = 3'600;
 constexpr base::Duration kDetachTimeout = base::seconds (60);
 constexpr base::Duration kStopTimeout = base::seconds (90);
 
@@ -68,11 +68,11 @@
             .addStringList ("controller_flags", &measure.controllerFlags,
                             "measure: flag passed on to the controllers, for example "
                             "--heartbeat-interval-ms=20.")
-            .addInteger ("trials", &measure.trials, 1, kMostTrials,
+            .addInteger ("trials", &measure.trials, 1, kMaxTrials,
                          "measure: failures of each kind, or applies.")
-            .addInteger ("measured_routers", &measure.routers, 1, kMostRouters,
+            .addInteger ("measured_routers", &measure.routers, 1, kMaxRouters,
                          "measure apply: routers that hold leases.")
-            .addInteger ("seconds", &measure.seconds, 1, kMostSeconds,
+            .addInteger ("seconds", &measure.seconds, 1, kMaxSeconds,
                          "measure claims: time of each load.");
         config::addLoggingSettings (schema, &logging);
     }
--- a/src/lab/LatencyReport.cpp
+++ b/src/lab/LatencyReport.cpp
@@ -12,8 +12,8 @@
 {
 
 constexpr unsigned kBins = 1200;
-constexpr double kShortestMicroseconds = 1;
-constexpr double kLongestMicroseconds = 3.6e9;
+constexpr double kMinMicroseconds = 1;
+constexpr double kMaxMicroseconds = 3.6e9;
 constexpr int kFirstError = 400;
 constexpr double kMicrosecondsPerMillisecond = 1000;
 
@@ -45,7 +45,7 @@
 {
     decltype (boost::histogram::make_histogram (LogarithmicAxis (1, 1, 2))) histogram =
         boost::histogram::make_histogram (
-            LogarithmicAxis (kBins, kShortestMicroseconds, kLongestMicroseconds));
+            LogarithmicAxis (kBins, kMinMicroseconds, kMaxMicroseconds));
 };
 
 LatencyHistogram::LatencyHistogram() : m_bins (std::make_unique<Bins>()) {}
@@ -56,8 +56,8 @@
 void LatencyHistogram::add (base::Duration duration)
 {
     // The upper bound of the axis is exclusive.
-    m_bins->histogram (std::clamp (static_cast<double> (duration.count()), kShortestMicroseconds,
-                                   kLongestMicroseconds - 1));
+    m_bins->histogram (std::clamp (static_cast<double> (duration.count()), kMinMicroseconds,
+                                   kMaxMicroseconds - 1));
     ++m_count;
 }
 
@@ -77,7 +77,7 @@
             return base::Duration (static_cast<std::int64_t> (std::ceil (bin.bin().upper())));
         }
     }
-    return base::Duration (static_cast<std::int64_t> (kLongestMicroseconds));
+    return base::Duration (static_cast<std::int64_t> (kMaxMicroseconds));
 }
 
 std::map<std::string, ClassReport> reportByClass (const std::vector<CallRecord>& history)
--- a/src/lab/LoadProgram.cpp
+++ b/src/lab/LoadProgram.cpp
@@ -26,8 +26,8 @@
     "  run            Make the calls of a trace and write their history (--history).\n"
     "  report FILE... Print latencies and ends by request class.\n"
     "  check FILE...  Check histories against the ledgers of back ends (--ledger).\n";
-constexpr std::int64_t kMostTokens = 1'000'000;
-constexpr double kHighestRate = 1e6;
+constexpr std::int64_t kMaxTokens = 1'000'000;
+constexpr double kMaxRate = 1e6;
 constexpr base::Duration kLongest = std::chrono::hours (24);
 
 struct LoadSettings
@@ -57,12 +57,12 @@
                             "run: NAME[,class=C][,weight=W][,kind=chat|application][,once].")
             .addChoice ("trace", &trace, { "constant", "daily", "storm", "month-end" },
                         "run: shape of the rate over time.")
-            .addReal ("rate", &rate, 0.001, kHighestRate, "run: highest calls per second.")
+            .addReal ("rate", &rate, 0.001, kMaxRate, "run: highest calls per second.")
             .addDuration ("length_ms", &length, base::milliseconds (1), kLongest,
                           "run: time of load.")
             .addReal ("streaming_share", &streamingShare, 0, 1, "run: share of streamed answers.")
-            .addInteger ("min_tokens", &minimumTokens, 1, kMostTokens, "run: shortest answer.")
-            .addInteger ("max_tokens", &maximumTokens, 1, kMostTokens, "run: longest answer.")
+            .addInteger ("min_tokens", &minimumTokens, 1, kMaxTokens, "run: shortest answer.")
+            .addInteger ("max_tokens", &maximumTokens, 1, kMaxTokens, "run: longest answer.")
             .addInteger ("seed", &seed, 0, INT64_MAX, "run: seed of the trace.")
             .addString ("history", &history, "run: file for the history of calls; empty: none.")
             .addString ("id_prefix", &idPrefix, "run: begin of request ids; new for each run.")
--- a/src/lab/RunnerRateBoundTest.cpp
+++ b/src/lab/RunnerRateBoundTest.cpp
@@ -69,7 +69,7 @@
 
 TEST (RunnerRateBoundTest, TheRoomIsUsedWhileThereIsDemand)
 {
-    constexpr double kLeastUse = 0.8;
+    constexpr double kMinUse = 0.8;
     for (const double rate : { 0.2, 1.0, 5.0 })
     {
         RateCellOptions options;
@@ -77,7 +77,7 @@
         options.run = seconds (62);
         RateCell cell (1, options);
         cell.run();
-        EXPECT_GE (cell.meanRate(), kLeastUse * rate) << rate;
+        EXPECT_GE (cell.meanRate(), kMinUse * rate) << rate;
     }
 }
 
--- a/src/placement/EngineAdapters.cpp
+++ b/src/placement/EngineAdapters.cpp
@@ -38,7 +38,7 @@
     std::size_t visited = 0;
     for (const EngineIndex::Holder& holder : m_index.locationsOf (key.service, key.model).holders)
     {
-        if (++visited > kMostHoldersForAdapter)
+        if (++visited > kMaxHoldersForAdapter)
             break;
         Engine& engine = *holder.engine;
         const EngineSpecIndex* spec = specOf (engine);
--- a/src/placement/EngineCongestion.cpp
+++ b/src/placement/EngineCongestion.cpp
@@ -17,7 +17,7 @@
 {
 
 /// Ratio of the longest concurrent stream of a service to the mean.
-constexpr double kLongestToMean = 1.5;
+constexpr double kMaxDurationToMean = 1.5;
 
 }  // namespace
 
@@ -79,7 +79,7 @@
     {
         // Mean duration by Little's law.
         const double mean = sum.perSecond > 0 ? sum.running / sum.perSecond : 0;
-        m_streamSeconds[service] = kLongestToMean * mean;
+        m_streamSeconds[service] = kMaxDurationToMean * mean;
     }
 }
 
--- a/src/placement/EngineNeeds.cpp
+++ b/src/placement/EngineNeeds.cpp
@@ -25,11 +25,11 @@
 constexpr double kReplicaHorizonSeconds = 10;
 /// Upper limit of the cost of such a replica; below the cost of evicting a replica that another
 /// congested model needs.
-constexpr double kHighestReplicaCost = 11;
+constexpr double kMaxReplicaCost = 11;
 /// A spare replica may only replace other spare replicas and models that are long out of use.
-constexpr double kHighestSpareCost = 2.5;
+constexpr double kMaxSpareCost = 2.5;
 /// Limit of the replicas of one model that are added in one round.
-constexpr std::size_t kMostNeedsOfModel = 2;
+constexpr std::size_t kMaxNeedsOfModel = 2;
 /// A model that no engine holds and whose requests have waited this long has priority over models
 /// with shorter waits, however many requests these have.
 constexpr base::Duration kOverdue = base::seconds (3);
@@ -116,9 +116,9 @@
             kReplicaHorizonSeconds * excessRequests / static_cast<double> (supply + 1);
         const bool isMissing = supply == 0 && view.holders() == 0;
         need.maxCost = isMissing ? kInitialMaxCost + kMaxCostPerSecond * base::toSeconds (need.age)
-                                 : std::clamp (gain, kHighestSpareCost, kHighestReplicaCost);
+                                 : std::clamp (gain, kMaxSpareCost, kMaxReplicaCost);
         need.relievesCongestion = ! isMissing;
-        needs.insert (needs.end(), std::min (targets.needed - supply, kMostNeedsOfModel), need);
+        needs.insert (needs.end(), std::min (targets.needed - supply, kMaxNeedsOfModel), need);
         return;
     }
     const auto added = m_spareAddedAt.find (model);
@@ -127,7 +127,7 @@
     if (supply >= targets.spare || isTooSoon)
         return;
     need.isSpare = true;
-    need.maxCost = kHighestSpareCost;
+    need.maxCost = kMaxSpareCost;
     needs.push_back (need);
 }
 
--- a/src/placement/EnginePlacement.cpp
+++ b/src/placement/EnginePlacement.cpp
@@ -488,7 +488,7 @@
         Engine& engine = m_engines.at (id);
         const bool isLate =
             engine.modelOrder && now - engine.modelOrder->sentAt > kModelOrderTimeout;
-        if (m_polls < kMostPolls && (! engine.sequence || isLate) && mayPoll (engine))
+        if (m_polls < kMaxPolls && (! engine.sequence || isLate) && mayPoll (engine))
             poll (engine, commands, now);
     }
     for (const std::string& id : m_unknownSequence)
@@ -496,7 +496,7 @@
         Engine& engine = m_engines.at (id);
         if (! mayPoll (engine))
             continue;
-        if (m_polls >= kMostPolls || ! m_pollsWithoutNeed.take (now))
+        if (m_polls >= kMaxPolls || ! m_pollsWithoutNeed.take (now))
             return;
         poll (engine, commands, now);
     }
--- a/src/placement/EnginePlacement.h
+++ b/src/placement/EnginePlacement.h
@@ -384,7 +384,7 @@
     std::uint64_t m_adapterOrders = 0;
     base::Duration m_adapterWait{};
     std::size_t m_polls = 0;  ///< Number of engines with `isPolled` set.
-    base::TokenBucket m_pollsWithoutNeed{ kMostPollsWithoutNeed, kPollsWithoutNeedPerSecond };
+    base::TokenBucket m_pollsWithoutNeed{ kMaxPollsWithoutNeed, kPollsWithoutNeedPerSecond };
     std::set<std::string> m_rateLimited;  ///< Ids of engines that announce a rate limit.
     std::map<TargetKey, TargetDemand> m_demands;
     std::set<TargetKey> m_waitingAdapters;  ///< Adapters in m_demands with waiting requests.
--- a/src/placement/EnginePlacementFigures.h
+++ b/src/placement/EnginePlacementFigures.h
@@ -17,13 +17,13 @@
 /// Limit of concurrent polls. A leader of 3,000 engines that polled all of them when it was elected
 /// had no time left for its heartbeats and lost its leadership, and so did its successors: 47
 /// leaders in 26 s. With this limit the sequences of 140 engines are known after about 0.1 s.
-constexpr std::size_t kMostPolls = 32;
+constexpr std::size_t kMaxPolls = 32;
 /// Minimum time between two polls of one engine.
 constexpr base::Duration kPollInterval = base::milliseconds (500);
 /// Burst size and rate of polls of engines that no order is planned for. In a small cell all
 /// engines are known soon; in a large one the limit saves a connection to each engine for a report
 /// that is not needed. An engine that an order is planned for is polled at that time.
-constexpr double kMostPollsWithoutNeed = 256;
+constexpr double kMaxPollsWithoutNeed = 256;
 constexpr double kPollsWithoutNeedPerSecond = 10;
 /// A polled engine answers within this time unless it has stopped or is disconnected; after it,
 /// another engine is polled.
@@ -31,7 +31,7 @@
 /// Limit of the holders of a model that are examined for one adapter. Holders with the most free
 /// adapter slots come first, so later ones are examined only when the first ones have pending
 /// orders or all slots are taken.
-constexpr std::size_t kMostHoldersForAdapter = 64;
+constexpr std::size_t kMaxHoldersForAdapter = 64;
 /// An order without an answer counts as unconfirmed after this time.
 constexpr base::Duration kOrderTimeout = base::milliseconds (500);
 /// The engine is polled when a model order has not been seen to complete within this time.
--- a/src/placement/EnginePlacementTest.cpp
+++ b/src/placement/EnginePlacementTest.cpp
@@ -126,7 +126,7 @@
     m_placement.refresh (m_rows, m_now);
     std::set<std::string> polled;
     std::vector<std::string> last;
-    for (std::size_t round = 0; round <= kEngines / kMostPolls; ++round)
+    for (std::size_t round = 0; round <= kEngines / kMaxPolls; ++round)
     {
         last.clear();
         for (const EngineCommand& command : m_placement.decide (m_now))
@@ -134,7 +134,7 @@
             if (const auto* poll = std::get_if<PollEngine> (&command))
                 last.push_back (poll->instance);
         }
-        EXPECT_LE (last.size(), kMostPolls);
+        EXPECT_LE (last.size(), kMaxPolls);
         polled.insert (last.begin(), last.end());
         for (const std::string& id : last)
             report (id, {}, 0);
@@ -170,7 +170,7 @@
 {
     constexpr int kEngines = 2000;
     constexpr int kSeconds = 20;
-    constexpr std::size_t kMostAtOnce = 256;
+    constexpr std::size_t kMaxAtOnce = 256;
     constexpr std::size_t kPerSecond = 10;
     for (int number = 0; number < kEngines; ++number)
     {
@@ -193,8 +193,8 @@
         }
         wait (base::milliseconds (100));
     }
-    EXPECT_LE (polled, kMostAtOnce + kSeconds * kPerSecond);
-    EXPECT_GE (polled, kMostAtOnce);
+    EXPECT_LE (polled, kMaxAtOnce + kSeconds * kPerSecond);
+    EXPECT_GE (polled, kMaxAtOnce);
 }
 
 TEST_F (EnginePlacementTest, KeepsHeartbeatsThatArriveBeforeTheEngineIsCommitted)
--- a/src/placement/EnginePlans.cpp
+++ b/src/placement/EnginePlans.cpp
@@ -33,9 +33,9 @@
 constexpr double kCongestionCost = 1.0;
 /// Share of its congestion limit that an engine may have in requests to get a replica that relieves
 /// other engines.
-constexpr double kHighestShareForReplica = 0.5;
+constexpr double kMaxShareForReplica = 0.5;
 /// Limit of the cost of a prefetch beyond that of the load itself.
-constexpr double kHighestFetchCost = 2.0;
+constexpr double kMaxFetchCost = 2.0;
 /// Number of engines per concurrent prefetch, so that the other engines stay available for loads
 /// that requests wait for. Without this limit five of nine engines were loading when requests
 /// began, and 15 instead of 37 of 88 requests for rare models were answered in time (one simulation
@@ -52,17 +52,16 @@
 constexpr base::Duration kMaxWaitForCopy = base::milliseconds (1500);
 /// Limit of the plans of a round that examine every engine; more would block the event loop of the
 /// leader.
-constexpr std::size_t kMostFullPlansInRound = 12;
+constexpr std::size_t kMaxFullPlansInRound = 12;
 /// Limit of the engines examined by all plans of a round, at about 1 us each, for large cells. With
 /// 3,000 engines, twelve plans blocked a leader that has only a share of a core for 0.2 s.
-constexpr std::size_t kMostEnginesInRound = 12'000;
+constexpr std::size_t kMaxEnginesInRound = 12'000;
 
 }  // namespace
 
 void EnginePlacement::planModels (std::vector<EngineCommand>& commands, base::TimePoint now)
 {
-    const std::size_t most =
-        std::min (kMostFullPlansInRound * m_engines.size(), kMostEnginesInRound);
+    const std::size_t most = std::min (kMaxFullPlansInRound * m_engines.size(), kMaxEnginesInRound);
     std::size_t visited = 0;
     for (const ModelNeed& need : modelNeeds (now))
     {
@@ -141,7 +140,7 @@
 
 bool EnginePlacement::isTooBusyToRelieve (const Engine& engine) const
 {
-    return requestsOf (engine) > kHighestShareForReplica * congestionLimit (engine);
+    return requestsOf (engine) > kMaxShareForReplica * congestionLimit (engine);
 }
 
 double EnginePlacement::congestionCost (const Engine& engine) const
@@ -221,7 +220,7 @@
             return;
         ModelNeed need;
         need.model = key;
-        need.maxCost = base::toSeconds (model.loadTime) + kHighestFetchCost;
+        need.maxCost = base::toSeconds (model.loadTime) + kMaxFetchCost;
         if (! planModel (need, candidateEngines (need, now), now))
             return;
         m_fetched.insert (key);
--- a/src/placement/EnginePlayTest.cpp
+++ b/src/placement/EnginePlayTest.cpp
@@ -20,7 +20,7 @@
 /// Target of the time to the first event on the route of the highest value.
 constexpr base::Duration kTarget = milliseconds (2500);
 /// Limit of the share of late callers.
-constexpr double kMostLate = 0.04;
+constexpr double kMaxLateShare = 0.04;
 constexpr std::size_t kEngines = 9;
 
 /// Adds `count` models from number `first` on, each with the same request rate.
@@ -67,7 +67,7 @@
         play.run (rates, seconds (30));
         const double late = play.shareWithPausesOver (kGapTarget, seconds (10));
         std::cout << "share with pauses over 150 ms " << late << "\n";
-        EXPECT_LE (late, kMostLate);
+        EXPECT_LE (late, kMaxLateShare);
     }
 }
 
@@ -90,8 +90,8 @@
         const double slow = play.shareWithPausesOver (kGapTarget, seconds (5));
         std::cout << "share that waits over 2.5 s " << waiting << ", with pauses over 150 ms "
                   << slow << "\n";
-        EXPECT_LE (waiting, kMostLate);
-        EXPECT_LE (slow, kMostLate);
+        EXPECT_LE (waiting, kMaxLateShare);
+        EXPECT_LE (slow, kMaxLateShare);
     }
 }
 
@@ -114,7 +114,7 @@
         play.run (rates, seconds (20));
         std::cout << "loads from the store at a time " << play.mostStoreLoads() << "\n";
         EXPECT_LE (play.mostStoreLoads(), kEngines / 2);
-        EXPECT_LE (play.shareWaitingOver (seconds (10), base::Duration::zero()), kMostLate);
+        EXPECT_LE (play.shareWaitingOver (seconds (10), base::Duration::zero()), kMaxLateShare);
     }
 }
 
--- a/src/placement/Eviction.cpp
+++ b/src/placement/Eviction.cpp
@@ -9,7 +9,7 @@
 {
 
 /// A replica in use is not evicted before it has been ready for this long, to avoid thrashing.
-constexpr base::Duration kShortestResidence = base::seconds (10);
+constexpr base::Duration kMinResidence = base::seconds (10);
 
 /// A replica together with the adapters on it, which would be unloaded as well.
 struct Candidate
@@ -30,7 +30,7 @@
         return false;
     if (! plan.isInUse (view))
         return true;
-    return plan.urgencyOf (view.replica.target()) > urgency && view.readyFor >= kShortestResidence;
+    return plan.urgencyOf (view.replica.target()) > urgency && view.readyFor >= kMinResidence;
 }
 
 std::optional<Candidate> candidateFor (const Plan& plan, const ReplicaView& view, int urgency)
--- a/src/placement/KeepAlive.cpp
+++ b/src/placement/KeepAlive.cpp
@@ -8,7 +8,7 @@
 {
 
 /// Minimum of the keep-alive time, unless the upper limit of the caller is shorter.
-constexpr base::Duration kShortestKeepAlive = base::seconds (10);
+constexpr base::Duration kMinKeepAlive = base::seconds (10);
 constexpr double kSecondsPerHour = 3600.0;
 constexpr std::int64_t kAssumedMegabytesPerSecond = 1000;
 constexpr base::Duration kAssumedLoadOverhead = base::seconds (1);
@@ -28,7 +28,7 @@
         return longest;
     const std::chrono::duration<double> breakEven (coldStartCost / idleCostPerSecond);
     const auto kept = std::chrono::duration_cast<base::Duration> (breakEven);
-    return std::clamp (kept, std::min (kShortestKeepAlive, longest), longest);
+    return std::clamp (kept, std::min (kMinKeepAlive, longest), longest);
 }
 
 base::Duration assumedLoadTime (config::Megabytes memory)
--- a/src/placement/Needs.cpp
+++ b/src/placement/Needs.cpp
@@ -64,7 +64,7 @@
         Need need;
         need.target = target;
         need.isRequested = number < requested;
-        need.urgency = need.isRequested ? urgencyOf (plan, target, demand) : kLeastUrgency;
+        need.urgency = need.isRequested ? urgencyOf (plan, target, demand) : kMinUrgency;
         need.nearestDeadlineMilliseconds = need.isRequested
                                                ? demand.nearestDeadlineMilliseconds
                                                : std::numeric_limits<std::int64_t>::max();
--- a/src/placement/Needs.h
+++ b/src/placement/Needs.h
@@ -15,7 +15,7 @@
 struct Need
 {
     Target target;
-    int urgency = kLeastUrgency;
+    int urgency = kMinUrgency;
     std::int64_t nearestDeadlineMilliseconds = 0;
     std::int64_t oldestWaitMilliseconds = 0;
     bool isRequested = false;  ///< True: requests wait; false: required by minReplicas only.
--- a/src/placement/Plan.cpp
+++ b/src/placement/Plan.cpp
@@ -87,12 +87,12 @@
 {
     const Target target = targetNamed (name);
     if (target.model == nullptr)
-        return kLeastUrgency;
+        return kMinUrgency;
     const base::RequestClassName& className =
         target.adapter != nullptr ? target.adapter->defaultClass : target.model->defaultClass;
     const config::RequestClass* requestClass = m_snapshot.catalogue->findClass (className);
     const TargetDemand& demand = demandOf (name);
-    int urgency = requestClass == nullptr ? kLeastUrgency : requestClass->urgency;
+    int urgency = requestClass == nullptr ? kMinUrgency : requestClass->urgency;
     if (demand.running > 0)
         urgency = std::min (urgency, demand.mostUrgent);
     if (demand.running == 0 && demand.waiting > 0)
--- a/src/placement/Plan.h
+++ b/src/placement/Plan.h
@@ -36,7 +36,7 @@
 };
 
 /// Urgency of a target of unknown class without waiting requests.
-constexpr int kLeastUrgency = 9;
+constexpr int kMinUrgency = 9;
 
 class Plan
 {
--- a/src/placement/StoreConcurrency.cpp
+++ b/src/placement/StoreConcurrency.cpp
@@ -11,7 +11,7 @@
 /// A load counts as slow when its duration exceeds the nominal one by this factor. Orders,
 /// heartbeats and the variance of the store account for up to 15 % on known deployments.
 constexpr double kSlowFactor = 1.25;
-constexpr double kLowestLimit = 2;
+constexpr double kMinLimit = 2;
 
 }  // namespace
 
@@ -47,7 +47,7 @@
     const double atFullSpeed =
         std::round (static_cast<double> (load.maxConcurrent) * base::toSeconds (nominal) / taken);
     // Never below half of the limit, since a single load may be slow for another reason.
-    m_limit = std::clamp (atFullSpeed, std::max (m_limit / 2, kLowestLimit), m_limit);
+    m_limit = std::clamp (atFullSpeed, std::max (m_limit / 2, kMinLimit), m_limit);
     m_hasSlowed = true;
 }
 
--- a/src/proxy/EngineDemands.cpp
+++ b/src/proxy/EngineDemands.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-constexpr base::Duration kShortestReportInterval = base::milliseconds (500);
+constexpr base::Duration kMinReportInterval = base::milliseconds (500);
 /// Placement discards rates after some seconds, so reports must not be sent less often.
-constexpr base::Duration kLongestReportInterval = base::seconds (2);
+constexpr base::Duration kMaxReportInterval = base::seconds (2);
 constexpr base::Duration kReportIntervalPerRouter = base::milliseconds (15);
 
 void decrease (std::uint32_t& count)
@@ -24,8 +24,8 @@
 base::Duration demandReportInterval (std::uint32_t routers)
 {
     return std::clamp<base::Duration> (
-        static_cast<std::int64_t> (routers) * kReportIntervalPerRouter, kShortestReportInterval,
-        kLongestReportInterval);
+        static_cast<std::int64_t> (routers) * kReportIntervalPerRouter, kMinReportInterval,
+        kMaxReportInterval);
 }
 
 void EngineDemands::onArrival (const EngineTarget& target, std::uint64_t promptTokens)
--- a/src/proxy/Exchange.cpp
+++ b/src/proxy/Exchange.cpp
@@ -14,12 +14,12 @@
 
 using base::ErrorKind;
 
-constexpr std::uint32_t kMostUnreachable = 16;
+constexpr std::uint32_t kMaxUnreachable = 16;
 constexpr base::Duration kRetryDelay = base::milliseconds (100);
-constexpr base::Duration kLongestWaitForRoutes = base::seconds (3);
+constexpr base::Duration kMaxWaitForRoutes = base::seconds (3);
 /// Limit on the wait for a quota grant; a leader is elected within 0.6 s. The wait also ends at the
 /// target latency of the route, after which the answer would be late.
-constexpr base::Duration kLongestWaitForQuota = base::seconds (1);
+constexpr base::Duration kMaxWaitForQuota = base::seconds (1);
 constexpr base::Duration kDefaultDeadline = base::seconds (30);
 /// Subtracted from the deadline that is sent to the runner, so that its answer still arrives in
 /// time.
@@ -27,14 +27,14 @@
 /// A repeatable request is sent to another runner after this multiple of its target latency without
 /// bytes from the runner.
 constexpr int kSilenceInTargets = 2;
-constexpr base::Duration kShortestStreamSilence = base::milliseconds (800);
+constexpr base::Duration kMinStreamSilence = base::milliseconds (800);
 /// A resumable stream without a first event is resumed elsewhere after this time. The prefill of
 /// 50,000 tokens takes 1.3 s at the 38 tokens per millisecond of known engines. Half of the target
 /// latency (1.5 to 3 s) in its place gave a mean score of 0.658 against 0.666 over nine simulated
 /// days of three deployments, which is no difference, but the shorter time detects a dead runner
 /// sooner.
-constexpr base::Duration kLongestFirstEvent = base::milliseconds (1500);
-constexpr base::Duration kShortestSilence = base::milliseconds (150);
+constexpr base::Duration kMaxFirstEventDelay = base::milliseconds (1500);
+constexpr base::Duration kMinSilence = base::milliseconds (150);
 
 }  // namespace
 
@@ -98,7 +98,7 @@
         m_quota.claim.account = m_tenant->name;
         m_quota.claim.units = unitsOf (m_request, m_context.names, m_tenant->quota);
         const base::Duration longest =
-            std::min<base::Duration> (kLongestWaitForQuota, m_route->targetLatency);
+            std::min<base::Duration> (kMaxWaitForQuota, m_route->targetLatency);
         m_quota.waitsUntil = std::min (now() + longest, m_deadline);
     }
     const Admission admission =
@@ -176,8 +176,7 @@
 void Exchange::waitForRoutes()
 {
     m_isWaitingForRoutes = true;
-    m_deadline =
-        m_arrivedAt + std::min<base::Duration> (m_callerTimeout / 2, kLongestWaitForRoutes);
+    m_deadline = m_arrivedAt + std::min<base::Duration> (m_callerTimeout / 2, kMaxWaitForRoutes);
     armTimer();
 }
 
@@ -340,15 +339,13 @@
         return std::nullopt;
     if (m_route->kind == config::RouteKind::kRepeatable)
     {
-        return std::max<base::Duration> (m_route->targetLatency * kSilenceInTargets,
-                                         kShortestSilence);
+        return std::max<base::Duration> (m_route->targetLatency * kSilenceInTargets, kMinSilence);
     }
     if (m_isAnswerBegun)
     {
-        return std::max<base::Duration> (m_route->gapTarget * kSilenceInTargets,
-                                         kShortestStreamSilence);
+        return std::max<base::Duration> (m_route->gapTarget * kSilenceInTargets, kMinStreamSilence);
     }
-    return kLongestFirstEvent;
+    return kMaxFirstEventDelay;
 }
 
 void Exchange::armTimer()
@@ -463,7 +460,7 @@
         m_query.avoidedInstance = m_instance;
         if (! m_query.isolationKey.empty())
             recordIsolationRunnerUnreachable();
-        if (++m_unreachableAttempts < kMostUnreachable)
+        if (++m_unreachableAttempts < kMaxUnreachable)
         {
             dispatchNext();
         }
--- a/src/proxy/ExchangeQuarantine.cpp
+++ b/src/proxy/ExchangeQuarantine.cpp
@@ -14,11 +14,11 @@
 /// Longest time after a broken answer for which the request and its copies wait for the probe of
 /// the runner and for the reports of other routers. A probe takes one round trip, the commit of its
 /// result some 20 ms.
-constexpr base::Duration kLongestWaitForVerdict = base::milliseconds (100);
+constexpr base::Duration kMaxWaitForVerdict = base::milliseconds (100);
 /// Longest wait for the reports of other routers on an unreachable isolation runner, when one more
 /// crash would put the request into quarantine. An election takes up to 0.8 s, and routers report
 /// to the new leader within another 0.5 s.
-constexpr base::Duration kLongestWaitForTrial = base::milliseconds (1500);
+constexpr base::Duration kMaxWaitForIsolationRunner = base::milliseconds (1500);
 
 /// Time until which the request is not sent to a runner; none: it may be sent now.
 std::optional<base::TimePoint> heldUntil (const quarantine::Standing& suspectStatus)
@@ -26,9 +26,9 @@
     std::optional<base::TimePoint> until;
     // Copies wait like retries, because each copy sent in the meantime may crash one more runner.
     if (suspectStatus.isUndecided())
-        until = *suspectStatus.undecidedSince + kLongestWaitForVerdict;
+        until = *suspectStatus.undecidedSince + kMaxWaitForVerdict;
     if (suspectStatus.trialGoneSince)
-        until = std::max (until, { *suspectStatus.trialGoneSince + kLongestWaitForTrial });
+        until = std::max (until, { *suspectStatus.trialGoneSince + kMaxWaitForIsolationRunner });
     return until;
 }
 
--- a/src/proxy/InstanceDirectory.cpp
+++ b/src/proxy/InstanceDirectory.cpp
@@ -16,7 +16,7 @@
 constexpr base::Duration kLoadLifetime = base::milliseconds (500);
 constexpr base::Duration kNotHeldLifetime = base::milliseconds (1500);
 constexpr base::Duration kFirstAvoidance = base::milliseconds (300);
-constexpr base::Duration kLongestAvoidance = base::seconds (4);
+constexpr base::Duration kMaxAvoidance = base::seconds (4);
 constexpr base::Duration kUnreachableAvoidance = base::milliseconds (500);
 constexpr std::uint32_t kFailuresBeforeAvoidance = 3;
 constexpr std::uint32_t kUnreachableBeforeReport = 2;
@@ -63,7 +63,7 @@
 
 double shareOf (std::uint32_t percent)
 {
-    return static_cast<double> (std::clamp (percent, cell::kLeastPercent, cell::kMostPercent))
+    return static_cast<double> (std::clamp (percent, cell::kMinPercent, cell::kMaxPercent))
            / cell::kUsualPercent;
 }
 
@@ -620,7 +620,7 @@
         const std::uint32_t doublings =
             std::min (view.consecutiveFailures - kFailuresBeforeAvoidance, 4U);
         const base::Duration pause =
-            std::min<base::Duration> (kFirstAvoidance * (1U << doublings), kLongestAvoidance);
+            std::min<base::Duration> (kFirstAvoidance * (1U << doublings), kMaxAvoidance);
         view.avoidedUntil = std::max (view.avoidedUntil, now + pause);
     }
 }
--- a/src/proxy/InstanceLoadReporter.cpp
+++ b/src/proxy/InstanceLoadReporter.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-constexpr base::Duration kShortestReportInterval = base::milliseconds (50);
+constexpr base::Duration kMinReportInterval = base::milliseconds (50);
 /// With the two forwarding steps at controllers, the loads known to a router are then at most half
 /// a second old.
-constexpr base::Duration kLongestReportInterval = base::milliseconds (250);
+constexpr base::Duration kMaxReportInterval = base::milliseconds (250);
 /// Bounds a controller to 330 reports per second, which take 10 ms of its time at 30 us each.
 constexpr base::Duration kReportIntervalPerRouter = base::milliseconds (3);
 /// Slowdowns change within some tenths of a second, so gaps observed later than this after the
@@ -23,8 +23,8 @@
 base::Duration loadReportInterval (std::uint32_t routers)
 {
     return std::clamp<base::Duration> (
-        static_cast<std::int64_t> (routers) * kReportIntervalPerRouter, kShortestReportInterval,
-        kLongestReportInterval);
+        static_cast<std::int64_t> (routers) * kReportIntervalPerRouter, kMinReportInterval,
+        kMaxReportInterval);
 }
 
 void InstanceLoadReporter::onAttemptBegin (const std::string& instance, std::uint64_t promptTokens)
--- a/src/proxy/ProxySettings.cpp
+++ b/src/proxy/ProxySettings.cpp
@@ -8,10 +8,10 @@
 using base::milliseconds;
 using base::seconds;
 
-constexpr std::int64_t kLargestPort = 65535;
-constexpr std::int64_t kLargestReserve = 1000;
-constexpr std::int64_t kMostRouters = 1'000'000;
-constexpr double kLargestCellReserve = 1'000'000;
+constexpr std::int64_t kMaxPort = 65535;
+constexpr std::int64_t kMaxReserve = 1000;
+constexpr std::int64_t kMaxRouters = 1'000'000;
+constexpr double kMaxCellReserve = 1'000'000;
 
 }  // namespace
 
@@ -28,18 +28,18 @@
                        "listens for metrics and health checks; not set: nowhere");
     schema.addAddressList ("seeds", &settings.seeds, "control addresses of some controllers");
     schema.required();
-    schema.addInteger ("seed_peer_port", &settings.seedPeerPort, 1, kLargestPort,
+    schema.addInteger ("seed_peer_port", &settings.seedPeerPort, 1, kMaxPort,
                        "port at which every controller listens for routers");
     schema.required();
     schema.addReal ("retry_share", &settings.retryShare, 0, 1,
                     "share of this router's requests that may be sent a second time");
-    schema.addInteger ("retry_reserve", &settings.retryReserve, 0, kLargestReserve,
+    schema.addInteger ("retry_reserve", &settings.retryReserve, 0, kMaxReserve,
                        "second sends that are allowed before there were requests");
-    schema.addReal ("cell_retry_reserve", &settings.cellRetryReserve, 0, kLargestCellReserve,
+    schema.addReal ("cell_retry_reserve", &settings.cellRetryReserve, 0, kMaxCellReserve,
                     "the same for all routers of the cell together, each of which takes its "
                     "part; 0: not bounded together");
     schema.addInteger ("shared_loads_from_routers", &settings.sharedLoadsFromRouters, 0,
-                       kMostRouters,
+                       kMaxRouters,
                        "in cells with at least so many routers they share what they know of the "
                        "load of runners; 0: never");
     quota::declareSettings (schema, settings.quotaTolerance);
--- a/src/proxy/RunnerRates.cpp
+++ b/src/proxy/RunnerRates.cpp
@@ -19,7 +19,7 @@
 /// Delay before the next permit request after a permit could not be requested or was not answered.
 constexpr base::Duration kRetryDelay = base::milliseconds (100);
 /// Wait after a refusal that states no time.
-constexpr base::Duration kShortestWait = base::milliseconds (5);
+constexpr base::Duration kMinWait = base::milliseconds (5);
 /// The leader needs regular reports that a runner still states a rate, to tell newer answers from
 /// reordered ones, but not one report per answer.
 constexpr base::Duration kReportInterval = base::milliseconds (500);
@@ -124,7 +124,7 @@
 double RunnerRates::rateOf (const std::string& instance, base::UnixMilliseconds startedAt) const
 {
     const Limit* const limit = find (instance, startedAt);
-    return limit == nullptr ? 0 : std::max (limit->perSecond, cell::kLeastRatePerSecond);
+    return limit == nullptr ? 0 : std::max (limit->perSecond, cell::kMinRatePerSecond);
 }
 
 base::Duration RunnerRates::waitFor (const std::string& instance, base::UnixMilliseconds startedAt,
@@ -170,7 +170,7 @@
     if (isNew && answer == QuotaAnswer::kPending)
         m_onSendNeeded();
     if (answer == QuotaAnswer::kRefused)
-        limit.nextRequestAt = std::max (limit.nextRequestAt, now + kShortestWait);
+        limit.nextRequestAt = std::max (limit.nextRequestAt, now + kMinWait);
     if (answer != QuotaAnswer::kPending)
         return count (answer);
     if (now - claim.askedAt < kGrantTimeout)
@@ -192,7 +192,7 @@
 base::Duration RunnerRates::ownInterval (const Limit& limit) const
 {
     const double seconds =
-        m_routers / (kOwnShareFactor * std::max (limit.perSecond, cell::kLeastRatePerSecond));
+        m_routers / (kOwnShareFactor * std::max (limit.perSecond, cell::kMinRatePerSecond));
     return std::chrono::duration_cast<base::Duration> (std::chrono::duration<double> (seconds));
 }
 
--- a/src/proxy/SharedLoadsTest.cpp
+++ b/src/proxy/SharedLoadsTest.cpp
@@ -330,8 +330,8 @@
             m_cachedPrefixes.erase (cached);
         if (! shared.empty())
             m_cachedPrefixes.push_back (shared);
-        constexpr std::size_t kMostKept = 10;
-        if (m_cachedPrefixes.size() > kMostKept)
+        constexpr std::size_t kMaxKept = 10;
+        if (m_cachedPrefixes.size() > kMaxKept)
             m_cachedPrefixes.pop_front();
         const double tokens = static_cast<double> (request.isLong ? kLongPrompt : kShortPrompt)
                               - (isCached ? static_cast<double> (kLongShared) : 0);
--- a/src/proxy/TenantQuotas.cpp
+++ b/src/proxy/TenantQuotas.cpp
@@ -13,7 +13,7 @@
 /// unavailable.
 constexpr base::Duration kGrantTimeout = base::milliseconds (60);
 /// Shortest Retry-After time of a refused caller, about the duration of an election.
-constexpr base::Duration kShortestRetry = base::milliseconds (300);
+constexpr base::Duration kMinRetry = base::milliseconds (300);
 
 /// Sum of the whole numbers in a list such as "1460,80"; none when the list is invalid.
 std::optional<std::uint64_t> sumOf (std::string_view list)
@@ -90,7 +90,7 @@
 
 base::Duration TenantQuotas::retryAfter (const config::Tenant& tenant) const
 {
-    return std::max (m_pool.waitOf (tenant.name), kShortestRetry);
+    return std::max (m_pool.waitOf (tenant.name), kMinRetry);
 }
 
 }  // namespace fernlift::proxy
--- a/src/quarantine/SuspectRequests.cpp
+++ b/src/quarantine/SuspectRequests.cpp
@@ -70,7 +70,7 @@
 
 void SuspectRequests::evictOldest()
 {
-    if (m_ownCrashes.size() < kMostOwn)
+    if (m_ownCrashes.size() < kMaxOwnCrashes)
         return;
     m_ownCrashes.erase (m_ownCrashes.begin());
     ++m_evicted;
--- a/src/quarantine/SuspectRequests.h
+++ b/src/quarantine/SuspectRequests.h
@@ -51,7 +51,7 @@
 {
 public:
     /** Bound of the unresolved interruptions; beyond it the oldest ones are evicted. */
-    static constexpr std::size_t kMostOwn = 1024;
+    static constexpr std::size_t kMaxOwnCrashes = 1024;
 
     /** True in the usual case that there are no suspects: requests then need no identity. */
     [[nodiscard]] bool isEmpty() const { return m_outlines.empty(); }
--- a/src/quarantine/SuspectRequestsTest.cpp
+++ b/src/quarantine/SuspectRequestsTest.cpp
@@ -197,11 +197,11 @@
 
 TEST_F (SuspectRequestsTest, EvictsTheOldestInterruptionsAtTheBound)
 {
-    for (std::size_t each = 0; each <= SuspectRequests::kMostOwn; ++each)
+    for (std::size_t each = 0; each <= SuspectRequests::kMaxOwnCrashes; ++each)
         suspects.onBrokenOff ({ each, std::to_string (each) }, "a", at (0), at (50));
     EXPECT_EQ (suspects.evicted(), 1);
     EXPECT_FALSE (suspects.mayKnow (0));
-    EXPECT_TRUE (suspects.mayKnow (SuspectRequests::kMostOwn));
+    EXPECT_TRUE (suspects.mayKnow (SuspectRequests::kMaxOwnCrashes));
 }
 
 }  // namespace
--- a/src/quota/QuotaLedger.cpp
+++ b/src/quota/QuotaLedger.cpp
@@ -11,7 +11,7 @@
 /// A router that lost all controllers may continue to serve for this long (isolated_grace_ms).
 constexpr base::Duration kIsolatedRouterLifetime = base::seconds (10);
 /// Longest wait that a refused caller is given; also bounds the queue of refused units.
-constexpr double kLongestWaitSeconds = 5;
+constexpr double kMaxWaitSeconds = 5;
 
 }  // namespace
 
@@ -159,11 +159,11 @@
 base::Duration QuotaLedger::waitAfterRefusal (Bucket& bucket, double units) const
 {
     const double rate = rateOf (bucket.quota);
-    bucket.queued = std::min (bucket.queued + units, kLongestWaitSeconds * rate);
+    bucket.queued = std::min (bucket.queued + units, kMaxWaitSeconds * rate);
     const double missing = std::max (bucket.queued, units - bucket.level);
-    const double seconds = rate > 0 ? missing / rate : kLongestWaitSeconds;
+    const double seconds = rate > 0 ? missing / rate : kMaxWaitSeconds;
     return std::chrono::duration_cast<base::Duration> (
-        std::chrono::duration<double> (std::min (seconds, kLongestWaitSeconds)));
+        std::chrono::duration<double> (std::min (seconds, kMaxWaitSeconds)));
 }
 
 }  // namespace fernlift::quota
--- a/src/quota/UnassistedShareTest.cpp
+++ b/src/quota/UnassistedShareTest.cpp
@@ -52,8 +52,8 @@
     const config::TenantQuota quota = tenant().quota;
     const double limit = quota.ratePerSecond * 8 + quota.burst + tolerance().unitsFor (quota);
     EXPECT_LE (admitted, limit / 2);
-    constexpr double kLeastUse = 0.9;
-    EXPECT_GE (admitted, kLeastUse * quota.ratePerSecond * 8 / 2);
+    constexpr double kMinUse = 0.9;
+    EXPECT_GE (admitted, kMinUse * quota.ratePerSecond * 8 / 2);
 }
 
 TEST (UnassistedShareTest, NothingGrowsWhileAControllerGrants)
--- a/src/router/AnswerReader.cpp
+++ b/src/router/AnswerReader.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr std::size_t kMaximumEventBytes = 1024UL * 1024;
+constexpr std::size_t kMaxEventBytes = 1024UL * 1024;
 constexpr std::string_view kDataField = "data:";
 constexpr std::string_view kDone = "[DONE]";
 
@@ -51,7 +51,7 @@
     {
         const std::size_t lineEnd = bytes.find ('\n');
         m_line += bytes.substr (0, lineEnd);
-        if (m_line.size() + m_data.size() > kMaximumEventBytes)
+        if (m_line.size() + m_data.size() > kMaxEventBytes)
         {
             m_isFinished = true;
             events.emplace_back (AttemptBroken{});
--- a/src/router/BackEndRequest.cpp
+++ b/src/router/BackEndRequest.cpp
@@ -13,7 +13,7 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kServiceUnavailable = 503;
 constexpr std::string_view kOwnHeaderPrefix = "X-Fernlift-";
-constexpr std::int64_t kLongestRetryAfterSeconds = 3600;
+constexpr std::int64_t kMaxRetryAfterSeconds = 3600;
 /// RouterCore applies the timeouts of attempts; the client's own limits only guard against a bug in
 /// that.
 constexpr base::Duration kUnlimited = std::chrono::hours (7 * 24);
@@ -26,7 +26,7 @@
     const auto [stop, status] = std::from_chars (text.data(), end, seconds);
     if (text.empty() || status != std::errc() || stop != end || seconds < 0)
         return std::nullopt;
-    return base::seconds (std::min (seconds, kLongestRetryAfterSeconds));
+    return base::seconds (std::min (seconds, kMaxRetryAfterSeconds));
 }
 
 bool isLeaving (const http::Headers& headers)
--- a/src/router/CallerRequest.cpp
+++ b/src/router/CallerRequest.cpp
@@ -22,9 +22,9 @@
 constexpr std::string_view kCompletionsPath = "/v1/completions";
 constexpr std::string_view kApplicationsPrefix = "/apps/";
 constexpr std::string_view kOwnHeaderPrefix = "X-Fernlift-";
-constexpr std::size_t kMaximumIdBytes = 128;
-constexpr std::size_t kMaximumKeyBytes = 256;
-constexpr std::int64_t kLongestDeadlineMilliseconds = 7LL * 24 * 3600 * 1000;
+constexpr std::size_t kMaxIdBytes = 128;
+constexpr std::size_t kMaxKeyBytes = 256;
+constexpr std::int64_t kMaxDeadlineMilliseconds = 7LL * 24 * 3600 * 1000;
 
 bool isIdCharacter (char character)
 {
@@ -59,11 +59,11 @@
     const char* const end = text.data() + text.size();
     const auto [stop, status] = std::from_chars (text.data(), end, milliseconds);
     const bool isNumber = status == std::errc() && stop == end;
-    if (! isNumber || milliseconds < 0 || milliseconds > kLongestDeadlineMilliseconds)
+    if (! isNumber || milliseconds < 0 || milliseconds > kMaxDeadlineMilliseconds)
     {
         return base::fail (ErrorKind::kInvalidRequest,
                            "X-Fernlift-Deadline-Ms: found '" + text + "'; allowed: 0 to "
-                               + std::to_string (kLongestDeadlineMilliseconds));
+                               + std::to_string (kMaxDeadlineMilliseconds));
     }
     head.deadline = base::milliseconds (milliseconds);
     return {};
@@ -72,10 +72,10 @@
 base::Result<void> readKey (const http::Request& request, RequestHead& head)
 {
     const std::string key = request.headers.value ("Idempotency-Key");
-    if (request.headers.count ("Idempotency-Key") > 1 || key.size() > kMaximumKeyBytes)
+    if (request.headers.count ("Idempotency-Key") > 1 || key.size() > kMaxKeyBytes)
     {
         return base::fail (ErrorKind::kInvalidRequest, "Idempotency-Key: allowed is one of at most "
-                                                           + std::to_string (kMaximumKeyBytes)
+                                                           + std::to_string (kMaxKeyBytes)
                                                            + " bytes");
     }
     if (key.empty())
@@ -250,11 +250,11 @@
     const std::string id = request.headers.value ("X-Request-Id");
     if (id.empty())
         return fallback;
-    if (id.size() > kMaximumIdBytes || ! std::ranges::all_of (id, isIdCharacter))
+    if (id.size() > kMaxIdBytes || ! std::ranges::all_of (id, isIdCharacter))
     {
         return base::fail (ErrorKind::kInvalidRequest,
                            "X-Request-Id: allowed are letters, digits and \"._:-\", at most "
-                               + std::to_string (kMaximumIdBytes) + " bytes");
+                               + std::to_string (kMaxIdBytes) + " bytes");
     }
     return base::RequestId (id);
 }
--- a/src/router/RequestTraces.cpp
+++ b/src/router/RequestTraces.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr std::size_t kMaximumSteps = 64;
+constexpr std::size_t kMaxSteps = 64;
 
 }  // namespace
 
@@ -33,7 +33,7 @@
 void RequestTraces::add (const base::RequestId& id, base::TimePoint now, std::string step)
 {
     const auto trace = m_traces.find (id);
-    if (trace == m_traces.end() || trace->second.steps.size() >= kMaximumSteps)
+    if (trace == m_traces.end() || trace->second.steps.size() >= kMaxSteps)
         return;
     trace->second.steps.push_back (Step{ now, std::move (step) });
 }
--- a/src/router/RouterSettings.cpp
+++ b/src/router/RouterSettings.cpp
@@ -10,13 +10,13 @@
 
 constexpr base::Duration kShortest = milliseconds (1);
 constexpr base::Duration kLongest = std::chrono::hours (24);
-constexpr std::int64_t kMostRequests = 10'000'000;
-constexpr std::int64_t kMostBytes = 1LL << 40;
-constexpr std::int64_t kMostAttempts = 100;
+constexpr std::int64_t kMaxRequests = 10'000'000;
+constexpr std::int64_t kMaxBytes = 1LL << 40;
+constexpr std::int64_t kMaxAttempts = 100;
 constexpr std::int64_t kLeastUrgent = 9;
-constexpr std::int64_t kLeastHeaderBytes = 256;
-constexpr std::int64_t kMostHeaderBytes = 16LL * 1024 * 1024;
-constexpr std::int64_t kMostConnections = 1'000'000;
+constexpr std::int64_t kMinHeaderBytes = 256;
+constexpr std::int64_t kMaxHeaderBytes = 16LL * 1024 * 1024;
+constexpr std::int64_t kMaxConnections = 1'000'000;
 
 void declareIdentity (config::SettingsSchema& schema, RouterSettings& settings)
 {
@@ -33,19 +33,19 @@
 
 void declareQueues (config::SettingsSchema& schema, RouterSettings& settings)
 {
-    schema.addInteger ("max_queued_requests", &settings.queuedRequests, 1, kMostRequests,
+    schema.addInteger ("max_queued_requests", &settings.queuedRequests, 1, kMaxRequests,
                        "requests that may wait; more are refused or displace less urgent ones");
     schema.addInteger ("max_queued_requests_per_target", &settings.queuedRequestsPerTarget, 1,
-                       kMostRequests,
+                       kMaxRequests,
                        "requests that may wait for one model, adapter or application");
-    schema.addInteger ("max_queued_bytes", &settings.queuedBytes, 1, kMostBytes,
+    schema.addInteger ("max_queued_bytes", &settings.queuedBytes, 1, kMaxBytes,
                        "bodies of waiting requests together");
 }
 
 void declareAttempts (config::SettingsSchema& schema, RouterSettings& settings)
 {
     RouterOptions& core = settings.core;
-    schema.addInteger ("max_attempts", &settings.maximumAttempts, 1, kMostAttempts,
+    schema.addInteger ("max_attempts", &settings.maximumAttempts, 1, kMaxAttempts,
                        "attempts at back ends for one request without progress");
     schema.addReal ("retry_budget_share", &core.retryBudgetShare, 0, 1,
                     "retries allowed as a share of first attempts");
@@ -59,10 +59,10 @@
         "to a second back end; 0: never");
     schema.addInteger ("hedge_max_urgency", &settings.hedgeMaximumUrgency, 0, kLeastUrgent,
                        "largest urgency that is sent to a second back end");
-    schema.addInteger ("max_buffered_answer_bytes", &settings.bufferedAnswerBytes, 0, kMostBytes,
+    schema.addInteger ("max_buffered_answer_bytes", &settings.bufferedAnswerBytes, 0, kMaxBytes,
                        "answers without streaming are kept back up to this size, so that a broken "
                        "attempt can be repeated");
-    schema.addInteger ("back_end_buffer_bytes", &settings.backEndBufferBytes, 1, kMostBytes,
+    schema.addInteger ("back_end_buffer_bytes", &settings.backEndBufferBytes, 1, kMaxBytes,
                        "unread bytes of one back end's answer");
     schema.addDuration ("cache_event_interval_ms", &settings.cacheEventInterval, {}, kLongest,
                         "interval of the calls for each engine's cache events; 0: never");
@@ -79,7 +79,7 @@
         "outcome_wait_ms", &core.outcomeWait, kShortest, kLongest,
         "how long the outcome of a request that may not be repeated is awaited after "
         "its caller was answered or left");
-    schema.addInteger ("max_request_traces", &settings.requestTraces, 1, kMostRequests,
+    schema.addInteger ("max_request_traces", &settings.requestTraces, 1, kMaxRequests,
                        "requests remembered for /admin/v1/explain/request");
     schema.addDuration ("stop_grace_ms", &settings.stopGrace, {}, kLongest,
                         "least time in which a planned stop still answers new requests with "
@@ -91,10 +91,10 @@
 void declareCallers (config::SettingsSchema& schema, RouterSettings& settings)
 {
     http::ServerLimits& server = settings.server;
-    schema.addInteger ("max_header_bytes", &settings.headerBytes, kLeastHeaderBytes,
-                       kMostHeaderBytes, "request line and header fields of one request");
-    schema.addInteger ("max_body_bytes", &settings.bodyBytes, 0, kMostBytes, "body of one request");
-    schema.addInteger ("max_connections", &settings.connections, 1, kMostConnections,
+    schema.addInteger ("max_header_bytes", &settings.headerBytes, kMinHeaderBytes, kMaxHeaderBytes,
+                       "request line and header fields of one request");
+    schema.addInteger ("max_body_bytes", &settings.bodyBytes, 0, kMaxBytes, "body of one request");
+    schema.addInteger ("max_connections", &settings.connections, 1, kMaxConnections,
                        "open connections of callers; more are answered 503");
     schema.addDuration ("idle_timeout_ms", &server.idleTimeout, kShortest, kLongest,
                         "longest time between two requests of one connection");
@@ -104,7 +104,7 @@
                         "longest time from the end of a request's headers to the end of its body");
     schema.addDuration ("write_timeout_ms", &server.writeTimeout, kShortest, kLongest,
                         "a caller that takes nothing of its answer for this long is cut off");
-    schema.addInteger ("caller_buffer_bytes", &settings.callerBufferBytes, 1, kMostBytes,
+    schema.addInteger ("caller_buffer_bytes", &settings.callerBufferBytes, 1, kMaxBytes,
                        "unsent bytes of one answer that pause the back end");
 }
 
--- a/src/routing/PolicyExperimentTest.cpp
+++ b/src/routing/PolicyExperimentTest.cpp
@@ -24,11 +24,11 @@
 enum class Policy : std::uint8_t
 {
     kRoundRobin,
-    kLeastConnections,
+    kMinConnections,
     kRandomTwo,
     kOurs
 };
-constexpr std::array kPolicies{ Policy::kRoundRobin, Policy::kLeastConnections, Policy::kRandomTwo,
+constexpr std::array kPolicies{ Policy::kRoundRobin, Policy::kMinConnections, Policy::kRandomTwo,
                                 Policy::kOurs };
 constexpr std::array kPolicyNames{ "round robin", "least connections", "random-two", "ours" };
 
@@ -217,7 +217,7 @@
         {
             case Policy::kRoundRobin:
                 return candidates[router.turns[arrival.model]++ % candidates.size()];
-            case Policy::kLeastConnections:
+            case Policy::kMinConnections:
             {
                 auto rotated = candidates;
                 std::rotate (rotated.begin(), rotated.begin() + m_random.uniformInteger (0, last),
--- a/src/routing/ReplicaChooser.cpp
+++ b/src/routing/ReplicaChooser.cpp
@@ -11,7 +11,7 @@
 {
 
 /// Smallest weight of a runner after an ejection; keeps costs finite.
-constexpr double kLeastWeight = 0.01;
+constexpr double kMinWeight = 0.01;
 
 struct RatedReplica
 {
@@ -111,7 +111,7 @@
         const base::RunnerId& runner = state->info.runner;
         const std::size_t matching =
             prefixes.matchingBlocks (runner, state->info.target, request.prefixHashes);
-        const double weight = std::max (outliers.weightOf (runner, now), kLeastWeight);
+        const double weight = std::max (outliers.weightOf (runner, now), kMinWeight);
         candidates.push_back ({ state, costOf (*state, request, table, matching, weight) });
     }
     candidates = preferIf (candidates, [&] (const RatedReplica& candidate)
--- a/src/sim/Callers.cpp
+++ b/src/sim/Callers.cpp
@@ -18,7 +18,7 @@
 
 constexpr base::Duration kAnswerSlack = base::milliseconds (1000);
 constexpr int kOk = 200;
-constexpr int kMaximumRepetitions = 3;
+constexpr int kMaxRepetitions = 3;
 constexpr double kApplicationShare = 0.4;
 constexpr std::size_t kProbedTargets = 3;
 constexpr double kLeavingShare = 0.05;
@@ -154,7 +154,7 @@
 
 void Callers::sendAgain (const CallerRequestPointer& request)
 {
-    if (request->repetition >= kMaximumRepetitions)
+    if (request->repetition >= kMaxRepetitions)
         return;
     auto again = std::make_shared<CallerRequest>();
     again->head = request->head;
--- a/src/sim/ControllerNode.cpp
+++ b/src/sim/ControllerNode.cpp
@@ -17,8 +17,8 @@
 constexpr base::Duration kTickInterval = base::milliseconds (10);
 constexpr base::Duration kCallTimeout = base::milliseconds (2000);
 constexpr base::Duration kUsualSync = base::microseconds (1500);
-constexpr std::int64_t kShortestSyncMicroseconds = 200;
-constexpr std::int64_t kLongestRestartMicroseconds = 400'000;
+constexpr std::int64_t kMinSyncMicroseconds = 200;
+constexpr std::int64_t kMaxRestartMicroseconds = 400'000;
 
 consensus::PlantedFault consensusFault (PlantedFault fault)
 {
@@ -142,7 +142,7 @@
     if (! m_isStopping || ! m_core || ! m_core->isStopped())
         return;
     kill (base::Duration::zero());
-    const auto pause = base::Duration (random().uniformInteger (0, kLongestRestartMicroseconds));
+    const auto pause = base::Duration (random().uniformInteger (0, kMaxRestartMicroseconds));
     queue().after (pause,
                    [this, stopped = this->life()]
                    {
@@ -238,7 +238,7 @@
         return;
     m_disk.beginWrite();
     const auto length =
-        base::Duration (random().uniformInteger (kShortestSyncMicroseconds, m_longestSync.count()));
+        base::Duration (random().uniformInteger (kMinSyncMicroseconds, m_longestSync.count()));
     queue().after (length,
                    [this, life = life()]
                    {
--- a/src/sim/EventQueue.cpp
+++ b/src/sim/EventQueue.cpp
@@ -21,7 +21,7 @@
         const Event event = std::move (m_heap.back());
         m_heap.pop_back();
         m_eventsAtThisTime = event.time == m_now ? m_eventsAtThisTime + 1 : 0;
-        if (m_eventsAtThisTime > kMaximumEventsAtOneTime)
+        if (m_eventsAtThisTime > kMaxEventsAtOneTime)
             throw std::logic_error ("time stands still");
         m_now = event.time;
         ++m_executed;
--- a/src/sim/EventQueue.h
+++ b/src/sim/EventQueue.h
@@ -43,7 +43,7 @@
     };
 
     /// More events at one time than this: the simulation makes no progress.
-    static constexpr std::uint64_t kMaximumEventsAtOneTime = 1'000'000;
+    static constexpr std::uint64_t kMaxEventsAtOneTime = 1'000'000;
 
     base::TimePoint m_now{ base::seconds (1000) };
     std::vector<Event> m_heap;
--- a/src/sim/Network.cpp
+++ b/src/sim/Network.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-constexpr std::int64_t kShortestDelayMicroseconds = 200;
-constexpr std::int64_t kLongestDelayMicroseconds = 1800;
+constexpr std::int64_t kMinDelayMicroseconds = 200;
+constexpr std::int64_t kMaxDelayMicroseconds = 1800;
 /// Until a healed link carries waiting parts again.
-constexpr std::int64_t kLongestRetransmissionMicroseconds = 300'000;
+constexpr std::int64_t kMaxRetransmissionMicroseconds = 300'000;
 
 }  // namespace
 
@@ -154,7 +154,7 @@
             if (! isDirection || connection->m_sides[Connection::index (side)].held.empty())
                 continue;
             const auto wait =
-                base::Duration (m_random.uniformInteger (0, kLongestRetransmissionMicroseconds));
+                base::Duration (m_random.uniformInteger (0, kMaxRetransmissionMicroseconds));
             m_queue.after (wait, [connection, side] { connection->flush (side); });
         }
     }
@@ -176,8 +176,8 @@
 
 base::Duration Network::delay (NodeId from, NodeId to)
 {
-    auto delay = base::Duration (
-        m_random.uniformInteger (kShortestDelayMicroseconds, kLongestDelayMicroseconds));
+    auto delay =
+        base::Duration (m_random.uniformInteger (kMinDelayMicroseconds, kMaxDelayMicroseconds));
     const base::Duration extra = link (from, to).extraDelay + m_turbulence.extraDelay;
     if (extra > base::Duration::zero())
     {
--- a/src/sim/Operators.cpp
+++ b/src/sim/Operators.cpp
@@ -23,7 +23,7 @@
 constexpr double kMeanApplyMillisecondsInHour = 30'000;
 constexpr double kMeanReadMillisecondsInHour = 5'000;
 constexpr base::Duration kReplacementPause = base::milliseconds (250);
-constexpr int kMaximumSendings = 8;
+constexpr int kMaxSendings = 8;
 constexpr double kLostAnswerShare = 0.1;
 
 QJsonObject parse (const std::string& json)
@@ -135,7 +135,7 @@
 
 void Operators::sendApply (Apply apply)
 {
-    if (++apply.sendings > kMaximumSendings)
+    if (++apply.sendings > kMaxSendings)
         return;
     apply.record.sentAt = queue().now();
     const bool waits = random().chance (0.3);
--- a/src/sim/RouterNode.cpp
+++ b/src/sim/RouterNode.cpp
@@ -14,7 +14,7 @@
 {
 
 constexpr base::Duration kTickInterval = base::milliseconds (10);
-constexpr std::int64_t kLongestRestartMicroseconds = 500'000;
+constexpr std::int64_t kMaxRestartMicroseconds = 500'000;
 
 router::PlantedFault routerFault (PlantedFault fault)
 {
@@ -139,7 +139,7 @@
                                 name() + " is idle with open requests");
     }
     kill (base::Duration::zero());
-    const auto pause = base::Duration (random().uniformInteger (0, kLongestRestartMicroseconds));
+    const auto pause = base::Duration (random().uniformInteger (0, kMaxRestartMicroseconds));
     queue().after (pause,
                    [this, stopped = this->life()]
                    {
--- a/src/sim/SimProgram.cpp
+++ b/src/sim/SimProgram.cpp
@@ -26,8 +26,8 @@
     "  sweep    Run seeds one after the other and report violations.\n"
     "  planted  Sweep once for each planted fault until it is found.\n"
     "  replay   Run one seed again and print its events.\n";
-constexpr std::int64_t kMostSeeds = 100'000'000;
-constexpr std::int64_t kMostThreads = 256;
+constexpr std::int64_t kMaxSeeds = 100'000'000;
+constexpr std::int64_t kMaxThreads = 256;
 
 struct Arguments
 {
@@ -55,11 +55,11 @@
 void Arguments::declare (config::SettingsSchema& schema)
 {
     schema.setPositionals ("COMMAND")
-        .addInteger ("seeds", &seeds, 1, kMostSeeds, "sweep, planted: seeds to run.")
-        .addInteger ("first", &first, 0, kMostSeeds, "sweep, planted: first seed.")
-        .addInteger ("threads", &threads, 1, kMostThreads, "sweep, planted: threads.")
+        .addInteger ("seeds", &seeds, 1, kMaxSeeds, "sweep, planted: seeds to run.")
+        .addInteger ("first", &first, 0, kMaxSeeds, "sweep, planted: first seed.")
+        .addInteger ("threads", &threads, 1, kMaxThreads, "sweep, planted: threads.")
         .addBoolean ("long", &isLong, "sweep: run 10,000 seeds.")
-        .addInteger ("seed", &seed, 0, kMostSeeds, "replay: seed to run.")
+        .addInteger ("seed", &seed, 0, kMaxSeeds, "replay: seed to run.")
         .addChoice ("planted_fault", &plantedFault, namesOfPlantedFaults(),
                     "sweep, replay: a deliberate fault that must be found.")
         .addBoolean ("hour_cut", &hasHourCut,
--- a/src/sim/SweepTest.cpp
+++ b/src/sim/SweepTest.cpp
@@ -78,8 +78,8 @@
 TEST_P (PlantedFaultTest, IsFound)
 {
     // The rarest is found at seed 110; without a finding every seed is run.
-    constexpr std::uint64_t kMaximumSeeds = 300;
-    SweepOptions options = sweepOf (kMaximumSeeds);
+    constexpr std::uint64_t kMaxSeeds = 300;
+    SweepOptions options = sweepOf (kMaxSeeds);
     options.simulation.plantedFault = GetParam();
     options.stopsAtFirstViolation = true;
     const SweepReport report = runSweep (options);
--- a/src/sim/Violations.h
+++ b/src/sim/Violations.h
@@ -30,7 +30,7 @@
 
 private:
     /// More are counted as one and the same failure.
-    static constexpr std::size_t kMaximumKept = 20;
+    static constexpr std::size_t kMaxKept = 20;
 
     const EventQueue& m_queue;
     Trace& m_trace;
--- a/src/sim/World.cpp
+++ b/src/sim/World.cpp
@@ -18,7 +18,7 @@
 namespace
 {
 
-constexpr double kLargestDrift = 500e-6;
+constexpr double kMaxDrift = 500e-6;
 
 std::size_t countNodes (const SimulationOptions& options)
 {
@@ -62,6 +62,6 @@
     return nullptr;
 }
 
-double drawDrift (base::Random& random) { return (random.uniformReal() * 2 - 1) * kLargestDrift; }
+double drawDrift (base::Random& random) { return (random.uniformReal() * 2 - 1) * kMaxDrift; }
 
 }  // namespace fernlift::sim
--- a/src/standin/PrefixCache.cpp
+++ b/src/standin/PrefixCache.cpp
@@ -7,8 +7,8 @@
 namespace
 {
 
-constexpr std::size_t kMaximumKeptEvents = 20000;
-constexpr std::size_t kMaximumEventsPerAnswer = 1000;
+constexpr std::size_t kMaxKeptEvents = 20000;
+constexpr std::size_t kMaxEventsPerAnswer = 1000;
 
 }  // namespace
 
@@ -69,7 +69,7 @@
     {
         if (event.sequence <= sequence)
             continue;
-        if (event.at + m_eventDelay > now || visible.size() == kMaximumEventsPerAnswer)
+        if (event.at + m_eventDelay > now || visible.size() == kMaxEventsPerAnswer)
             break;
         visible.push_back (event);
     }
@@ -95,7 +95,7 @@
         return;
     }
     m_events.push_back ({ m_lastSequence, isStored, key.first, key.second, now });
-    if (m_events.size() > kMaximumKeptEvents)
+    if (m_events.size() > kMaxKeptEvents)
         m_events.pop_front();
 }
 
--- a/src/standin/StandinSettings.cpp
+++ b/src/standin/StandinSettings.cpp
@@ -11,10 +11,10 @@
 namespace
 {
 
-constexpr std::int64_t kMaximumMegabytes = 100'000'000;
-constexpr std::int64_t kMaximumCount = 1'000'000;
-constexpr base::Duration kMaximumDuration = base::seconds (3600);
-constexpr double kMaximumRate = 1e9;
+constexpr std::int64_t kMaxMegabytes = 100'000'000;
+constexpr std::int64_t kMaxCount = 1'000'000;
+constexpr base::Duration kMaxDuration = base::seconds (3600);
+constexpr double kMaxRate = 1e9;
 
 base::Result<Checkpoint> parseCheckpoint (const std::string& text)
 {
@@ -44,7 +44,7 @@
     schema.addAddress ("http_address", &httpAddress, "Address of the HTTP interface; port 0: any.");
     schema.addReal ("time_scale", &timeScale, 0.0001, 1000.0,
                     "Factor on every simulated duration; 0.1 makes all ten times quicker.");
-    schema.addDuration ("stop_grace_ms", &stopGrace, {}, kMaximumDuration,
+    schema.addDuration ("stop_grace_ms", &stopGrace, {}, kMaxDuration,
                         "Least real time between a stop signal and the end of the process.");
     schema.addString ("ledger_file", &ledgerFile,
                       "Gets the ledger as one more line at a planned stop; empty: none.");
@@ -55,34 +55,32 @@
 {
     schema.addString ("runner", &runner, "Name of this runner.").required();
     schema.addString ("weight_store", &weightStore, "Address of the weight store; empty: none.");
-    schema.addInteger ("memory_mb", &totalMemory, 1, kMaximumMegabytes, "Accelerator memory.");
-    schema.addInteger ("slots", &slots, 1, kMaximumCount, "Requests that run at once.");
-    schema.addInteger ("maximum_waiting", &maximumWaiting, 0, kMaximumCount,
+    schema.addInteger ("memory_mb", &totalMemory, 1, kMaxMegabytes, "Accelerator memory.");
+    schema.addInteger ("slots", &slots, 1, kMaxCount, "Requests that run at once.");
+    schema.addInteger ("maximum_waiting", &maximumWaiting, 0, kMaxCount,
                        "Requests that wait for a slot; more are refused.");
-    schema.addInteger ("disk_cache_mb", &diskCapacity, 0, kMaximumMegabytes,
+    schema.addInteger ("disk_cache_mb", &diskCapacity, 0, kMaxMegabytes,
                        "Room for checkpoints on disk.");
-    schema.addInteger ("memory_cache_mb", &memoryCapacity, 0, kMaximumMegabytes,
+    schema.addInteger ("memory_cache_mb", &memoryCapacity, 0, kMaxMegabytes,
                        "Room for checkpoints in main memory.");
     schema.addStringList ("checkpoint", &checkpoints,
                           "Checkpoint on disk at the start: artifact,version,size_mb.");
-    schema.addReal ("disk_mb_per_second", &options.diskMegabytesPerSecond, 1.0, kMaximumRate,
+    schema.addReal ("disk_mb_per_second", &options.diskMegabytesPerSecond, 1.0, kMaxRate,
                     "Speed from disk to main memory.");
-    schema.addReal ("memory_mb_per_second", &options.memoryMegabytesPerSecond, 1.0, kMaximumRate,
+    schema.addReal ("memory_mb_per_second", &options.memoryMegabytesPerSecond, 1.0, kMaxRate,
                     "Speed from main memory to the accelerator.");
-    schema.addDuration ("load_overhead_ms", &options.loadOverhead, {}, kMaximumDuration,
+    schema.addDuration ("load_overhead_ms", &options.loadOverhead, {}, kMaxDuration,
                         "Time added to each step of a load.");
-    schema.addDuration ("unload_ms", &options.unloadTime, {}, kMaximumDuration,
-                        "Time of an unload.");
-    schema.addDuration ("step_ms", &options.stepTime, base::milliseconds (1), kMaximumDuration,
+    schema.addDuration ("unload_ms", &options.unloadTime, {}, kMaxDuration, "Time of an unload.");
+    schema.addDuration ("step_ms", &options.stepTime, base::milliseconds (1), kMaxDuration,
                         "Time in which each running request gets one token.");
-    schema.addInteger ("prefill_blocks_per_step", &prefillBlocksPerStep, 1, kMaximumCount,
+    schema.addInteger ("prefill_blocks_per_step", &prefillBlocksPerStep, 1, kMaxCount,
                        "Prompt blocks a request computes in one step.");
-    schema.addInteger ("cache_blocks", &cacheBlocks, 0, kMaximumCount,
+    schema.addInteger ("cache_blocks", &cacheBlocks, 0, kMaxCount,
                        "KV blocks of all requests and the prefix cache.");
-    schema.addDuration ("cache_event_delay_ms", &options.cacheEventDelay, {}, kMaximumDuration,
+    schema.addDuration ("cache_event_delay_ms", &options.cacheEventDelay, {}, kMaxDuration,
                         "Delay of cache events.");
-    schema.addDuration ("report_lag_ms", &options.reportLag, base::milliseconds (1),
-                        kMaximumDuration,
+    schema.addDuration ("report_lag_ms", &options.reportLag, base::milliseconds (1), kMaxDuration,
                         "Reports show the state between one and two of these ago.");
 }
 
@@ -111,10 +109,10 @@
 void ApplicationSettings::declare (config::SettingsSchema& schema)
 {
     schema.addString ("runner", &runner, "Name of this runner.").required();
-    schema.addInteger ("slots", &slots, 1, kMaximumCount, "Requests that run at once.");
-    schema.addInteger ("maximum_waiting", &maximumWaiting, 0, kMaximumCount,
+    schema.addInteger ("slots", &slots, 1, kMaxCount, "Requests that run at once.");
+    schema.addInteger ("maximum_waiting", &maximumWaiting, 0, kMaxCount,
                        "Requests that wait for a slot; more are refused.");
-    schema.addDuration ("service_ms", &options.serviceTime, {}, kMaximumDuration,
+    schema.addDuration ("service_ms", &options.serviceTime, {}, kMaxDuration,
                         "Time one request takes.");
 }
 
@@ -130,11 +128,11 @@
 
 void WeightStoreSettings::declare (config::SettingsSchema& schema)
 {
-    schema.addReal ("loads_per_second", &options.loadsPerSecond, 0.001, kMaximumRate,
+    schema.addReal ("loads_per_second", &options.loadsPerSecond, 0.001, kMaxRate,
                     "Transfers that may begin in a second.");
-    schema.addInteger ("full_speed_transfers", &fullSpeedTransfers, 1, kMaximumCount,
+    schema.addInteger ("full_speed_transfers", &fullSpeedTransfers, 1, kMaxCount,
                        "Transfers at once at full speed; more share it.");
-    schema.addReal ("mb_per_second", &options.megabytesPerSecond, 0.001, kMaximumRate,
+    schema.addReal ("mb_per_second", &options.megabytesPerSecond, 0.001, kMaxRate,
                     "Full speed of one transfer.");
 }
 
@@ -149,7 +147,7 @@
 {
     schema.addStringList ("machine", &machines,
                           "One machine: id,role,zone,address,memory_mb,accelerators[,app+app].");
-    schema.addDuration ("lag_ms", &lag, {}, kMaximumDuration, "Time until a change shows.");
+    schema.addDuration ("lag_ms", &lag, {}, kMaxDuration, "Time until a change shows.");
 }
 
 base::Result<engine::MachineList> MachineListSettings::toList() const
@@ -169,7 +167,7 @@
 {
     std::random_device device;
     const std::uint64_t high = device();
-    return ((high << 32U) | device()) & engine::kMaximumJsonInteger;
+    return ((high << 32U) | device()) & engine::kMaxJsonInteger;
 }
 
 }  // namespace fernlift::standin
--- a/src/wire/Frame.cpp
+++ b/src/wire/Frame.cpp
@@ -73,7 +73,7 @@
     {
         return base::fail (ErrorKind::kMessageInvalid, "frame header names an unknown channel");
     }
-    if (wordAt (header, kLengthOffset) > kMaximumFrameBytes)
+    if (wordAt (header, kLengthOffset) > kMaxFrameBytes)
     {
         return base::fail (ErrorKind::kMessageInvalid, "frame exceeds the size limit");
     }
@@ -84,7 +84,7 @@
 {
     if (form == kPlain)
         return std::string (payload);
-    std::optional<std::string> plain = base::decompress (payload, kMaximumFrameBytes);
+    std::optional<std::string> plain = base::decompress (payload, kMaxFrameBytes);
     if (! plain)
         return base::fail (base::ErrorKind::kMessageInvalid,
                            "payload of a compressed frame is damaged or exceeds the size limit");
--- a/src/wire/Frame.h
+++ b/src/wire/Frame.h
@@ -28,7 +28,7 @@
     std::size_t wireBytes = 0;  ///< Size on the connection, header included; set by FrameReader.
 };
 
-constexpr std::size_t kMaximumFrameBytes = 64UL * 1024 * 1024;
+constexpr std::size_t kMaxFrameBytes = 64UL * 1024 * 1024;
 
 /// Encodes a frame; compresses large payloads.
 [[nodiscard]] std::string encodeFrame (Channel channel, std::string_view payload);
--- a/src/wire/FrameConnectionTest.cpp
+++ b/src/wire/FrameConnectionTest.cpp
@@ -114,9 +114,9 @@
     options.maximumUnsentBytes = 1024UL * 1024;
     FrameConnection server (acceptSocket(), options, { {}, {}, [&] { ++closed; } }, nullptr);
     const std::string payload = incompressible (256UL * 1024);
-    constexpr std::size_t kMostBytes = 256UL * 1024 * 1024;
+    constexpr std::size_t kMaxBytes = 256UL * 1024 * 1024;
     std::size_t sent = 0;
-    while (closed == 0 && sent < kMostBytes)
+    while (closed == 0 && sent < kMaxBytes)
     {
         server.send (Channel::kMember, payload);
         sent += payload.size();
--- a/src/wire/FrameTest.cpp
+++ b/src/wire/FrameTest.cpp
@@ -67,7 +67,7 @@
 TEST (FrameReader, refusesAnOversizeFrameOnceItsHeaderIsRead)
 {
     std::string header = encodeFrame (Channel::kMember, "").substr (0, kHeaderBytes);
-    const auto tooLong = static_cast<std::uint32_t> (kMaximumFrameBytes + 1);
+    const auto tooLong = static_cast<std::uint32_t> (kMaxFrameBytes + 1);
     for (unsigned position = 0; position < 4; ++position)
     {
         header[4 + position] = static_cast<char> (tooLong >> (8 * position));
