--- a/src/base/Error.cpp
+++ b/src/base/Error.cpp
@@ -142,7 +142,7 @@
 
 std::span<const ErrorTraits> allErrorTraits() { return kTable; }
 
-std::string_view nameOf (Execution execution)
+std::string_view toString (Execution execution)
 {
     switch (execution)
     {
--- a/src/base/Error.h
+++ b/src/base/Error.h
@@ -108,7 +108,7 @@
 /// All rows, in the order of the enumeration.
 [[nodiscard]] std::span<const ErrorTraits> allErrorTraits();
 /// Name of the value in responses: "not_run", "ran" or "unknown".
-[[nodiscard]] std::string_view nameOf (Execution execution);
+[[nodiscard]] std::string_view toString (Execution execution);
 
 template <class T>
 using Result = boost::leaf::result<T>;
--- a/src/cell/CellState.cpp
+++ b/src/cell/CellState.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-std::string_view nameOf (ConfigurationOutcome outcome)
+std::string_view toString (ConfigurationOutcome outcome)
 {
     switch (outcome)
     {
@@ -126,7 +126,8 @@
 ApplyResult CellState::applyCommand (base::LogIndex index, const ApplyConfiguration& command)
 {
     ConfigurationResult result = m_configuration.apply (index, command);
-    note (index, command.proposedAt, DecisionKind::kConfiguration, nullptr, nameOf (result.outcome),
+    note (index, command.proposedAt, DecisionKind::kConfiguration, nullptr,
+          toString (result.outcome),
           "version " + std::to_string (command.version) + " digest " + command.digest);
     return result;
 }
@@ -170,7 +171,7 @@
         command.adapter.empty() ? command.model.value : command.adapter.value;
     m_journal.add ({ index, command.proposedAt, DecisionKind::kLoad, target, command.runner,
                      refusal == LoadRefusal::kNone ? index : 0,
-                     std::string (cell::nameOf (refusal)), command.reason });
+                     std::string (cell::toString (refusal)), command.reason });
     return LoadResult{ refusal };
 }
 
@@ -178,7 +179,7 @@
 {
     const UnloadRefusal refusal = m_replicas.unload (index, command.replica);
     note (index, command.proposedAt, DecisionKind::kUnload,
-          m_replicas.findReplica (command.replica), cell::nameOf (refusal), command.reason);
+          m_replicas.findReplica (command.replica), cell::toString (refusal), command.reason);
     return UnloadResult{ refusal };
 }
 
--- a/src/cell/DecisionJournal.cpp
+++ b/src/cell/DecisionJournal.cpp
@@ -5,7 +5,7 @@
 namespace fernlift::cell
 {
 
-std::string_view nameOf (DecisionKind kind)
+std::string_view toString (DecisionKind kind)
 {
     switch (kind)
     {
--- a/src/cell/DecisionJournal.h
+++ b/src/cell/DecisionJournal.h
@@ -27,7 +27,7 @@
     kReady,
     kReleased,
 };
-[[nodiscard]] std::string_view nameOf (DecisionKind kind);
+[[nodiscard]] std::string_view toString (DecisionKind kind);
 
 /// One decision and its outcome.
 struct DecisionRecord
--- a/src/cell/ReplicaTable.cpp
+++ b/src/cell/ReplicaTable.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-std::string_view nameOf (LoadRefusal refusal)
+std::string_view toString (LoadRefusal refusal)
 {
     switch (refusal)
     {
@@ -55,7 +55,7 @@
     return "unknown";
 }
 
-std::string_view nameOf (UnloadRefusal refusal)
+std::string_view toString (UnloadRefusal refusal)
 {
     switch (refusal)
     {
--- a/src/cell/ReplicaTable.h
+++ b/src/cell/ReplicaTable.h
@@ -97,7 +97,7 @@
     kMemory,
     kBaseNotReady,
 };
-[[nodiscard]] std::string_view nameOf (LoadRefusal refusal);
+[[nodiscard]] std::string_view toString (LoadRefusal refusal);
 
 enum class UnloadRefusal : std::uint8_t
 {
@@ -105,7 +105,7 @@
     kUnknownReplica,  ///< The log index may still serve as fence for an orphaned replica.
     kHasAdapters,     ///< The adapters on the replica must be unloaded first.
 };
-[[nodiscard]] std::string_view nameOf (UnloadRefusal refusal);
+[[nodiscard]] std::string_view toString (UnloadRefusal refusal);
 
 /// Table of runners and replicas. Changed only by commands, in log order.
 class ReplicaTable
--- a/src/config/LoggingSettings.cpp
+++ b/src/config/LoggingSettings.cpp
@@ -27,7 +27,7 @@
 {
     for (const log::Severity severity : kSeverities)
     {
-        if (log::nameOf (severity) != text)
+        if (log::toString (severity) != text)
             continue;
         target->minimumSeverity = severity;
         return std::nullopt;
@@ -51,7 +51,7 @@
     level.key = "log_level";
     level.typeName = "one of debug, info, warning, error";
     level.help = "Least severity that is logged.";
-    level.defaultText = log::nameOf (target->minimumSeverity);
+    level.defaultText = log::toString (target->minimumSeverity);
     level.assign = [target] (const std::string& text) { return assignLevel (target, text); };
     schema.add (level);
 }
--- a/src/controller/AdminAnswers.cpp
+++ b/src/controller/AdminAnswers.cpp
@@ -29,7 +29,7 @@
     const base::ErrorTraits& traits = base::traitsOf (error.kind);
     return { { u"kind"_s, text (traits.name) },
              { u"message"_s, text (error.message) },
-             { u"execution"_s, text (base::nameOf (traits.execution)) } };
+             { u"execution"_s, text (base::toString (traits.execution)) } };
 }
 
 QJsonObject configurationObject (const cell::ConfigurationIdentity& identity)
@@ -217,7 +217,7 @@
             continue;
         QJsonObject object{ { u"log_index"_s, number (record.index) },
                             { u"at_ms"_s, static_cast<qint64> (record.at) },
-                            { u"decision"_s, text (cell::nameOf (record.kind)) },
+                            { u"decision"_s, text (cell::toString (record.kind)) },
                             { u"outcome"_s, text (record.outcome) },
                             { u"reason"_s, text (record.reason) } };
         if (! record.target.empty())
--- a/src/controller/ControlRequests.h
+++ b/src/controller/ControlRequests.h
@@ -59,7 +59,7 @@
 };
 
 /// For logs, for example "not_leader".
-[[nodiscard]] constexpr const char* nameOf (ControlVerdict verdict)
+[[nodiscard]] constexpr const char* toString (ControlVerdict verdict)
 {
     switch (verdict)
     {
--- a/src/controller/ControllerConfiguration.cpp
+++ b/src/controller/ControllerConfiguration.cpp
@@ -113,7 +113,7 @@
 void ControllerCore::Implementation::answerConfiguration (const ForConfiguration& purpose,
                                                           ControlAnswer answer)
 {
-    m_effects.emplace_back (ConfigurationAnswered{ purpose.version, nameOf (answer.verdict),
+    m_effects.emplace_back (ConfigurationAnswered{ purpose.version, toString (answer.verdict),
                                                    m_now - purpose.arrivedAt });
     answerControl (purpose.ticket, std::move (answer));
 }
--- a/src/controller/ControllerProcess.cpp
+++ b/src/controller/ControllerProcess.cpp
@@ -351,7 +351,7 @@
                         { { "instance", order.instance },
                           { "model", order.model },
                           { "adapter", order.adapter },
-                          { "outcome", engine::nameOf (outcome) } });
+                          { "outcome", engine::toString (outcome) } });
             feed ([&] (ControllerCore& core) { core.onEngineOrderAnswer (order, outcome); });
         });
 }
--- a/src/ctl/CatalogueDiff.cpp
+++ b/src/ctl/CatalogueDiff.cpp
@@ -107,7 +107,7 @@
 
 }  // namespace
 
-std::string_view nameOf (ChangeKind kind)
+std::string_view toString (ChangeKind kind)
 {
     switch (kind)
     {
--- a/src/ctl/CatalogueDiff.h
+++ b/src/ctl/CatalogueDiff.h
@@ -32,7 +32,7 @@
 };
 
 /// "added", "removed" or "changed".
-[[nodiscard]] std::string_view nameOf (ChangeKind kind);
+[[nodiscard]] std::string_view toString (ChangeKind kind);
 
 /// All differences that lead from `before` to `after`. The order of items in a file does not count.
 [[nodiscard]] std::vector<CatalogueChange> compareCatalogues (const config::Catalogue& before,
--- a/src/ctl/ConfigurationCommands.cpp
+++ b/src/ctl/ConfigurationCommands.cpp
@@ -154,7 +154,7 @@
     QJsonArray list;
     for (const CatalogueChange& change : changes)
     {
-        list.append (QJsonObject{ { QStringLiteral ("change"), toQString (nameOf (change.kind)) },
+        list.append (QJsonObject{ { QStringLiteral ("change"), toQString (toString (change.kind)) },
                                   { QStringLiteral ("item"), toQString (change.item) },
                                   { QStringLiteral ("key"), toQString (change.key) },
                                   { QStringLiteral ("before"), toQString (change.before) },
--- a/src/ctl/Documentation.cpp
+++ b/src/ctl/Documentation.cpp
@@ -88,7 +88,7 @@
                     + headerRow ({ "Number", "Name", "Severity", "Message", "What to do" });
         }
         page += row ({ std::to_string (event.number), std::string (event.name),
-                       std::string (log::nameOf (event.severity)), std::string (event.summary),
+                       std::string (log::toString (event.severity)), std::string (event.summary),
                        std::string (event.action) });
     }
     return page;
@@ -112,7 +112,7 @@
     for (const base::ErrorTraits& error : errors)
     {
         page += row ({ "`" + std::string (error.name) + "`", std::to_string (error.httpStatus),
-                       "`" + std::string (base::nameOf (error.execution)) + "`",
+                       "`" + std::string (base::toString (error.execution)) + "`",
                        error.retryable ? "yes" : "no", std::to_string (error.exitCode),
                        std::string (error.meaning) });
     }
--- a/src/ctl/ReferenceCommands.cpp
+++ b/src/ctl/ReferenceCommands.cpp
@@ -17,12 +17,12 @@
     QJsonArray events;
     for (const log::EventTraits& event : log::allEvents())
     {
-        events.append (
-            QJsonObject{ { QStringLiteral ("id"), event.number },
-                         { QStringLiteral ("name"), toQString (event.name) },
-                         { QStringLiteral ("severity"), toQString (log::nameOf (event.severity)) },
-                         { QStringLiteral ("message"), toQString (event.summary) },
-                         { QStringLiteral ("action"), toQString (event.action) } });
+        events.append (QJsonObject{
+            { QStringLiteral ("id"), event.number },
+            { QStringLiteral ("name"), toQString (event.name) },
+            { QStringLiteral ("severity"), toQString (log::toString (event.severity)) },
+            { QStringLiteral ("message"), toQString (event.summary) },
+            { QStringLiteral ("action"), toQString (event.action) } });
     }
     report.json.insert (u"events", events);
     return report;
@@ -39,7 +39,7 @@
         errors.append (QJsonObject{
             { QStringLiteral ("kind"), toQString (error.name) },
             { QStringLiteral ("http_status"), error.httpStatus },
-            { QStringLiteral ("execution"), toQString (base::nameOf (error.execution)) },
+            { QStringLiteral ("execution"), toQString (base::toString (error.execution)) },
             { QStringLiteral ("retryable"), error.retryable },
             { QStringLiteral ("exit_code"), error.exitCode },
             { QStringLiteral ("meaning"), toQString (error.meaning) } });
--- a/src/engine/ServiceEngine.cpp
+++ b/src/engine/ServiceEngine.cpp
@@ -3,7 +3,7 @@
 namespace fernlift::engine
 {
 
-std::string_view nameOf (OrderOutcome outcome)
+std::string_view toString (OrderOutcome outcome)
 {
     switch (outcome)
     {
--- a/src/engine/ServiceEngine.h
+++ b/src/engine/ServiceEngine.h
@@ -41,7 +41,7 @@
 };
 
 /// Name of the outcome in logs, for example "under_way".
-[[nodiscard]] std::string_view nameOf (OrderOutcome outcome);
+[[nodiscard]] std::string_view toString (OrderOutcome outcome);
 
 /// One model in an engine's report.
 struct ReportedModel
--- a/src/http/ErrorResponse.cpp
+++ b/src/http/ErrorResponse.cpp
@@ -32,7 +32,7 @@
     QJsonObject fields;
     fields[u"kind"_s] = toQString (base::traitsOf (error.kind).name);
     fields[u"message"_s] = toQString (error.message);
-    fields[u"execution"_s] = toQString (base::nameOf (execution));
+    fields[u"execution"_s] = toQString (base::toString (execution));
     if (! requestId.empty())
         fields[u"request_id"_s] = toQString (requestId);
     if (retryAfter)
@@ -53,7 +53,7 @@
 {
     Response response = jsonResponse (base::traitsOf (error.kind).httpStatus,
                                       errorJson (error, execution, requestId, retryAfter));
-    response.headers.add ("X-Fernlift-Execution", std::string (base::nameOf (execution)));
+    response.headers.add ("X-Fernlift-Execution", std::string (base::toString (execution)));
     if (! requestId.empty())
         response.headers.add ("X-Request-Id", requestId);
     if (retryAfter)
--- a/src/lab/CallRecord.cpp
+++ b/src/lab/CallRecord.cpp
@@ -36,7 +36,7 @@
 {
     for (const CallEnd end : kAllEnds)
     {
-        if (nameOf (end) == name)
+        if (toString (end) == name)
         {
             return end;
         }
@@ -94,7 +94,7 @@
         { QStringLiteral ("sent_us"), static_cast<qint64> (record.sentMicroseconds) },
         { QStringLiteral ("first_byte_us"), static_cast<qint64> (record.firstByteMicroseconds) },
         { QStringLiteral ("end_us"), static_cast<qint64> (record.endMicroseconds) },
-        { QStringLiteral ("end"), text (nameOf (record.end)) },
+        { QStringLiteral ("end"), text (toString (record.end)) },
         { QStringLiteral ("status"), record.status },
         { QStringLiteral ("execution"), text (record.execution) },
         { QStringLiteral ("error_kind"), text (record.errorKind) },
--- a/src/lab/Demo.cpp
+++ b/src/lab/Demo.cpp
@@ -334,7 +334,7 @@
             checkHistory (m_history, ledger, standinAnswerDigest, {});
         for (const Violation& violation : violations)
         {
-            line ("%s %s %s", std::string (nameOf (violation.kind)).c_str(),
+            line ("%s %s %s", std::string (toString (violation.kind)).c_str(),
                   violation.requestId.c_str(), violation.detail.c_str());
         }
         line ("%zu calls, %zu runs, %zu violations", m_history.size(), ledger.size(),
@@ -376,7 +376,7 @@
             BOOST_LEAF_CHECK (require (call.isAnswerWhole || call.isResent,
                                        call.requestId + " ended with status "
                                            + std::to_string (call.status) + " " + call.errorKind
-                                           + ", " + std::string (nameOf (call.end))));
+                                           + ", " + std::string (toString (call.end))));
         }
         return {};
     }
--- a/src/lab/Fleet.cpp
+++ b/src/lab/Fleet.cpp
@@ -32,8 +32,8 @@
 {
     return QJsonObject{
         { QStringLiteral ("name"), toQString (status.name) },
-        { QStringLiteral ("role"), toQString (nameOf (status.role)) },
-        { QStringLiteral ("state"), toQString (nameOf (status.state)) },
+        { QStringLiteral ("role"), toQString (toString (status.role)) },
+        { QStringLiteral ("state"), toQString (toString (status.state)) },
         { QStringLiteral ("pid"), static_cast<qint64> (status.processId) },
         { QStringLiteral ("exit_code"), status.exitCode },
         { QStringLiteral ("http_address"), toQString (status.httpAddress.toString()) },
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-std::string_view nameOf (NodeState state)
+std::string_view toString (NodeState state)
 {
     switch (state)
     {
--- a/src/lab/Fleet.h
+++ b/src/lab/Fleet.h
@@ -24,7 +24,7 @@
     kEnded
 };
 
-[[nodiscard]] std::string_view nameOf (NodeState state);
+[[nodiscard]] std::string_view toString (NodeState state);
 
 struct NodeStatus
 {
--- a/src/lab/FleetPlan.cpp
+++ b/src/lab/FleetPlan.cpp
@@ -258,7 +258,7 @@
 
 }  // namespace
 
-std::string_view nameOf (NodeRole role)
+std::string_view toString (NodeRole role)
 {
     switch (role)
     {
--- a/src/lab/FleetPlan.h
+++ b/src/lab/FleetPlan.h
@@ -27,7 +27,7 @@
     kFaultProxy,
 };
 
-[[nodiscard]] std::string_view nameOf (NodeRole role);
+[[nodiscard]] std::string_view toString (NodeRole role);
 
 /// One process of a fleet.
 struct NodePlan
--- a/src/lab/FleetTestSupportTest.cpp
+++ b/src/lab/FleetTestSupportTest.cpp
@@ -136,7 +136,7 @@
     std::ostringstream text;
     for (const Violation& violation : violations)
     {
-        text << nameOf (violation.kind) << " " << violation.requestId << " " << violation.detail
+        text << toString (violation.kind) << " " << violation.requestId << " " << violation.detail
              << "\n";
     }
     return text.str();
@@ -299,7 +299,7 @@
     {
         if (! call.isAnswerWhole)
         {
-            text << call.requestId << " at " << call.router << ": " << nameOf (call.end)
+            text << call.requestId << " at " << call.router << ": " << toString (call.end)
                  << ", status " << call.status << " " << call.errorKind << " " << call.execution
                  << "\n";
         }
--- a/src/lab/HistoryCheck.cpp
+++ b/src/lab/HistoryCheck.cpp
@@ -27,8 +27,8 @@
     {
         if (! options.allowsBrokenCalls)
         {
-            violations.push_back (
-                { ViolationKind::kNoFinalAnswer, call.requestId, std::string (nameOf (call.end)) });
+            violations.push_back ({ ViolationKind::kNoFinalAnswer, call.requestId,
+                                    std::string (toString (call.end)) });
         }
     }
     else if (isSuccess && ! hasError && ! call.isAnswerWhole)
@@ -78,7 +78,7 @@
 
 }  // namespace
 
-std::string_view nameOf (ViolationKind kind)
+std::string_view toString (ViolationKind kind)
 {
     switch (kind)
     {
--- a/src/lab/HistoryCheck.h
+++ b/src/lab/HistoryCheck.h
@@ -50,7 +50,7 @@
     kRequestLeft,       ///< A router still holds a request, or lost count of one.
 };
 
-[[nodiscard]] std::string_view nameOf (ViolationKind kind);
+[[nodiscard]] std::string_view toString (ViolationKind kind);
 
 struct Violation
 {
--- a/src/lab/HttpCall.cpp
+++ b/src/lab/HttpCall.cpp
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-std::string_view nameOf (CallEnd end)
+std::string_view toString (CallEnd end)
 {
     switch (end)
     {
--- a/src/lab/HttpCall.h
+++ b/src/lab/HttpCall.h
@@ -36,7 +36,7 @@
     kTimeout,
 };
 
-[[nodiscard]] std::string_view nameOf (CallEnd end);
+[[nodiscard]] std::string_view toString (CallEnd end);
 
 struct HttpOutcome
 {
--- a/src/lab/LoadProgram.cpp
+++ b/src/lab/LoadProgram.cpp
@@ -194,7 +194,7 @@
                         .isLedgerComplete = ! settings.allowsLostLedgers });
     for (const Violation& violation : violations)
     {
-        std::cout << nameOf (violation.kind) << ' ' << violation.requestId << ' '
+        std::cout << toString (violation.kind) << ' ' << violation.requestId << ' '
                   << violation.detail << '\n';
     }
     std::cout << history.size() << " calls, " << ledger.size() << " runs, " << violations.size()
--- a/src/lab/MeasureFailover.cpp
+++ b/src/lab/MeasureFailover.cpp
@@ -20,7 +20,7 @@
     kStopped
 };
 
-const char* nameOf (Failure failure)
+const char* toString (Failure failure)
 {
     switch (failure)
     {
@@ -51,7 +51,7 @@
             BOOST_LEAF_AUTO (duration, runOne (failure));
             samples.add (duration);
             m_rows.push_back (
-                std::string (nameOf (failure)) + "," + std::to_string (trial) + ","
+                std::string (toString (failure)) + "," + std::to_string (trial) + ","
                 + std::to_string (std::chrono::duration<double, std::milli> (duration).count()));
         }
         return samples;
@@ -124,7 +124,7 @@
     {
         BOOST_LEAF_AUTO (samples, trials.run (failure, options.trials));
         out << summaryLine (
-            std::string ("leader ") + nameOf (failure) + ", until an apply is taken", samples)
+            std::string ("leader ") + toString (failure) + ", until an apply is taken", samples)
             << std::flush;
     }
     BOOST_LEAF_CHECK (writeCsv (options.csvFile, rows));
--- a/src/log/Format.cpp
+++ b/src/log/Format.cpp
@@ -76,7 +76,7 @@
 
 }  // namespace
 
-std::string_view nameOf (Severity severity)
+std::string_view toString (Severity severity)
 {
     switch (severity)
     {
@@ -96,7 +96,7 @@
 {
     std::string line = record.timestamp;
     line += ' ';
-    line += nameOf (record.event.severity);
+    line += toString (record.event.severity);
     line += ' ';
     line += record.program;
     if (! record.instance.empty())
@@ -122,7 +122,7 @@
         fields.insert (toQt (field.name), toQt (field.value));
     QJsonObject object;
     object.insert (u"timestamp", toQt (record.timestamp));
-    object.insert (u"severity", toQt (nameOf (record.event.severity)));
+    object.insert (u"severity", toQt (toString (record.event.severity)));
     object.insert (u"program", toQt (record.program));
     object.insert (u"instance", toQt (record.instance));
     object.insert (u"event", record.event.number);
--- a/src/log/Format.h
+++ b/src/log/Format.h
@@ -22,7 +22,7 @@
 };
 
 /// "debug", "info", "warning" or "error".
-[[nodiscard]] std::string_view nameOf (Severity severity);
+[[nodiscard]] std::string_view toString (Severity severity);
 /// One line without its end: fields follow the summary as name=value. A value with spaces, quotes
 /// or control characters is quoted and escaped, so that a record is always exactly one line.
 [[nodiscard]] std::string formatText (const Record& record);
--- a/src/proxy/ConfigurationFreshness.cpp
+++ b/src/proxy/ConfigurationFreshness.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-const char* nameOf (Freshness freshness)
+const char* toString (Freshness freshness)
 {
     switch (freshness)
     {
--- a/src/proxy/ConfigurationFreshness.h
+++ b/src/proxy/ConfigurationFreshness.h
@@ -26,7 +26,7 @@
 };
 
 /// Text for logs, for example "unconfirmed".
-[[nodiscard]] const char* nameOf (Freshness freshness);
+[[nodiscard]] const char* toString (Freshness freshness);
 
 /** Pure: time is passed in. Threading: none; owned by one ProxyProcess. */
 class ConfigurationFreshness
--- a/src/proxy/Exchange.cpp
+++ b/src/proxy/Exchange.cpp
@@ -231,7 +231,7 @@
                   { "service", m_query.service },
                   { "model", m_query.model },
                   { "adapter", m_query.adapter },
-                  { "cause", nameOf (choice.reason) },
+                  { "cause", toString (choice.reason) },
                   { "table", m_context.directory.version() } });
     if (! m_query.model.empty())
     {
--- a/src/proxy/InstanceDirectory.cpp
+++ b/src/proxy/InstanceDirectory.cpp
@@ -85,7 +85,7 @@
 
 }  // namespace
 
-std::string_view nameOf (NoRunnerReason reason)
+std::string_view toString (NoRunnerReason reason)
 {
     switch (reason)
     {
--- a/src/proxy/InstanceDirectory.h
+++ b/src/proxy/InstanceDirectory.h
@@ -84,7 +84,7 @@
 };
 
 /// Text for logs, for example "not_loaded".
-[[nodiscard]] std::string_view nameOf (NoRunnerReason reason);
+[[nodiscard]] std::string_view toString (NoRunnerReason reason);
 
 /// Result of an attempt, as far as it affects the choice of runners.
 enum class AttemptEnd : std::uint8_t
--- a/src/proxy/ProxyProcess.cpp
+++ b/src/proxy/ProxyProcess.cpp
@@ -332,7 +332,7 @@
     log::write (present == Freshness::kConfirmed ? log::Event::kConfigurationIsConfirmed
                                                  : log::Event::kConfigurationIsUnconfirmed,
                 { { "version", m_held.version },
-                  { "standing", nameOf (present) },
+                  { "standing", toString (present) },
                   { "unconfirmed_ms", base::toMilliseconds (m_freshness.unconfirmedFor (now)) } });
     return present;
 }
@@ -477,7 +477,8 @@
 
 void ProxyProcess::onRunnerChecked (const std::string& instance, RunnerFate fate)
 {
-    log::write (log::Event::kRunnerChecked, { { "runner", instance }, { "fate", nameOf (fate) } });
+    log::write (log::Event::kRunnerChecked,
+                { { "runner", instance }, { "fate", toString (fate) } });
     m_suspects.onFate (instance, fate);
     reportSuspects();
     m_server.onSuspectsChanged();
--- a/src/quarantine/RunnerFate.h
+++ b/src/quarantine/RunnerFate.h
@@ -16,7 +16,7 @@
 };
 
 /** Returns the text used in logs, for example "gone". */
-[[nodiscard]] constexpr std::string_view nameOf (RunnerFate fate)
+[[nodiscard]] constexpr std::string_view toString (RunnerFate fate)
 {
     switch (fate)
     {
--- a/src/sim/FaultPlan.cpp
+++ b/src/sim/FaultPlan.cpp
@@ -36,7 +36,7 @@
                              const FaultKind kind = drawKind();
                              if (bringAbout (kind))
                              {
-                                 m_world.note ("fault: " + std::string (nameOf (kind)));
+                                 m_world.note ("fault: " + std::string (toString (kind)));
                                  ++m_counts[static_cast<std::size_t> (kind)];
                              }
                              scheduleNext (end);
--- a/src/sim/SimProgram.cpp
+++ b/src/sim/SimProgram.cpp
@@ -38,7 +38,7 @@
     bool isLong = false;
     bool hasHourCut = false;
     bool hasFaults = true;
-    std::string plantedFault = std::string (nameOf (PlantedFault::kNone));
+    std::string plantedFault = std::string (toString (PlantedFault::kNone));
     log::Options logging;
 
     void declare (config::SettingsSchema& schema);
@@ -46,9 +46,9 @@
 
 std::vector<std::string> namesOfPlantedFaults()
 {
-    std::vector<std::string> names{ std::string (nameOf (PlantedFault::kNone)) };
+    std::vector<std::string> names{ std::string (toString (PlantedFault::kNone)) };
     for (const PlantedFault fault : allPlantedFaults())
-        names.emplace_back (nameOf (fault));
+        names.emplace_back (toString (fault));
     return names;
 }
 
@@ -119,7 +119,7 @@
         options.stopsAtFirstViolation = true;
         const SweepReport report = runSweep (options);
         isEachFound = isEachFound && ! report.failures.empty();
-        const std::string name (nameOf (fault));
+        const std::string name (toString (fault));
         if (report.failures.empty())
         {
             std::printf ("| %s | not found in %lld seeds | |\n", name.c_str(),
--- a/src/sim/SimulationOptions.cpp
+++ b/src/sim/SimulationOptions.cpp
@@ -85,7 +85,7 @@
     return faults;
 }
 
-std::string_view nameOf (PlantedFault fault)
+std::string_view toString (PlantedFault fault)
 {
     return kPlantedFaultNames.at (static_cast<std::size_t> (fault));
 }
@@ -100,7 +100,7 @@
     return std::nullopt;
 }
 
-std::string_view nameOf (FaultKind kind)
+std::string_view toString (FaultKind kind)
 {
     return kFaultKindNames.at (static_cast<std::size_t> (kind));
 }
--- a/src/sim/SimulationOptions.h
+++ b/src/sim/SimulationOptions.h
@@ -40,7 +40,7 @@
     kClockStopsInSuspension,      // the clock of a process doesn't count the time it stood still
 };
 [[nodiscard]] const std::vector<PlantedFault>& allPlantedFaults();
-[[nodiscard]] std::string_view nameOf (PlantedFault fault);
+[[nodiscard]] std::string_view toString (PlantedFault fault);
 [[nodiscard]] std::optional<PlantedFault> plantedFaultNamed (std::string_view name);
 
 /// Kinds of faults that a simulation brings about.
@@ -79,7 +79,7 @@
     kCount,
 };
 constexpr std::size_t kFaultKinds = static_cast<std::size_t> (FaultKind::kCount);
-[[nodiscard]] std::string_view nameOf (FaultKind kind);
+[[nodiscard]] std::string_view toString (FaultKind kind);
 
 struct SimulationOptions
 {
--- a/src/sim/Sweep.cpp
+++ b/src/sim/Sweep.cpp
@@ -97,7 +97,7 @@
     std::string command = "fernlift-sim replay --seed " + std::to_string (seed);
     if (options.plantedFault != PlantedFault::kNone)
     {
-        command += " --planted-fault " + std::string (nameOf (options.plantedFault));
+        command += " --planted-fault " + std::string (toString (options.plantedFault));
     }
     if (options.hasHourCut)
         command += " --hour-cut";
@@ -122,7 +122,7 @@
          << " lost with their router\nfaults brought about:\n";
     for (std::size_t kind = 0; kind < kFaultKinds; ++kind)
     {
-        text << "  " << nameOf (static_cast<FaultKind> (kind)) << ": " << report.faults[kind]
+        text << "  " << toString (static_cast<FaultKind> (kind)) << ": " << report.faults[kind]
              << "\n";
     }
     text << "seeds with violations: " << report.failures.size() << "\n";
--- a/src/sim/SweepTest.cpp
+++ b/src/sim/SweepTest.cpp
@@ -51,7 +51,7 @@
     // The run is worth something only if every kind of fault came about and requests were served.
     for (std::size_t kind = 0; kind < kFaultKinds; ++kind)
     {
-        EXPECT_GT (report.faults[kind], 0U) << nameOf (static_cast<FaultKind> (kind));
+        EXPECT_GT (report.faults[kind], 0U) << toString (static_cast<FaultKind> (kind));
     }
     EXPECT_GT (report.requests.served, report.requests.sent / 3);
     EXPECT_GT (report.membersReplaced, 0U);
@@ -83,13 +83,13 @@
     options.simulation.plantedFault = GetParam();
     options.stopsAtFirstViolation = true;
     const SweepReport report = runSweep (options);
-    EXPECT_FALSE (report.failures.empty()) << nameOf (GetParam());
+    EXPECT_FALSE (report.failures.empty()) << toString (GetParam());
 }
 
 INSTANTIATE_TEST_SUITE_P (Sweep, PlantedFaultTest, testing::ValuesIn (allPlantedFaults()),
                           [] (const auto& parameter)
                           {
-                              std::string name (nameOf (parameter.param));
+                              std::string name (toString (parameter.param));
                               std::erase (name, '-');
                               return name;
                           });
--- a/src/standin/Ledger.h
+++ b/src/standin/Ledger.h
@@ -33,7 +33,7 @@
     LedgerState state = LedgerState::kRunning;
 };
 
-[[nodiscard]] std::string_view nameOf (LedgerState state);
+[[nodiscard]] std::string_view toString (LedgerState state);
 /// {"entries":[...]}, times in milliseconds.
 [[nodiscard]] std::string toJson (const std::vector<LedgerEntry>& entries);
 
