--- a/src/admission/AdmissionQueues.cpp
+++ b/src/admission/AdmissionQueues.cpp
@@ -67,13 +67,12 @@
         remove (*candidate);
         outcome.displaced.push_back (*candidate);
     }
-    pushAgain (target, urgency, request);
+    requeue (target, urgency, request);
     outcome.isAccepted = true;
     return outcome;
 }
 
-void AdmissionQueues::pushAgain (const std::string& target, int urgency,
-                                 const QueuedRequest& request)
+void AdmissionQueues::requeue (const std::string& target, int urgency, const QueuedRequest& request)
 {
     m_queues[urgency][target].push (request);
     m_places[request.ticket] = Place{ target, urgency, request.bytes };
--- a/src/admission/AdmissionQueues.h
+++ b/src/admission/AdmissionQueues.h
@@ -40,7 +40,7 @@
     /// request is not accepted.
     EnqueueResult push (const std::string& target, int urgency, const QueuedRequest& request);
     /// Adds a request that was queued before, regardless of the bounds.
-    void pushAgain (const std::string& target, int urgency, const QueuedRequest& request);
+    void requeue (const std::string& target, int urgency, const QueuedRequest& request);
 
     [[nodiscard]] std::optional<Ticket> front (const std::string& target, int urgency) const;
     void popServed (Ticket ticket);
--- a/src/base/Compression.h
+++ b/src/base/Compression.h
@@ -16,7 +16,7 @@
 
 /** Smallest input in bytes to compress; below it, compressing takes longer than sending the bytes
     uncompressed. */
-constexpr std::size_t kWorthCompressing = 4096;
+constexpr std::size_t kCompressionThreshold = 4096;
 
 /** Compresses with zlib at its fastest level. Equal inputs give equal outputs. */
 [[nodiscard]] std::string compress (std::string_view bytes);
--- a/src/base/SilentPeers.cpp
+++ b/src/base/DeadPeerDetection.cpp
@@ -1,4 +1,4 @@
-#include "base/SilentPeers.h"
+#include "base/DeadPeerDetection.h"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-bool endWhenSilent (int descriptor, Duration limit)
+bool enableDeadPeerDetection (int descriptor, Duration limit)
 {
     const auto limitMs = static_cast<int> (toMilliseconds (limit));
     const auto interval =
--- a/src/base/SilentPeers.h
+++ b/src/base/DeadPeerDetection.h
@@ -20,6 +20,6 @@
 /** Makes the operating system end the connection when sent bytes or probes stay unacknowledged for
     `limit`; an idle connection ends at most one probe interval later. Returns false when the system
     rejects an option. */
-bool endWhenSilent (int descriptor, Duration limit);
+bool enableDeadPeerDetection (int descriptor, Duration limit);
 
 }  // namespace fernlift::base
--- a/src/base/SilentPeersTest.cpp
+++ b/src/base/DeadPeerDetectionTest.cpp
@@ -7,7 +7,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "base/SilentPeers.h"
+#include "base/DeadPeerDetection.h"
 
 namespace fernlift::base
 {
@@ -22,11 +22,11 @@
     return value;
 }
 
-TEST (SilentPeersTest, SetsProbesAndTimeoutForTheLimit)
+TEST (DeadPeerDetectionTest, SetsProbesAndTimeoutForTheLimit)
 {
     const int descriptor = ::socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     ASSERT_GE (descriptor, 0);
-    EXPECT_TRUE (endWhenSilent (descriptor, milliseconds (4000)));
+    EXPECT_TRUE (enableDeadPeerDetection (descriptor, milliseconds (4000)));
     EXPECT_EQ (optionOf (descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT), 4000);
     EXPECT_EQ (optionOf (descriptor, SOL_SOCKET, SO_KEEPALIVE), 1);
     EXPECT_EQ (optionOf (descriptor, IPPROTO_TCP, TCP_KEEPIDLE), 1);
@@ -35,18 +35,18 @@
     ::close (descriptor);
 }
 
-TEST (SilentPeersTest, SetsOneProbeForAShortLimit)
+TEST (DeadPeerDetectionTest, SetsOneProbeForAShortLimit)
 {
     const int descriptor = ::socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     ASSERT_GE (descriptor, 0);
-    EXPECT_TRUE (endWhenSilent (descriptor, milliseconds (300)));
+    EXPECT_TRUE (enableDeadPeerDetection (descriptor, milliseconds (300)));
     EXPECT_EQ (optionOf (descriptor, IPPROTO_TCP, TCP_KEEPCNT), 1);
     ::close (descriptor);
 }
 
-TEST (SilentPeersTest, ReportsAnInvalidDescriptor)
+TEST (DeadPeerDetectionTest, ReportsAnInvalidDescriptor)
 {
-    EXPECT_FALSE (endWhenSilent (-1, seconds (1)));
+    EXPECT_FALSE (enableDeadPeerDetection (-1, seconds (1)));
 }
 
 }  // namespace
--- a/src/base/HashShare.h
+++ b/src/base/HashToUnitInterval.h
@@ -11,7 +11,7 @@
 {
 
 /// Hashes `text` to a number in [0, 1), uniformly distributed over texts.
-[[nodiscard]] inline double hashShare (std::string_view text)
+[[nodiscard]] inline double hashToUnitInterval (std::string_view text)
 {
     constexpr double kRange = 18446744073709551616.0;
     return static_cast<double> (std::hash<std::string_view>() (text)) / kRange;
--- a/src/cell/CellState.cpp
+++ b/src/cell/CellState.cpp
@@ -255,29 +255,30 @@
                                              command.startedAt) };
 }
 
-ApplyResult CellState::applyCommand (base::LogIndex /*index*/, const NoteOrders& /*command*/)
+ApplyResult CellState::applyCommand (base::LogIndex /*index*/, const RecordOrders& /*command*/)
 {
     return ChangeResult{ false };
 }
 
-ApplyResult CellState::applyCommand (base::LogIndex /*index*/, const NoteHoldings& command)
+ApplyResult CellState::applyCommand (base::LogIndex /*index*/, const RecordHeldModels& command)
 {
     bool changed = false;
-    for (const InstanceHoldings& holdings : command.holdings)
+    for (const InstanceHeldModels& heldModels : command.heldModels)
     {
-        changed = m_instances.setModels (holdings.instance, holdings.models, holdings.startedAt)
-                  || changed;
+        changed =
+            m_instances.setModels (heldModels.instance, heldModels.models, heldModels.startedAt)
+            || changed;
     }
     return ChangeResult{ changed };
 }
 
-ApplyResult CellState::applyCommand (base::LogIndex index, const NoteSuspects& command)
+ApplyResult CellState::applyCommand (base::LogIndex index, const RecordSuspects& command)
 {
     bool changed = m_quarantine.expire (index, m_time);
-    for (const std::string& digest : command.acquitted)
+    for (const std::string& digest : command.cleared)
         changed = m_quarantine.release (index, digest) || changed;
-    for (const RunnerEnd& end : command.ends)
-        changed = m_quarantine.note (index, end) || changed;
+    for (const RunnerCrash& crash : command.crashes)
+        changed = m_quarantine.note (index, crash) || changed;
     return ChangeResult{ changed };
 }
 
--- a/src/cell/CellState.h
+++ b/src/cell/CellState.h
@@ -108,9 +108,9 @@
     ApplyResult applyCommand (base::LogIndex index, const AddInstance& command);
     ApplyResult applyCommand (base::LogIndex index, const DrainInstance& command);
     ApplyResult applyCommand (base::LogIndex index, const RemoveInstance& command);
-    ApplyResult applyCommand (base::LogIndex index, const NoteHoldings& command);
-    ApplyResult applyCommand (base::LogIndex index, const NoteOrders& command);
-    ApplyResult applyCommand (base::LogIndex index, const NoteSuspects& command);
+    ApplyResult applyCommand (base::LogIndex index, const RecordHeldModels& command);
+    ApplyResult applyCommand (base::LogIndex index, const RecordOrders& command);
+    ApplyResult applyCommand (base::LogIndex index, const RecordSuspects& command);
     ApplyResult applyCommand (base::LogIndex index, const ReleaseSuspects& command);
     void note (base::LogIndex index, base::UnixMilliseconds at, DecisionKind kind,
                const Replica* replica, std::string_view outcome, const std::string& reason);
--- a/src/cell/CommandCodec.cpp
+++ b/src/cell/CommandCodec.cpp
@@ -20,7 +20,7 @@
 std::string encodeCommand (const Command& command)
 {
     std::string bytes = wire::encodeMessage (command);
-    if (bytes.size() < base::kWorthCompressing)
+    if (bytes.size() < base::kCompressionThreshold)
         return bytes;
     return kCompressed + base::compress (bytes);
 }
--- a/src/cell/Commands.h
+++ b/src/cell/Commands.h
@@ -253,7 +253,7 @@
 };
 
 /// Models that one registered runner holds.
-struct InstanceHoldings
+struct InstanceHeldModels
 {
     static constexpr unsigned kStartVersion = 1;  ///< First layout version with `startedAt`.
 
@@ -272,20 +272,20 @@
 
 /// Models that runners hold according to the leader. Replicated so that the next leader has them
 /// immediately.
-struct NoteHoldings
+struct RecordHeldModels
 {
-    std::vector<InstanceHoldings> holdings;
+    std::vector<InstanceHeldModels> heldModels;
     base::UnixMilliseconds proposedAt = 0;
 
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
     {
-        archive& holdings& proposedAt;
+        archive& heldModels& proposedAt;
     }
 };
 
 /// An order that the leader is about to send to a registered engine.
-struct NotedOrder
+struct RecordedOrder
 {
     std::string instance;
     bool isFromStore = false;  ///< A load that counts against the load rate of the weight store.
@@ -300,9 +300,9 @@
 /// Committed before the orders are sent, so that the next leader can tell which engines may have
 /// received one recently. Does not change the state; each member records the time at which it
 /// applies the command.
-struct NoteOrders
+struct RecordOrders
 {
-    std::vector<NotedOrder> orders;
+    std::vector<RecordedOrder> orders;
     base::UnixMilliseconds proposedAt = 0;
 
     template <class Archive>
@@ -313,16 +313,16 @@
 };
 
 /// Runner crashes with the requests that were running, and requests that were cleared of suspicion.
-struct NoteSuspects
+struct RecordSuspects
 {
-    std::vector<RunnerEnd> ends;
-    std::vector<std::string> acquitted;  ///< Digests of the cleared requests.
+    std::vector<RunnerCrash> crashes;
+    std::vector<std::string> cleared;  ///< Digests of the cleared requests.
     base::UnixMilliseconds proposedAt = 0;
 
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
     {
-        archive& ends& acquitted& proposedAt;
+        archive& crashes& cleared& proposedAt;
     }
 };
 
@@ -341,12 +341,12 @@
 
 using Command = std::variant<ApplyConfiguration, ObserveRunner, RemoveRunner, DecideLoad,
                              DecideUnload, ReplicaReady, ReplicaReleased, ClaimKeys, RecordOutcomes,
-                             SetDraining, AddInstance, DrainInstance, RemoveInstance, NoteHoldings,
-                             NoteOrders, NoteSuspects, ReleaseSuspects>;
+                             SetDraining, AddInstance, DrainInstance, RemoveInstance,
+                             RecordHeldModels, RecordOrders, RecordSuspects, ReleaseSuspects>;
 
 }  // namespace fernlift::cell
 
 BOOST_CLASS_VERSION (fernlift::cell::DrainInstance, fernlift::cell::DrainInstance::kStartVersion)
 BOOST_CLASS_VERSION (fernlift::cell::RemoveInstance, fernlift::cell::RemoveInstance::kStartVersion)
-BOOST_CLASS_VERSION (fernlift::cell::InstanceHoldings,
-                     fernlift::cell::InstanceHoldings::kStartVersion)
+BOOST_CLASS_VERSION (fernlift::cell::InstanceHeldModels,
+                     fernlift::cell::InstanceHeldModels::kStartVersion)
--- a/src/cell/ControllerSession.h
+++ b/src/cell/ControllerSession.h
@@ -33,7 +33,7 @@
     /// leader before. The controller reports a leader as soon as it has one, but may be partitioned
     /// from the leader together with other controllers.
     static constexpr base::Duration kLongLeaderWaitAfterLoss = base::milliseconds (400);
-    static constexpr base::Duration kQuickAfterLoss = base::milliseconds (150);
+    static constexpr base::Duration kShortLeaderWaitAfterLoss = base::milliseconds (150);
 
     explicit ControllerSession (base::TimePoint now,
                                 base::Duration leaderWaitLimitAfterLoss = kLongLeaderWaitAfterLoss)
@@ -52,7 +52,7 @@
     /// A message of any kind was received from the controller. A controller that sends is alive,
     /// even if it cannot grant leases for a moment. If routers left it, all of them would reconnect
     /// to it at the same time.
-    void onHeard (base::TimePoint now) { m_lastMessageAt = now; }
+    void onMessageReceived (base::TimePoint now) { m_lastMessageAt = now; }
     /// The next call of poll() requests a lease, for example because the replica table has a gap.
     void requestSoon (base::TimePoint now);
 
--- a/src/cell/ControllerSessionTest.cpp
+++ b/src/cell/ControllerSessionTest.cpp
@@ -28,7 +28,7 @@
 
     base::TimePoint m_now{ base::seconds (1) };
     base::Random m_random{ 1 };
-    ControllerSession m_session{ m_now, ControllerSession::kQuickAfterLoss };
+    ControllerSession m_session{ m_now, ControllerSession::kShortLeaderWaitAfterLoss };
 };
 
 TEST_F (ControllerSessionTest, ConnectsToTheLeaderNamedByAFollower)
@@ -76,7 +76,7 @@
     const auto request = m_session.poll (m_now);
     ASSERT_TRUE (request && std::holds_alternative<LeaseRequest> (*request));
     m_now += milliseconds (500);
-    m_session.onHeard (m_now);
+    m_session.onMessageReceived (m_now);
     m_now += milliseconds (600);
     EXPECT_EQ (connectionDue(), std::nullopt);
     m_now += milliseconds (60);
--- a/src/cell/EarlierLayoutsTest.cpp
+++ b/src/cell/EarlierLayoutsTest.cpp
@@ -32,7 +32,7 @@
     "0000000100000000000000610700000000000000";
 constexpr std::string_view kDrainInstance = "0b00000000000300000000000000692d310900000000000000";
 constexpr std::string_view kRemoveInstance = "0c00000000000300000000000000692d32010a00000000000000";
-constexpr std::string_view kNoteHoldings =
+constexpr std::string_view kRecordHeldModels =
     "0d0000000000000000000001000000000000000000000000000000000300000000000000692d3100"
     "00000000010000000000000000000000000000000001000000000000006d01000000000000000000"
     "0000000100000000000000000000000100000000000000610b00000000000000";
@@ -100,10 +100,10 @@
     const auto remove = decode<RemoveInstance> (kRemoveInstance);
     EXPECT_TRUE (remove.isDeregistered);
     EXPECT_EQ (remove.startedAt, 0);
-    const auto holdings = decode<NoteHoldings> (kNoteHoldings);
-    ASSERT_EQ (holdings.holdings.size(), 1U);
-    EXPECT_EQ (holdings.holdings[0].instance, "i-1");
-    EXPECT_EQ (holdings.holdings[0].startedAt, 0);
+    const auto heldModels = decode<RecordHeldModels> (kRecordHeldModels);
+    ASSERT_EQ (heldModels.heldModels.size(), 1U);
+    EXPECT_EQ (heldModels.heldModels[0].instance, "i-1");
+    EXPECT_EQ (heldModels.heldModels[0].startedAt, 0);
 }
 
 }  // namespace
--- a/src/cell/InstanceLoadMessages.h
+++ b/src/cell/InstanceLoadMessages.h
@@ -18,14 +18,14 @@
 {
 
 /** Nominal value of speeds and slowdowns, which are percentages. */
-constexpr std::uint32_t kUsualPercent = 100;
+constexpr std::uint32_t kNominalPercent = 100;
 /** Bounds of speeds and slowdowns. Values beyond them do not help to distinguish runners. */
 constexpr std::uint32_t kMinPercent = 10;
 constexpr std::uint32_t kMaxPercent = 1000;
 /** Time after which a reported slowdown is outdated. Other load on the machine of a runner changes
    within about half a second.
 */
-constexpr base::Duration kSlowdownLife = base::milliseconds (600);
+constexpr base::Duration kSlowdownLifetime = base::milliseconds (600);
 
 /** Requests that the sender, or the routers that it represents, have at one runner. Absolute
    values, not differences.
@@ -33,14 +33,15 @@
 struct InstanceUse
 {
     std::string instance;
-    std::uint32_t inFlight = 0;      ///< Requests without a complete answer.
-    std::uint64_t unreadTokens = 0;  ///< Prompt tokens of the requests whose answer has not begun.
+    std::uint32_t inFlight = 0;  ///< Requests without a complete answer.
+    std::uint64_t pendingPrefillTokens =
+        0;  ///< Prompt tokens of the requests whose answer has not begun.
 
     bool operator== (const InstanceUse&) const = default;
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
     {
-        archive& instance& inFlight& unreadTokens;
+        archive& instance& inFlight& pendingPrefillTokens;
     }
 };
 
@@ -69,8 +70,8 @@
 struct InstanceSlowdown
 {
     std::string instance;
-    std::uint32_t percent = kUsualPercent;  ///< 250: work takes 2.5 times its nominal duration.
-    std::int64_t ageMilliseconds = 0;       ///< Time since the runner reported it.
+    std::uint32_t percent = kNominalPercent;  ///< 250: work takes 2.5 times its nominal duration.
+    std::int64_t ageMilliseconds = 0;         ///< Time since the runner reported it.
 
     bool operator== (const InstanceSlowdown&) const = default;
     template <class Archive>
@@ -99,20 +100,20 @@
 {
     std::string instance;
     std::uint32_t inFlight = 0;
-    std::uint64_t unreadTokens = 0;
+    std::uint64_t pendingPrefillTokens = 0;
     /** Work done per unit of time, temporary slowdowns excluded: 100 is nominal for its service. */
-    std::uint32_t speedPercent = kUsualPercent;
+    std::uint32_t speedPercent = kNominalPercent;
     /** Current duration of work relative to the typical duration on this runner. Relative to a
         nominal runner, work takes slowdownPercent / speedPercent times as long.
     */
-    std::uint32_t slowdownPercent = kUsualPercent;
+    std::uint32_t slowdownPercent = kNominalPercent;
     std::int64_t slowdownAgeMilliseconds = 0;
 
     bool operator== (const InstanceLoad&) const = default;
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
     {
-        archive& instance& inFlight& unreadTokens& speedPercent& slowdownPercent&
+        archive& instance& inFlight& pendingPrefillTokens& speedPercent& slowdownPercent&
             slowdownAgeMilliseconds;
     }
 };
--- a/src/cell/QuarantineMessages.h
+++ b/src/cell/QuarantineMessages.h
@@ -17,18 +17,18 @@
 {
 
 /** A runner crashed while it ran a request, as observed by the router that had sent the request. */
-struct RunnerEndReport
+struct RunnerCrashReport
 {
     RequestIdentity request;
     std::string instance;  ///< Incarnation::name().
     // Times are relative to the sending of the report, because clocks of processes differ.
-    std::int64_t sentAgoMilliseconds = 0;   ///< Time since the request was sent to the runner.
-    std::int64_t endedAgoMilliseconds = 0;  ///< Time since the crash was detected.
+    std::int64_t sentAgoMilliseconds = 0;     ///< Time since the request was sent to the runner.
+    std::int64_t crashedAgoMilliseconds = 0;  ///< Time since the crash was detected.
 
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
     {
-        archive& request& instance& sentAgoMilliseconds& endedAgoMilliseconds;
+        archive& request& instance& sentAgoMilliseconds& crashedAgoMilliseconds;
     }
 };
 
@@ -37,14 +37,14 @@
 */
 struct SuspectReport
 {
-    std::vector<RunnerEndReport> ends;
+    std::vector<RunnerCrashReport> crashes;
     /** Digests of requests that a runner has answered completely, so that they are cleared. */
-    std::vector<std::string> acquitted;
+    std::vector<std::string> cleared;
 
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
     {
-        archive& ends& acquitted;
+        archive& crashes& cleared;
     }
 };
 
@@ -52,14 +52,14 @@
 struct SuspectRow
 {
     RequestIdentity request;
-    std::uint32_t ends = 0;              ///< Consecutive runner crashes.
+    std::uint32_t crashes = 0;           ///< Consecutive runner crashes.
     std::vector<std::string> instances;  ///< Incarnations that crashed, up to a bound.
 
     bool operator== (const SuspectRow&) const = default;
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
     {
-        archive& request& ends& instances;
+        archive& request& crashes& instances;
     }
 };
 
--- a/src/cell/QuarantineTable.cpp
+++ b/src/cell/QuarantineTable.cpp
@@ -10,7 +10,7 @@
 
 base::UnixMilliseconds expiryOf (const Suspect& suspect)
 {
-    return suspect.lastEndAt
+    return suspect.lastCrashAt
            + (suspect.isInQuarantine() ? QuarantineTable::kQuarantineLifetime
                                        : QuarantineTable::kSuspectLifetime);
 }
@@ -19,7 +19,7 @@
 bool isRedundantCrash (const Suspect& suspect, std::size_t position)
 {
     Suspect without = suspect;
-    without.ends.erase (without.ends.begin() + static_cast<std::ptrdiff_t> (position));
+    without.crashes.erase (without.crashes.begin() + static_cast<std::ptrdiff_t> (position));
     return without.consecutiveCrashes() == suspect.consecutiveCrashes();
 }
 
@@ -27,11 +27,11 @@
 /// quarantine then.
 void dropRedundantCrash (Suspect& suspect)
 {
-    for (std::size_t position = 0; position < suspect.ends.size(); ++position)
+    for (std::size_t position = 0; position < suspect.crashes.size(); ++position)
     {
         if (! isRedundantCrash (suspect, position))
             continue;
-        suspect.ends.erase (suspect.ends.begin() + static_cast<std::ptrdiff_t> (position));
+        suspect.crashes.erase (suspect.crashes.begin() + static_cast<std::ptrdiff_t> (position));
         return;
     }
 }
@@ -42,51 +42,52 @@
 {
     // Interval scheduling: repeatedly choosing the interval that ends first gives the largest set
     // of intervals that do not overlap.
-    std::vector<RunnerEnd> byEnd = ends;
-    std::ranges::sort (byEnd, {}, &RunnerEnd::endedAt);
+    std::vector<RunnerCrash> byEnd = crashes;
+    std::ranges::sort (byEnd, {}, &RunnerCrash::crashedAt);
     std::uint32_t count = 0;
     base::UnixMilliseconds freeFrom = 0;
-    for (const RunnerEnd& end : byEnd)
+    for (const RunnerCrash& crash : byEnd)
     {
-        if (count > 0 && end.sentAt < freeFrom)
+        if (count > 0 && crash.sentAt < freeFrom)
             continue;
         ++count;
-        freeFrom = end.endedAt;
+        freeFrom = crash.crashedAt;
     }
     return count;
 }
 
 SuspectRow Suspect::row() const
 {
-    SuspectRow row{ request, successive, {} };
-    for (const RunnerEnd& end : ends)
-        row.instances.push_back (end.instance);
+    SuspectRow row{ request, consecutiveCrashCount, {} };
+    for (const RunnerCrash& crash : crashes)
+        row.instances.push_back (crash.instance);
     return row;
 }
 
 bool Suspect::contains (const std::string& instance) const
 {
-    return std::ranges::find (ends, instance, &RunnerEnd::instance) != ends.end();
+    return std::ranges::find (crashes, instance, &RunnerCrash::instance) != crashes.end();
 }
 
-bool QuarantineTable::note (base::LogIndex index, const RunnerEnd& end)
+bool QuarantineTable::note (base::LogIndex index, const RunnerCrash& crash)
 {
-    auto found = m_suspects.find (end.request.digest);
-    if (found != m_suspects.end() && found->second.contains (end.instance))
+    auto found = m_suspects.find (crash.request.digest);
+    if (found != m_suspects.end() && found->second.contains (crash.instance))
         return false;
     if (found == m_suspects.end())
     {
         makeRoom (index);
-        found = m_suspects.emplace (end.request.digest, Suspect{ end.request, {}, 0, 0, 0 }).first;
-        m_removedAt.erase (end.request.digest);
+        found =
+            m_suspects.emplace (crash.request.digest, Suspect{ crash.request, {}, 0, 0, 0 }).first;
+        m_removedAt.erase (crash.request.digest);
     }
     Suspect& suspect = found->second;
-    if (suspect.ends.size() >= kMaxCrashes)
+    if (suspect.crashes.size() >= kMaxCrashes)
         dropRedundantCrash (suspect);
-    if (suspect.ends.size() < kMaxCrashes)
-        suspect.ends.push_back (end);
-    suspect.successive = suspect.consecutiveCrashes();
-    suspect.lastEndAt = std::max (suspect.lastEndAt, end.endedAt);
+    if (suspect.crashes.size() < kMaxCrashes)
+        suspect.crashes.push_back (crash);
+    suspect.consecutiveCrashCount = suspect.consecutiveCrashes();
+    suspect.lastCrashAt = std::max (suspect.lastCrashAt, crash.crashedAt);
     suspect.changedAt = index;
     m_version = index;
     return true;
@@ -99,7 +100,7 @@
     const auto least = std::ranges::min_element (
         m_suspects, {},
         [] (const auto& item)
-        { return std::make_tuple (item.second.successive, item.second.lastEndAt); });
+        { return std::make_tuple (item.second.consecutiveCrashCount, item.second.lastCrashAt); });
     remove (index, std::string (least->first));
 }
 
--- a/src/cell/QuarantineTable.h
+++ b/src/cell/QuarantineTable.h
@@ -4,8 +4,9 @@
  * Replicated table of the requests that were running when runners crashed.
  *
  * A crash of a runner interrupts all requests that it runs, so that each of them is a suspect. The
- * request that caused the crash also crashes the next runner. A request with kEndsBeforeQuarantine
- * consecutive runner crashes is in quarantine: it is not forwarded to any runner.
+ * request that caused the crash also crashes the next runner. A request with
+ * kCrashesBeforeQuarantine consecutive runner crashes is in quarantine: it is not forwarded to any
+ * runner.
  *
  * Only consecutive crashes count. Runners that crash at the same time, such as those of a lost
  * rack, count as one crash for a request of which copies ran on several of them.
@@ -31,28 +32,28 @@
 /** Consecutive crashes that lead to quarantine. With two, a harmless request would be refused if it
    ran on a crashed runner and, when sent again, on another one that crashed for its own reasons.
 */
-constexpr std::uint32_t kEndsBeforeQuarantine = 3;
+constexpr std::uint32_t kCrashesBeforeQuarantine = 3;
 
 /** Consecutive crashes from which a suspect is sent to routers. All requests of a crashed runner
    have one crash, and hardly any of them a second. With 300 routers and 3,000 runners, sending all
    of these suspects to all routers overloaded the controllers and the links between regions, and
    56 % of the requests were refused.
 */
-constexpr std::uint32_t kEndsBeforeSharing = 2;
+constexpr std::uint32_t kCrashesBeforeSharing = 2;
 
 /** Crash of a runner while it ran a request. Times are times of the cell. */
-struct RunnerEnd
+struct RunnerCrash
 {
     RequestIdentity request;
     std::string instance;
-    base::UnixMilliseconds sentAt = 0;   ///< Time at which the request was sent to the runner.
-    base::UnixMilliseconds endedAt = 0;  ///< Time of the crash; never before sentAt.
+    base::UnixMilliseconds sentAt = 0;     ///< Time at which the request was sent to the runner.
+    base::UnixMilliseconds crashedAt = 0;  ///< Time of the crash; never before sentAt.
 
-    bool operator== (const RunnerEnd&) const = default;
+    bool operator== (const RunnerCrash&) const = default;
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
     {
-        archive& request& instance& sentAt& endedAt;
+        archive& request& instance& sentAt& crashedAt;
     }
 };
 
@@ -61,17 +62,20 @@
 {
     RequestIdentity request;
     /** Crashes in the order in which they were reported, one per instance; at most kMaxCrashes. */
-    std::vector<RunnerEnd> ends;
-    base::UnixMilliseconds lastEndAt = 0;
+    std::vector<RunnerCrash> crashes;
+    base::UnixMilliseconds lastCrashAt = 0;
     base::LogIndex changedAt = 0;
-    std::uint32_t successive = 0;  ///< Stored result of consecutiveCrashes().
+    std::uint32_t consecutiveCrashCount = 0;  ///< Stored result of consecutiveCrashes().
 
     /** Largest number of crashes of which each began (the request was sent) after the previous one.
        Independent of the order in which they were reported.
     */
     [[nodiscard]] std::uint32_t consecutiveCrashes() const;
-    [[nodiscard]] bool isInQuarantine() const { return successive >= kEndsBeforeQuarantine; }
-    [[nodiscard]] bool isShared() const { return successive >= kEndsBeforeSharing; }
+    [[nodiscard]] bool isInQuarantine() const
+    {
+        return consecutiveCrashCount >= kCrashesBeforeQuarantine;
+    }
+    [[nodiscard]] bool isShared() const { return consecutiveCrashCount >= kCrashesBeforeSharing; }
     [[nodiscard]] SuspectRow row() const;
     [[nodiscard]] bool contains (const std::string& instance) const;
 
@@ -79,7 +83,7 @@
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
     {
-        archive& request& ends& lastEndAt& changedAt& successive;
+        archive& request& crashes& lastCrashAt& changedAt& consecutiveCrashCount;
     }
 };
 
@@ -103,7 +107,7 @@
     static constexpr base::UnixMilliseconds kQuarantineLifetime = 3'600'000;
 
     /** Records a crash; returns false if it was known. `index` must not decrease between calls. */
-    bool note (base::LogIndex index, const RunnerEnd& end);
+    bool note (base::LogIndex index, const RunnerCrash& crash);
     /** Removes a request; returns false if it was unknown. */
     bool release (base::LogIndex index, const std::string& digest);
     /** Removes all requests; returns false if there was none. */
--- a/src/cell/QuarantineTableTest.cpp
+++ b/src/cell/QuarantineTableTest.cpp
@@ -13,19 +13,19 @@
 namespace
 {
 
-RunnerEnd endOf (const std::string& request, const std::string& instance,
-                 base::UnixMilliseconds sentAt, base::UnixMilliseconds endedAt)
+RunnerCrash crashOf (const std::string& request, const std::string& instance,
+                     base::UnixMilliseconds sentAt, base::UnixMilliseconds crashedAt)
 {
-    return { { 1, request }, instance, sentAt, endedAt };
+    return { { 1, request }, instance, sentAt, crashedAt };
 }
 
 TEST (QuarantineTableTest, ThreeConsecutiveCrashesLeadToQuarantine)
 {
     QuarantineTable table;
-    EXPECT_TRUE (table.note (1, endOf ("r", "a", 0, 50)));
-    EXPECT_TRUE (table.note (2, endOf ("r", "b", 60, 110)));
+    EXPECT_TRUE (table.note (1, crashOf ("r", "a", 0, 50)));
+    EXPECT_TRUE (table.note (2, crashOf ("r", "b", 60, 110)));
     EXPECT_FALSE (table.find ("r")->isInQuarantine());
-    EXPECT_TRUE (table.note (3, endOf ("r", "c", 300, 350)));
+    EXPECT_TRUE (table.note (3, crashOf ("r", "c", 300, 350)));
     EXPECT_TRUE (table.find ("r")->isInQuarantine());
 }
 
@@ -33,30 +33,30 @@
 {
     QuarantineTable table;
     for (int copy = 0; copy < 6; ++copy)
-        table.note (1, endOf ("r", "rack" + std::to_string (copy), copy, 100));
+        table.note (1, crashOf ("r", "rack" + std::to_string (copy), copy, 100));
     EXPECT_EQ (table.find ("r")->consecutiveCrashes(), 1);
 }
 
 TEST (QuarantineTableTest, ACrashReportedTwiceCountsOnce)
 {
     QuarantineTable table;
-    EXPECT_TRUE (table.note (1, endOf ("r", "a", 0, 50)));
-    EXPECT_FALSE (table.note (2, endOf ("r", "a", 60, 110)));
+    EXPECT_TRUE (table.note (1, crashOf ("r", "a", 0, 50)));
+    EXPECT_FALSE (table.note (2, crashOf ("r", "a", 60, 110)));
     EXPECT_EQ (table.find ("r")->consecutiveCrashes(), 1);
     EXPECT_EQ (table.version(), 1);
 }
 
 TEST (QuarantineTableTest, OrderOfReportsDoesNotMatter)
 {
-    std::vector<RunnerEnd> ends{ endOf ("r", "a", 0, 50), endOf ("r", "b", 10, 60),
-                                 endOf ("r", "c", 55, 90), endOf ("r", "d", 95, 120) };
+    std::vector<RunnerCrash> crashes{ crashOf ("r", "a", 0, 50), crashOf ("r", "b", 10, 60),
+                                      crashOf ("r", "c", 55, 90), crashOf ("r", "d", 95, 120) };
     std::mt19937 random (1);
     for (int round = 0; round < 24; ++round)
     {
-        std::ranges::shuffle (ends, random);
+        std::ranges::shuffle (crashes, random);
         QuarantineTable table;
-        for (const RunnerEnd& end : ends)
-            table.note (1, end);
+        for (const RunnerCrash& crash : crashes)
+            table.note (1, crash);
         EXPECT_EQ (table.find ("r")->consecutiveCrashes(), 3);
     }
 }
@@ -65,30 +65,30 @@
 {
     QuarantineTable table;
     for (int copy = 0; copy < 20; ++copy)
-        table.note (1, endOf ("r", "wave" + std::to_string (copy), 0, 100));
-    table.note (2, endOf ("r", "b", 200, 250));
-    table.note (3, endOf ("r", "c", 300, 350));
+        table.note (1, crashOf ("r", "wave" + std::to_string (copy), 0, 100));
+    table.note (2, crashOf ("r", "b", 200, 250));
+    table.note (3, crashOf ("r", "c", 300, 350));
     EXPECT_TRUE (table.find ("r")->isInQuarantine());
-    EXPECT_LE (table.find ("r")->ends.size(), QuarantineTable::kMaxCrashes);
+    EXPECT_LE (table.find ("r")->crashes.size(), QuarantineTable::kMaxCrashes);
 }
 
 TEST (QuarantineTableTest, AReleasedRequestStartsWithoutCrashes)
 {
     QuarantineTable table;
-    table.note (1, endOf ("r", "a", 0, 50));
+    table.note (1, crashOf ("r", "a", 0, 50));
     EXPECT_TRUE (table.release (2, "r"));
     EXPECT_FALSE (table.release (3, "r"));
     EXPECT_EQ (table.find ("r"), nullptr);
-    table.note (4, endOf ("r", "b", 60, 110));
+    table.note (4, crashOf ("r", "b", 60, 110));
     EXPECT_EQ (table.find ("r")->consecutiveCrashes(), 1);
 }
 
 TEST (QuarantineTableTest, SuspectsExpireSoonerThanRequestsInQuarantine)
 {
     QuarantineTable table;
-    table.note (1, endOf ("once", "a", 0, 50));
+    table.note (1, crashOf ("once", "a", 0, 50));
     for (int end = 0; end < 3; ++end)
-        table.note (1, endOf ("thrice", std::to_string (end), 100 * end, 100 * end + 50));
+        table.note (1, crashOf ("thrice", std::to_string (end), 100 * end, 100 * end + 50));
     EXPECT_TRUE (table.hasExpired (QuarantineTable::kSuspectLifetime + 50));
     EXPECT_TRUE (table.expire (2, QuarantineTable::kSuspectLifetime + 250));
     EXPECT_EQ (table.find ("once"), nullptr);
@@ -101,10 +101,10 @@
 {
     QuarantineTable table;
     for (int end = 0; end < 3; ++end)
-        table.note (1, endOf ("old", std::to_string (end), 100 * end, 100 * end + 50));
+        table.note (1, crashOf ("old", std::to_string (end), 100 * end, 100 * end + 50));
     for (std::size_t each = 0; each < QuarantineTable::kMaxSuspects; ++each)
-        table.note (2, endOf ("s" + std::to_string (each), "a", 1000,
-                              1000 + static_cast<base::UnixMilliseconds> (each)));
+        table.note (2, crashOf ("s" + std::to_string (each), "a", 1000,
+                                1000 + static_cast<base::UnixMilliseconds> (each)));
     EXPECT_EQ (table.all().size(), QuarantineTable::kMaxSuspects);
     EXPECT_TRUE (table.find ("old")->isInQuarantine());
     EXPECT_EQ (table.find ("s0"), nullptr);
@@ -113,11 +113,11 @@
 TEST (QuarantineTableTest, AnUpdateContainsTheChangesSinceAVersion)
 {
     QuarantineTable table;
-    table.note (4, endOf ("r", "a", 0, 50));
-    table.note (5, endOf ("r", "b", 60, 110));
-    table.note (5, endOf ("s", "a", 0, 50));
-    table.note (6, endOf ("s", "b", 60, 110));
-    table.note (6, endOf ("once", "b", 0, 110));
+    table.note (4, crashOf ("r", "a", 0, 50));
+    table.note (5, crashOf ("r", "b", 60, 110));
+    table.note (5, crashOf ("s", "a", 0, 50));
+    table.note (6, crashOf ("s", "b", 60, 110));
+    table.note (6, crashOf ("once", "b", 0, 110));
     table.release (7, "r");
     const SuspectUpdate whole = table.updateSince (0);
     EXPECT_EQ (whole.fromVersion, 0);
@@ -133,7 +133,7 @@
 TEST (QuarantineTableTest, RequestsWithOneCrashAreNotSentToRouters)
 {
     QuarantineTable table;
-    table.note (5, endOf ("r", "a", 0, 50));
+    table.note (5, crashOf ("r", "a", 0, 50));
     EXPECT_TRUE (table.updateSince (0).upserts.empty());
     table.release (6, "r");
     EXPECT_TRUE (table.updateSince (5).removals.empty());
@@ -143,11 +143,11 @@
 TEST (QuarantineTableTest, ARestoredTableIsSentWholeToRoutersWithAnEarlierVersion)
 {
     QuarantineTable table;
-    table.note (4, endOf ("r", "a", 0, 50));
-    table.note (5, endOf ("r", "b", 60, 110));
-    table.note (5, endOf ("s", "a", 0, 50));
-    table.note (6, endOf ("s", "b", 60, 110));
-    table.note (6, endOf ("once", "b", 0, 110));
+    table.note (4, crashOf ("r", "a", 0, 50));
+    table.note (5, crashOf ("r", "b", 60, 110));
+    table.note (5, crashOf ("s", "a", 0, 50));
+    table.note (6, crashOf ("s", "b", 60, 110));
+    table.note (6, crashOf ("once", "b", 0, 110));
     table.release (7, "r");
     auto restored = wire::decodeValue<QuarantineTable> (wire::encodeValue (table));
     ASSERT_TRUE (restored);
--- a/src/cell/ReleasedMessagesTestSupport.h
+++ b/src/cell/ReleasedMessagesTestSupport.h
@@ -50,12 +50,12 @@
     lease.configurationVersion = 7;
     lease.instanceVersion = 9;
     lease.routers = 4;
-    InstanceSighting sighting;
-    sighting.instance = "i-1";
-    sighting.models.emplace_back();
-    sighting.inMemory.emplace_back ("m1");
-    sighting.first.emplace_back();
-    RunnerEndReport end;
+    RelayedHeartbeat relayed;
+    relayed.instance = "i-1";
+    relayed.models.emplace_back();
+    relayed.inMemory.emplace_back ("m1");
+    relayed.first.emplace_back();
+    RunnerCrashReport end;
     end.instance = "i-1@5";
     const auto encode = [] (const RouterToController& message)
     { return wire::encodeMessage (message); };
@@ -65,11 +65,11 @@
         { "DemandReport", encode (DemandReport{ { Demand{} } }) },
         { "ClaimRequest", encode (ClaimRequest{ 2, { Claim{} } }) },
         { "OutcomeReport", encode (OutcomeReport{ { OutcomeRecord{} } }) },
-        { "RunnerLeavingSeen", encode (RunnerLeavingSeen{}) },
+        { "RunnerLeavingSeen", encode (RunnerLeavingReport{}) },
         { "EngineDemandReport", encode (EngineDemandReport{ { EngineDemand{} } }) },
         { "MemberJoinRequest", encode (MemberJoinRequest{}) },
         { "InstanceUnreachable", encode (InstanceUnreachable{ "i-1" }) },
-        { "InstanceSightings", encode (InstanceSightings{ { sighting } }) },
+        { "InstanceSightings", encode (RelayedHeartbeats{ { relayed } }) },
         { "QuotaRequest", encode (QuotaRequest{ 6, { { "farm", { 9000, 12 } } } }) },
         { "SuspectReport", encode (SuspectReport{ { end }, { "digest" } }) },
         { "InstanceLoadReport",
@@ -150,9 +150,9 @@
     add.instance.id = "i-1";
     add.instance.startedAt = 5;
     add.instance.models.emplace_back();
-    NoteHoldings holdings;
-    holdings.holdings.emplace_back();
-    NoteOrders orders;
+    RecordHeldModels heldModels;
+    heldModels.heldModels.emplace_back();
+    RecordOrders orders;
     orders.orders.emplace_back();
     return {
         { "ApplyConfiguration", encodeCommand (configuration) },
@@ -168,9 +168,9 @@
         { "AddInstance", encodeCommand (add) },
         { "DrainInstance", encodeCommand (DrainInstance{}) },
         { "RemoveInstance", encodeCommand (RemoveInstance{}) },
-        { "NoteHoldings", encodeCommand (holdings) },
+        { "NoteHoldings", encodeCommand (heldModels) },
         { "NoteOrders", encodeCommand (orders) },
-        { "NoteSuspects", encodeCommand (NoteSuspects{}) },
+        { "NoteSuspects", encodeCommand (RecordSuspects{}) },
         { "ReleaseSuspects", encodeCommand (ReleaseSuspects{}) },
     };
 }
--- a/src/cell/RequestIdentity.h
+++ b/src/cell/RequestIdentity.h
@@ -17,7 +17,7 @@
     /** Fingerprint that is cheap to compute and equal for equal requests. The digest is computed
         only if the fingerprint matches.
     */
-    std::uint64_t outline = 0;
+    std::uint64_t fingerprint = 0;
     /** 32 hexadecimal digits of a SHA-256 over the caller, the method, the host, the target and the
         body. Being cryptographic, it cannot be forged to match the request of another caller.
     */
@@ -28,7 +28,7 @@
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
     {
-        archive& outline& digest;
+        archive& fingerprint& digest;
     }
 };
 
--- a/src/cell/RouterMessages.h
+++ b/src/cell/RouterMessages.h
@@ -147,7 +147,7 @@
 };
 
 /// A router received an answer in which a runner announced that it is leaving.
-struct RunnerLeavingSeen
+struct RunnerLeavingReport
 {
     base::RunnerId runner;
     base::Incarnation incarnation = 0;
@@ -205,11 +205,11 @@
 };
 
 /// Heartbeat of a runner that a controller which does not lead received and relays to the leader.
-struct InstanceSighting
+struct RelayedHeartbeat
 {
     std::string instance;
     std::uint64_t sequence = 0;  ///< Sequence number of the heartbeat.
-    bool hasHoldings =
+    bool hasHeldModels =
         false;  ///< False: the held models are unchanged since this relay's last report.
     std::vector<HeldModel> models;
     std::vector<std::string> inMemory;  ///< Models that the runner can load from its host memory.
@@ -218,23 +218,23 @@
     std::vector<ServiceInstance> first{};
     base::UnixMilliseconds startedAt = 0;  ///< Start of the incarnation; 0: not reported.
 
-    bool operator== (const InstanceSighting&) const = default;
+    bool operator== (const RelayedHeartbeat&) const = default;
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
     {
-        archive& instance& sequence& hasHoldings& models& inMemory& onDisk& first& startedAt;
+        archive& instance& sequence& hasHeldModels& models& inMemory& onDisk& first& startedAt;
     }
 };
 
 /// Heartbeats that a relay received since its last message of this type.
-struct InstanceSightings
+struct RelayedHeartbeats
 {
-    std::vector<InstanceSighting> sightings;
+    std::vector<RelayedHeartbeat> relayedHeartbeats;
 
     template <class Archive>
     void serialize (Archive& archive, unsigned /*version*/)
     {
-        archive& sightings;
+        archive& relayedHeartbeats;
     }
 };
 
@@ -254,8 +254,8 @@
 
 using RouterToController =
     std::variant<RouterHello, LeaseRequest, DemandReport, ClaimRequest, OutcomeReport,
-                 RunnerLeavingSeen, EngineDemandReport, MemberJoinRequest, InstanceUnreachable,
-                 InstanceSightings, QuotaRequest, SuspectReport, InstanceLoadReport,
+                 RunnerLeavingReport, EngineDemandReport, MemberJoinRequest, InstanceUnreachable,
+                 RelayedHeartbeats, QuotaRequest, SuspectReport, InstanceLoadReport,
                  InstanceRateReport, InstancePermitRequest>;
 
 /// This controller does not lead. `leaderAddress` is "ip:port" of the leader, empty if unknown.
--- a/src/cell/ServiceInstances.cpp
+++ b/src/cell/ServiceInstances.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-std::vector<HeldModel> inOrder (std::vector<HeldModel> models)
+std::vector<HeldModel> sortedByName (std::vector<HeldModel> models)
 {
     std::ranges::sort (models, {}, &HeldModel::model);
     for (HeldModel& model : models)
--- a/src/cell/ServiceInstances.h
+++ b/src/cell/ServiceInstances.h
@@ -34,7 +34,7 @@
 
 /// Sorts models and adapters by name, so that equal lists of held models compare equal regardless
 /// of their sender.
-[[nodiscard]] std::vector<HeldModel> inOrder (std::vector<HeldModel> models);
+[[nodiscard]] std::vector<HeldModel> sortedByName (std::vector<HeldModel> models);
 
 /// One run of a runner. A restarted runner is another instance, or a later incarnation of the same
 /// instance; the state of the earlier incarnation does not apply to it.
--- a/src/consensus/Durable.cpp
+++ b/src/consensus/ConsensusCodec.cpp
@@ -1,4 +1,4 @@
-#include "consensus/Durable.h"
+#include "consensus/ConsensusCodec.h"
 
 #include <utility>
 
--- a/src/consensus/DurableTest.cpp
+++ b/src/consensus/ConsensusCodecTest.cpp
@@ -5,7 +5,7 @@
 #include <chrono>
 #include <iostream>
 
-#include "consensus/Durable.h"
+#include "consensus/ConsensusCodec.h"
 
 namespace fernlift::consensus
 {
--- a/src/controller/AcknowledgementPromiseTest.cpp
+++ b/src/controller/AcknowledgementPromiseTest.cpp
@@ -144,7 +144,7 @@
         if (! m_cell.isAlive (member))
             return false;
         const base::Duration timeout = base::milliseconds (m_random.uniformInteger (50, 3000));
-        const auto answer = m_cell.askControl (member, std::move (request), timeout);
+        const auto answer = m_cell.sendControlRequest (member, std::move (request), timeout);
         return answer && answer->verdict == ControlVerdict::kDone;
     }
 
--- a/src/controller/AdminAnswers.cpp
+++ b/src/controller/AdminAnswers.cpp
@@ -146,11 +146,11 @@
     if (view.watch == nullptr)
         return object;
     object[u"responsive"_s] = view.watch->isResponsive (id, view.now);
-    const RunnerSight* sight = view.watch->find (id);
-    if (sight != nullptr && sight->report)
+    const RunnerObservation* observation = view.watch->find (id);
+    if (observation != nullptr && observation->report)
     {
-        object[u"running_requests"_s] = static_cast<qint64> (sight->report->runningRequests);
-        object[u"waiting_requests"_s] = static_cast<qint64> (sight->report->waitingRequests);
+        object[u"running_requests"_s] = static_cast<qint64> (observation->report->runningRequests);
+        object[u"waiting_requests"_s] = static_cast<qint64> (observation->report->waitingRequests);
     }
     return object;
 }
@@ -160,14 +160,14 @@
     QJsonArray routers;
     for (const auto& [id, session] : sessions.sessions())
     {
-        routers.append (
-            QJsonObject{ { u"router"_s, text (session.router.value) },
-                         { u"zone"_s, text (session.zone.value) },
-                         { u"address"_s, text (session.address) },
-                         { u"configuration_version"_s, number (session.configurationVersion) },
-                         { u"configuration_digest"_s, text (session.configurationDigest) },
-                         { u"since_heard_ms"_s,
-                           static_cast<qint64> (base::toMilliseconds (now - session.heardAt)) } });
+        routers.append (QJsonObject{
+            { u"router"_s, text (session.router.value) },
+            { u"zone"_s, text (session.zone.value) },
+            { u"address"_s, text (session.address) },
+            { u"configuration_version"_s, number (session.configurationVersion) },
+            { u"configuration_digest"_s, text (session.configurationDigest) },
+            { u"since_heard_ms"_s,
+              static_cast<qint64> (base::toMilliseconds (now - session.lastMessageAt)) } });
     }
     return routers;
 }
@@ -193,7 +193,7 @@
 {
     return { { u"engines"_s, static_cast<qint64> (status.engines) },
              { u"engines_unknown"_s, static_cast<qint64> (status.unknownEngines) },
-             { u"engines_with_orders"_s, static_cast<qint64> (status.attendedEngines) },
+             { u"engines_with_orders"_s, static_cast<qint64> (status.enginesWithOrders) },
              { u"adapters_waited_for"_s, static_cast<qint64> (status.waitingAdapters) },
              { u"adapter_orders"_s, static_cast<qint64> (status.adapterOrders) },
              { u"adapter_order_wait_ms"_s,
@@ -302,7 +302,7 @@
         return object;
     const cell::InstanceLoad load = view.loads->loadOf (instance.id, view.now);
     object[u"requests_in_flight"_s] = static_cast<qint64> (load.inFlight);
-    object[u"unread_prompt_tokens"_s] = number (load.unreadTokens);
+    object[u"unread_prompt_tokens"_s] = number (load.pendingPrefillTokens);
     object[u"speed_percent"_s] = static_cast<qint64> (load.speedPercent);
     object[u"slowdown_percent"_s] = static_cast<qint64> (load.slowdownPercent);
     object[u"slowdown_age_ms"_s] = static_cast<qint64> (load.slowdownAgeMilliseconds);
@@ -417,13 +417,14 @@
     for (const auto& [digest, suspect] : table.all())
     {
         QJsonArray runners;
-        for (const cell::RunnerEnd& end : suspect.ends)
-            runners.append (text (end.instance));
+        for (const cell::RunnerCrash& crash : suspect.crashes)
+            runners.append (text (crash.instance));
         const QJsonObject object{ { u"request"_s, text (digest) },
-                                  { u"ends"_s, static_cast<qint64> (suspect.successive) },
+                                  { u"ends"_s,
+                                    static_cast<qint64> (suspect.consecutiveCrashCount) },
                                   { u"quarantined"_s, suspect.isInQuarantine() },
                                   { u"runners"_s, runners },
-                                  { u"last_end_ms"_s, static_cast<qint64> (suspect.lastEndAt) } };
+                                  { u"last_end_ms"_s, static_cast<qint64> (suspect.lastCrashAt) } };
         (suspect.isInQuarantine() ? quarantined : others).append (object);
     }
     for (const auto& other : others)
--- a/src/controller/ConfigurationLog.cpp
+++ b/src/controller/ConfigurationLog.cpp
@@ -6,7 +6,7 @@
 namespace fernlift::controller
 {
 
-void logConfigurationEvent (const ConfigurationNews& news)
+void logConfigurationEvent (const ConfigurationEvent& event)
 {
     std::visit (
         base::Overloaded{
@@ -45,7 +45,7 @@
                       { "since_arrival_ms", base::toMilliseconds (answered.sinceArrival) } });
             },
         },
-        news);
+        event);
 }
 
 }  // namespace fernlift::controller
--- a/src/controller/ConfigurationLog.h
+++ b/src/controller/ConfigurationLog.h
@@ -8,6 +8,6 @@
 {
 
 /** Writes one line (events 3013 to 3016). */
-void logConfigurationEvent (const ConfigurationNews& news);
+void logConfigurationEvent (const ConfigurationEvent& event);
 
 }  // namespace fernlift::controller
--- a/src/controller/ConfigurationRollout.h
+++ b/src/controller/ConfigurationRollout.h
@@ -58,8 +58,8 @@
     base::Duration sinceArrival{};
 };
 
-using ConfigurationNews = std::variant<ConfigurationCommitted, ConfigurationConfirmed,
-                                       ConfigurationLate, ConfigurationAnswered>;
+using ConfigurationEvent = std::variant<ConfigurationCommitted, ConfigurationConfirmed,
+                                        ConfigurationLate, ConfigurationAnswered>;
 
 /** Has no clock: time is passed in. Threading: none; owned by the Leadership of one ControllerCore.
  */
--- a/src/controller/ControlRequestsTest.cpp
+++ b/src/controller/ControlRequestsTest.cpp
@@ -68,17 +68,17 @@
         TestCell::Options options = test::testOptions();
         options.controller.catalogueParser = &parseTestConfiguration;
         options.controller.hasMachineList = false;
-        options.controller.orderPause = base::seconds (3);
+        options.controller.newLeaderOrderDelay = base::seconds (3);
         return options;
     }
     ControlVerdict ask (ControlRequest request)
     {
-        const auto answer = m_cell.askControl (m_cell.leader(), std::move (request));
+        const auto answer = m_cell.sendControlRequest (m_cell.leader(), std::move (request));
         return answer ? answer->verdict : ControlVerdict::kUnavailable;
     }
     std::string readBack()
     {
-        const auto answer = m_cell.askControl (m_cell.leader(), ReadConfiguration{});
+        const auto answer = m_cell.sendControlRequest (m_cell.leader(), ReadConfiguration{});
         return answer ? answer->text : "";
     }
     void demand (const std::string& model)
@@ -100,14 +100,14 @@
 {
     InstanceHeartbeat draining = heartbeatOf ("i-1", 1);
     draining.instance.isDraining = true;
-    const auto answer = m_cell.askControl (follower(), draining);
+    const auto answer = m_cell.sendControlRequest (follower(), draining);
     ASSERT_TRUE (answer);
     EXPECT_EQ (answer->verdict, ControlVerdict::kNotLeader);
 }
 
 TEST_F (ControlRequestsTest, FollowerForwardsHeartbeatToLeader)
 {
-    const auto answer = m_cell.askControl (follower(), heartbeatOf ("i-1", 1));
+    const auto answer = m_cell.sendControlRequest (follower(), heartbeatOf ("i-1", 1));
     ASSERT_TRUE (answer);
     EXPECT_EQ (answer->verdict, ControlVerdict::kDone);
     m_cell.run (base::milliseconds (500));
@@ -145,8 +145,8 @@
     ASSERT_EQ (ask (ReplaceConfiguration{ "5 a" }), ControlVerdict::kDone);
     m_cell.run (base::seconds (1));
     m_cell.router (1).isCut = true;
-    const auto first = m_cell.askControl (m_cell.leader(), ReplaceConfiguration{ "6 b" },
-                                          base::milliseconds (500));
+    const auto first = m_cell.sendControlRequest (m_cell.leader(), ReplaceConfiguration{ "6 b" },
+                                                  base::milliseconds (500));
     ASSERT_FALSE (first) << "router 1 may still serve under 5";
     EXPECT_EQ (ask (ReplaceConfiguration{ "6 b" }), ControlVerdict::kDone);
     EXPECT_FALSE (m_cell.router (1).admits (m_cell.now()));
@@ -273,7 +273,8 @@
     m_cell.router (1).isCut = true;  // It receives nothing, and its lease continues.
     InstanceHeartbeat draining = heartbeatOf ("i-1", 2);
     draining.instance.isDraining = true;
-    const auto first = m_cell.askControl (m_cell.leader(), draining, base::milliseconds (500));
+    const auto first =
+        m_cell.sendControlRequest (m_cell.leader(), draining, base::milliseconds (500));
     EXPECT_FALSE (first) << "router 1 may still send requests to the instance";
     draining.sequence = 3;
     EXPECT_EQ (ask (draining), ControlVerdict::kDone);
@@ -296,7 +297,7 @@
     {
         ++calls;
         ++draining.sequence;
-        answer = m_cell.askControl (m_cell.leader(), draining, base::milliseconds (900));
+        answer = m_cell.sendControlRequest (m_cell.leader(), draining, base::milliseconds (900));
     }
     ASSERT_TRUE (answer);
     EXPECT_EQ (answer->verdict, ControlVerdict::kDone);
@@ -330,14 +331,14 @@
 TEST_F (ControlRequestsTest, InstanceReplacesPredecessorAtItsAddress)
 {
     InstanceHeartbeat earlier = heartbeatOf ("i-1", 9);
-    ASSERT_TRUE (m_cell.askControl (m_cell.leader(), earlier));
+    ASSERT_TRUE (m_cell.sendControlRequest (m_cell.leader(), earlier));
     InstanceHeartbeat next = heartbeatOf ("i-2", 1);
     next.instance.address = earlier.instance.address;
-    ASSERT_TRUE (m_cell.askControl (m_cell.leader(), next));
+    ASSERT_TRUE (m_cell.sendControlRequest (m_cell.leader(), next));
     m_cell.run (base::milliseconds (200));
     // A delayed heartbeat must not restore the earlier instance.
     earlier.sequence = 10;
-    ASSERT_TRUE (m_cell.askControl (m_cell.leader(), earlier));
+    ASSERT_TRUE (m_cell.sendControlRequest (m_cell.leader(), earlier));
     m_cell.run (base::milliseconds (200));
     const auto& instances = m_cell.core (m_cell.leader()).state().instances();
     EXPECT_EQ (instances.find ("i-1"), nullptr);
@@ -366,9 +367,9 @@
     m_cell.isolate (leader, true);
     InstanceHeartbeat draining = heartbeatOf ("i-1", 2);
     draining.instance.isDraining = true;
-    const auto answer = m_cell.askControl (leader, draining, base::seconds (5));
+    const auto answer = m_cell.sendControlRequest (leader, draining, base::seconds (5));
     EXPECT_TRUE (! answer || answer->verdict != ControlVerdict::kDone);
-    const auto read = m_cell.askControl (leader, ReadConfiguration{}, base::seconds (1));
+    const auto read = m_cell.sendControlRequest (leader, ReadConfiguration{}, base::seconds (1));
     EXPECT_TRUE (! read || read->verdict != ControlVerdict::kDone);
 }
 
--- a/src/controller/ControllerConfiguration.cpp
+++ b/src/controller/ControllerConfiguration.cpp
@@ -126,7 +126,7 @@
 }
 
 void ControllerCore::Implementation::sendConfigurationTo (RouterSessions& sessions,
-                                                          PacedWork& pacing,
+                                                          ThrottledWork& pacing,
                                                           std::uint64_t& announcedVersion)
 {
     const cell::ConfigurationIdentity& inForce = m_state.configuration().identity();
@@ -172,7 +172,7 @@
     answerPendingConfigurations (confirmed);
     if (auto late = rollout.takeLate (m_now))
     {
-        sessions.describeBehind (*late);
+        sessions.describeLateRouters (*late);
         m_effects.emplace_back (std::move (*late));
     }
 }
--- a/src/controller/ControllerCore.cpp
+++ b/src/controller/ControllerCore.cpp
@@ -48,7 +48,7 @@
       m_unixNow (unixNow),
       m_state (m_options.catalogueParser, m_options.plantedFault),
       m_raft (self, m_options.raft, std::move (recovered), randomSeed, now),
-      m_orderNotes (now),
+      m_orderHistory (now),
       m_relaySeeds (randomSeed + 1)
 {
     beginRelay();
@@ -144,7 +144,7 @@
             [] (const base::Error&) { return false; });
         if (! isRestored)
             m_raft.onStorageFailed();
-        m_orderNotes.forget (m_now);
+        m_orderHistory.forget (m_now);
         m_snapshots.onSnapshot (output.installedSnapshot->data.size());
     }
     for (const consensus::Entry& entry : output.committed)
@@ -208,13 +208,13 @@
     const cell::ApplyResult result = m_state.apply (entry.index, *command);
     if (const auto* outcome = std::get_if<cell::ConfigurationResult> (&result))
         onConfigurationApplied (*outcome);
-    if (const auto* note = std::get_if<cell::NoteOrders> (&*command))
-        m_orderNotes.onNote (*note, m_now);
+    if (const auto* record = std::get_if<cell::RecordOrders> (&*command))
+        m_orderHistory.onOrdersRecorded (*record, m_now);
     if (! m_leader)
         return;
     recordAppliedInstances (*command);
-    if (const auto* note = std::get_if<cell::NoteSuspects> (&*command))
-        onSuspectsApplied (*note);
+    if (const auto* record = std::get_if<cell::RecordSuspects> (&*command))
+        onSuspectsApplied (*record);
     const bool isAboutClaims = std::holds_alternative<cell::ClaimKeys> (*command)
                                || std::holds_alternative<cell::RecordOutcomes> (*command);
     if (! isAboutClaims)
@@ -246,7 +246,8 @@
     const InstanceLoadTable earlierLoads = m_relay ? m_relay->loads : InstanceLoadTable();
     const cell::InstanceRateUpdate earlierRates =
         m_relay ? m_relay->rates.table (m_now) : cell::InstanceRateUpdate();
-    InstanceMirror earlierTable = m_relay ? std::move (m_relay->instances) : InstanceMirror();
+    RelayInstanceTable earlierTable =
+        m_relay ? std::move (m_relay->instances) : RelayInstanceTable();
     endRelay();
     m_leader.emplace (m_options, m_status.term, m_now, engineOptions());
     m_leader->instances.continueFrom (std::move (earlierTable), m_status.term);
@@ -313,7 +314,7 @@
     cell::InstanceRateUpdate rates = rateTable();
     m_leader.reset();
     beginRelay();
-    m_relay->rates.adopt (std::move (rates), m_now);
+    m_relay->rates.setTable (std::move (rates), m_now);
 }
 
 void ControllerCore::Implementation::compactIfDue()
@@ -401,9 +402,9 @@
 {
     m_implementation->onRouterMessage (connection, message);
 }
-void ControllerCore::onRouterGone (RouterConnection connection)
+void ControllerCore::onRouterDisconnected (RouterConnection connection)
 {
-    m_implementation->onRouterGone (connection);
+    m_implementation->onRouterDisconnected (connection);
 }
 void ControllerCore::onLeaderConnected() { m_implementation->onLeaderConnected(); }
 void ControllerCore::onLeaderLost() { m_implementation->onLeaderLost(); }
--- a/src/controller/ControllerCore.h
+++ b/src/controller/ControllerCore.h
@@ -59,7 +59,7 @@
     /// without an operator.
     bool managesMembers = false;
     /// Minimum time between the orders of two successive leaders to registered engines.
-    base::Duration orderPause = base::milliseconds (3000);
+    base::Duration newLeaderOrderDelay = base::milliseconds (3000);
     /// Whether models of which no registered engine has a copy are loaded before they are
     /// requested.
     bool fetchesAhead = true;
@@ -201,7 +201,7 @@
 using Effect = std::variant<PersistEffect, SendToMember, ConnectToLeader, SendToLeader,
                             SendToRouter, BroadcastToRouters, SendOrder, PollRunner,
                             PollMachineList, AnswerAdmin, AnswerControl, placement::SendEngineOrder,
-                            placement::PollEngine, placement::EngineOrderDone, ConfigurationNews,
+                            placement::PollEngine, placement::EngineOrderDone, ConfigurationEvent,
                             RequestQuarantined, RunnerMessageUnusable>;
 
 /// Status of a member that does not lead and serves routers on behalf of the leader.
@@ -236,7 +236,7 @@
     void onStorageFailed();
 
     void onRouterMessage (RouterConnection connection, const cell::RouterToController& message);
-    void onRouterGone (RouterConnection connection);
+    void onRouterDisconnected (RouterConnection connection);
 
     /// The connection that ConnectToLeader requested was opened, was closed, or received a message.
     void onLeaderConnected();
--- a/src/controller/ControllerCoreTest.cpp
+++ b/src/controller/ControllerCoreTest.cpp
@@ -25,9 +25,9 @@
     EXPECT_TRUE (cell.router (0).admits (cell.now()));
     EXPECT_TRUE (cell.router (1).admits (cell.now()));
     cell.setDemand (0, "a", 1);
-    ASSERT_TRUE (
-        cell.runUntil ([&] { return cell.router (0).knows ("a") && cell.router (1).knows ("a"); },
-                       base::seconds (5)));
+    ASSERT_TRUE (cell.runUntil (
+        [&] { return cell.router (0).hasReplica ("a") && cell.router (1).hasReplica ("a"); },
+        base::seconds (5)));
     EXPECT_EQ (cell.held ("a"), 1U);
 }
 
@@ -58,13 +58,14 @@
     ASSERT_TRUE (cell.awaitLeader());
     EXPECT_EQ (cell.apply (testCatalogue (1), true), kOk);
     cell.setDemand (0, "a", 1);
-    ASSERT_TRUE (cell.runUntil ([&] { return cell.router (0).knows ("a"); }, base::seconds (5)));
+    ASSERT_TRUE (
+        cell.runUntil ([&] { return cell.router (0).hasReplica ("a"); }, base::seconds (5)));
     const base::Term term = cell.core (cell.leader()).raftStatus().term;
     const std::uint64_t version = cell.router (0).tableVersion;
     EXPECT_FALSE (isTableReplaced (cell, term, version));
     EXPECT_TRUE (isTableReplaced (cell, term + 1, version));
     EXPECT_TRUE (isTableReplaced (cell, term, version + 1000));
-    EXPECT_TRUE (cell.router (0).knows ("a"));
+    EXPECT_TRUE (cell.router (0).hasReplica ("a"));
 }
 
 TEST (ControllerCoreTest, LoadsAdapterWithItsBase)
@@ -73,7 +74,8 @@
     ASSERT_TRUE (cell.awaitLeader());
     ASSERT_EQ (cell.apply (testCatalogue (1)), kOk);
     cell.setDemand (0, "x", 1);
-    ASSERT_TRUE (cell.runUntil ([&] { return cell.router (0).knows ("x"); }, base::seconds (5)));
+    ASSERT_TRUE (
+        cell.runUntil ([&] { return cell.router (0).hasReplica ("x"); }, base::seconds (5)));
     EXPECT_EQ (cell.held ("a"), 1U);
     EXPECT_EQ (cell.held ("x"), 1U);
 }
@@ -88,7 +90,8 @@
     cell.setDemand (0, "b", 1);
     ASSERT_TRUE (cell.runUntil ([&] { return ! cell.heldOrders.empty(); }, base::seconds (5)));
     cell.kill (old);
-    ASSERT_TRUE (cell.runUntil ([&] { return cell.router (1).knows ("b"); }, base::seconds (10)));
+    ASSERT_TRUE (
+        cell.runUntil ([&] { return cell.router (1).hasReplica ("b"); }, base::seconds (10)));
     EXPECT_EQ (cell.held ("b"), 1U);
     // The order of the first leader arrives late and must have no effect.
     for (const auto& [runner, order] : cell.heldOrders)
@@ -130,7 +133,7 @@
             knowing = 0;
             for (std::size_t router = 0; router < options.routers; ++router)
             {
-                if (cell.router (router).knows ("b"))
+                if (cell.router (router).hasReplica ("b"))
                     ++knowing;
             }
             return knowing > 0;
@@ -157,7 +160,8 @@
     EXPECT_GT (cell.heldOrders.size(), 1U);
     EXPECT_EQ (cell.heldOrders.front().second, cell.heldOrders.back().second);
     cell.holdsOrdersOf.reset();
-    EXPECT_TRUE (cell.runUntil ([&] { return cell.router (0).knows ("b"); }, base::seconds (5)));
+    EXPECT_TRUE (
+        cell.runUntil ([&] { return cell.router (0).hasReplica ("b"); }, base::seconds (5)));
     EXPECT_EQ (cell.held ("b"), 1U);
 }
 
@@ -221,13 +225,15 @@
     ASSERT_EQ (cell.apply (testCatalogue (1)), kOk);
     cell.setDemand (0, "b", 0, 2);
     cell.setDemand (1, "b", 1);
-    ASSERT_TRUE (cell.runUntil ([&] { return cell.router (1).knows ("b"); }, base::seconds (5)));
+    ASSERT_TRUE (
+        cell.runUntil ([&] { return cell.router (1).hasReplica ("b"); }, base::seconds (5)));
     const std::string holder = cell.engine ("r1").isReady ("b") ? "r1" : "r2";
     const std::string other = holder == "r1" ? "r2" : "r1";
-    cell.sendFromRouter (0, cell::RunnerLeavingSeen{ base::RunnerId (holder),
-                                                     cell.engine (holder).report().incarnation });
+    cell.sendFromRouter (0, cell::RunnerLeavingReport{ base::RunnerId (holder),
+                                                       cell.engine (holder).report().incarnation });
     const base::TimePoint reportedAt = cell.now();
-    ASSERT_TRUE (cell.runUntil ([&] { return ! cell.router (1).knows ("b"); }, base::seconds (5)));
+    ASSERT_TRUE (
+        cell.runUntil ([&] { return ! cell.router (1).hasReplica ("b"); }, base::seconds (5)));
     // Simulated time of a few messages; neither the machine list nor the engine reports the
     // leaving.
     EXPECT_LE (base::toMilliseconds (cell.now() - reportedAt), 20);
--- a/src/controller/ControllerEngines.cpp
+++ b/src/controller/ControllerEngines.cpp
@@ -87,7 +87,7 @@
 {
     bool isChanged = false;
     const auto& rows = m_leader->instances.rows();
-    for (const std::string& id : m_leader->engines.takeUnshown (m_now))
+    for (const std::string& id : m_leader->engines.takeChangedEngines (m_now))
     {
         const auto row = rows.find (id);
         if (row != rows.end())
@@ -106,7 +106,7 @@
                                                         const cell::RoutableInstance& row)
 {
     const std::vector<cell::HeldModel>& published = row.instance.models;
-    if (row.instance.isReported && m_leader->engines.isPlainlyShown (instance, published))
+    if (row.instance.isReported && m_leader->engines.isKnownCurrent (instance, published))
         return false;
     auto models = m_leader->engines.routableModels (instance, m_now);
     if (! models || (row.instance.isReported && *models == published))
@@ -121,12 +121,13 @@
     options.holder = std::to_string (m_self);
     options.fence = m_status.term;
     options.fetchesAhead = m_options.fetchesAhead;
-    options.ordersFrom = [this] (const std::string& instance)
-    { return m_orderNotes.orderedAt (instance) + m_options.orderPause + kMaxOrderDelay; };
-    options.earlierStoreLoads = m_orderNotes.storeLoads();
+    options.ordersFrom = [this] (const std::string& instance) {
+        return m_orderHistory.orderedAt (instance) + m_options.newLeaderOrderDelay + kMaxOrderDelay;
+    };
+    options.earlierStoreLoads = m_orderHistory.storeLoads();
     // Loads from before the first recorded order are unknown.
     options.earlierStoreLoads.insert (options.earlierStoreLoads.begin(), kUnknownStoreLoads,
-                                      m_orderNotes.knownFrom());
+                                      m_orderHistory.knownFrom());
     return options;
 }
 
@@ -174,7 +175,7 @@
             m_effects.emplace_back (std::get<placement::PollEngine> (std::move (command)));
         }
     }
-    for (placement::EngineOrderDone& done : m_leader->engines.takeDone())
+    for (placement::EngineOrderDone& done : m_leader->engines.takeCompletedOrders())
         m_effects.emplace_back (std::move (done));
     if (! orders.empty())
         recordAndSend (std::move (orders));
@@ -183,14 +184,14 @@
 
 void ControllerCore::Implementation::recordAndSend (std::vector<placement::SendEngineOrder> orders)
 {
-    cell::NoteOrders note;
-    note.proposedAt = cellTime();
+    cell::RecordOrders record;
+    record.proposedAt = cellTime();
     for (const placement::SendEngineOrder& order : orders)
     {
-        note.orders.push_back ({ order.order.instance, order.isFromStore });
+        record.orders.push_back ({ order.order.instance, order.isFromStore });
     }
     const ForEngineOrders purpose{ std::move (orders), m_now };
-    if (propose (note, purpose))
+    if (propose (record, purpose))
         return;
     for (const placement::SendEngineOrder& order : purpose.orders)
     {
--- a/src/controller/ControllerImplementation.h
+++ b/src/controller/ControllerImplementation.h
@@ -30,9 +30,8 @@
 #include "controller/InstanceTable.h"
 #include "controller/LoadEstimates.h"
 #include "controller/MemberAdmission.h"
-#include "controller/OrderNotes.h"
+#include "controller/OrderHistory.h"
 #include "controller/OrderQueue.h"
-#include "controller/PacedWork.h"
 #include "controller/Reconciliation.h"
 #include "controller/RoutableTable.h"
 #include "controller/RouterRelay.h"
@@ -40,8 +39,9 @@
 #include "controller/RunnerSpeeds.h"
 #include "controller/RunnerWatch.h"
 #include "controller/SnapshotSchedule.h"
+#include "controller/ThrottledWork.h"
 #include "placement/Placement.h"
-#include "placement/StorePace.h"
+#include "placement/StoreLoadLimiter.h"
 #include "quota/QuotaLedger.h"
 
 namespace fernlift::controller
@@ -176,7 +176,7 @@
 /// A runner crash that a router reported and the replicated state does not contain yet.
 struct UnappliedCrash
 {
-    cell::RunnerEndReport report;
+    cell::RunnerCrashReport report;
     base::TimePoint receivedAt{};
     bool isAnnounced = false;  ///< Routers were notified ahead of the commit.
 };
@@ -233,7 +233,7 @@
     std::map<std::pair<std::string, base::RunnerId>, LoadFailure> failures;
     /// Time at which each replica was last in use or in demand.
     std::map<base::ReplicaId, base::TimePoint> lastUse;
-    placement::StorePace storePace;
+    placement::StoreLoadLimiter storeLoadLimiter;
     /// Whether each replica loads from the weight store rather than from its runner's memory or
     /// disk.
     std::map<base::ReplicaId, bool> usesStore;
@@ -248,27 +248,27 @@
     base::TimePoint nextLoadsAt{};  ///< Earliest time of the next load update to routers.
     InstanceRateLedger rates;       ///< Rates of the runners that state one.
     std::uint64_t placedRates = 0;  ///< Version of `rates` last passed to placement.
-    RateNews rateNews;
+    RateUpdateState rateUpdateState;
     /// Heartbeats that arrived at this member itself while it leads.
     base::DecayingRate heartbeats;
     quota::QuotaLedger quotas;
-    QuotaBasis quotaBasis;        ///< Configuration and member count that `quotas` is set up for.
-    cell::NoteSuspects suspects;  ///< Runner crashes reported and not proposed yet.
+    QuotaBasis quotaBasis;          ///< Configuration and member count that `quotas` is set up for.
+    cell::RecordSuspects suspects;  ///< Runner crashes reported and not proposed yet.
     std::vector<UnappliedCrash> unappliedCrashes;
     base::TimePoint nextSuspectExpiryAt{};
-    base::TimePoint nextHoldingsAt{};
+    base::TimePoint nextHeldModelsAt{};
     // Versions last passed to placement.
     std::uint64_t placedConfiguration = 0;
     std::uint64_t placedInstances = 0;
     /// While all instances are passed to placement in portions: the first id not passed yet.
     std::optional<std::string> firstUnplaced;
-    PacedWork missingInstances;  ///< The next portion of these instances is due.
-    std::uint64_t recordedHoldingsVersion =
+    ThrottledWork missingInstances;  ///< The next portion of these instances is due.
+    std::uint64_t recordedHeldModelsVersion =
         0;  ///< Version of `instances` whose held models are in the log.
     base::TimePoint nextRemovalAt{};
     std::uint64_t announcedVersion =
-        0;                        ///< Version of the configuration last scheduled for routers.
-    PacedWork configurationSend;  ///< Some routers may need the configuration.
+        0;                            ///< Version of the configuration last scheduled for routers.
+    ThrottledWork configurationSend;  ///< Some routers may need the configuration.
     ConfigurationRollout rollout;
     std::vector<PendingConfiguration> pendingConfigurations;
     std::map<LeavingInstance, PendingLeave> pendingLeaves;
@@ -276,14 +276,14 @@
     /// acknowledged. It is a version of this leader, so that a table of an earlier leader does not
     /// satisfy it.
     std::uint64_t requiredInstanceVersion = 0;
-    PacedWork instanceTable;  ///< Changes of the instances may have to be sent to routers.
-    PacedWork wholeTable;     ///< Some routers need the whole instance table.
-    PacedWork instanceSweep;  ///< All instances are to be examined.
+    ThrottledWork instanceTable;  ///< Changes of the instances may have to be sent to routers.
+    ThrottledWork wholeTable;     ///< Some routers need the whole instance table.
+    ThrottledWork instanceSweep;  ///< All instances are to be examined.
     MemberAdmission admission;
     placement::EnginePlacement engines;
-    PacedWork enginePlacement;
+    ThrottledWork enginePlacement;
     base::Duration placementTime{};  ///< Duration of the last full placement round.
-    PacedWork urgentPlacement;       ///< Placement only of the models that requests wait for.
+    ThrottledWork urgentPlacement;   ///< Placement only of the models that requests wait for.
 };
 
 /// Counters for /metrics.
@@ -320,7 +320,7 @@
     void onStorageFailed();
 
     void onRouterMessage (RouterConnection connection, const cell::RouterToController& message);
-    void onRouterGone (RouterConnection connection);
+    void onRouterDisconnected (RouterConnection connection);
     void onLeaderConnected();
     void onLeaderLost();
     void onLeaderMessage (const cell::ControllerToRouter& message);
@@ -427,7 +427,7 @@
     void applyTenants();
     /// Grants units of tenants' quotas to a router or a relay.
     void grantQuota (RouterConnection connection, const cell::QuotaRequest& request);
-    void onLeavingSeen (const cell::RunnerLeavingSeen& seen);
+    void onLeavingSeen (const cell::RunnerLeavingReport& seen);
     /// Registers a router that connected while this member does not lead. It is notified when a
     /// leader is known.
     void admitWatcher (RouterConnection connection, const cell::RouterHello& hello);
@@ -480,7 +480,7 @@
     /// Sends the configuration to the routers that need it, when it came into force or when a
     /// router requested it.
     void sendConfigurationIfDue();
-    void sendConfigurationTo (RouterSessions& sessions, PacedWork& pacing,
+    void sendConfigurationTo (RouterSessions& sessions, ThrottledWork& pacing,
                               std::uint64_t& announcedVersion);
     /// Answers operators and logs which configurations have reached all routers and which are late.
     void trackRollout();
@@ -500,7 +500,7 @@
     /// Notifies routers of repeated runner crashes whose commit is late.
     void announceLateCrashes();
     /// Called when runner crashes that routers reported were applied.
-    void onSuspectsApplied (const cell::NoteSuspects& command);
+    void onSuspectsApplied (const cell::RecordSuspects& command);
     /// Sends routers the rows of the applied table of suspects that they lack.
     void sendSuspectsTo (RouterSessions& sessions);
 
@@ -535,7 +535,7 @@
     /// Updates placement and held models from the instance table: for all instances in a sweep,
     /// else for those that changed.
     void refreshInstances (bool isSweep);
-    void onSightings (const cell::InstanceSightings& sightings);
+    void onRelayedHeartbeats (const cell::RelayedHeartbeats& relayedHeartbeats);
     void applyHeartbeat (const InstanceHeartbeat& heartbeat);
     /// Returns false, and reports it, for a heartbeat that no runner of the services in force can
     /// have sent.
@@ -553,7 +553,7 @@
     /// Address of the controller to which an instance is to send its next heartbeats.
     [[nodiscard]] std::string heartbeatAddressFor (const std::string& instance);
     /// Proposes changes of the models that runners hold, so that the next leader has them.
-    void proposeHoldingsIfDue();
+    void proposeHeldModelsIfDue();
     void removeSilent();
     [[nodiscard]] std::string ownAdminAddress() const;
     void answerNotLeader (ControlTicket ticket);
@@ -566,7 +566,7 @@
     /// loads to routers.
     void relayLoads();
     void sendLoadsTo (RouterSessions& sessions, const InstanceLoadTable& loads,
-                      base::TimePoint& nextAt);
+                      base::TimePoint& nextUpdateAt);
     void removeLoadsOfGoneInstances();
     /// Updates the speeds of runners from a report, and converts its slowdowns so that they are
     /// relative to the nominal speed.
@@ -583,7 +583,7 @@
     /// without the rate limits of the runners in it.
     void sendInitialRates (RouterConnection connection, RouterSession& session,
                            const cell::RouterHello& hello);
-    void sendRatesTo (const RouterSessions& sessions, RateNews& news);
+    void sendRatesTo (const RouterSessions& sessions, RateUpdateState& updateState);
     void onRateReport (const cell::InstanceRateReport& report);
     void grantPermits (RouterConnection connection, const cell::InstancePermitRequest& request);
     void removeRatesOfGoneInstances();
@@ -665,9 +665,9 @@
     /// known.
     std::set<RouterConnection> m_watchers;
     base::MemberId m_announcedLeader = 0;  ///< Leader last announced to watchers; 0: none.
-    OrderNotes m_orderNotes;
+    OrderHistory m_orderHistory;
     base::LogIndex m_suspectsVersion = 0;  ///< Version of the suspects last scheduled for routers.
-    PacedWork m_suspectsSend;              ///< Some routers may need changes of the suspects.
+    ThrottledWork m_suspectsSend;          ///< Some routers may need changes of the suspects.
     base::Random m_relaySeeds;
     std::optional<RouterRelay> m_relay;  ///< Set while this member does not lead.
     std::vector<Effect> m_effects;
--- a/src/controller/ControllerInstances.cpp
+++ b/src/controller/ControllerInstances.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr base::Duration kHoldingsInterval = base::milliseconds (300);
+constexpr base::Duration kHeldModelsInterval = base::milliseconds (300);
 /// Time without heartbeats after which an instance is removed; its next heartbeat registers it
 /// again.
 constexpr base::Duration kRemovalSilence = base::seconds (30);
@@ -54,7 +54,7 @@
 void ControllerCore::Implementation::control (ControlTicket ticket,
                                               const InstanceHeartbeat& heartbeat)
 {
-    if (m_leader->instances.isOfPredecessor (heartbeat, m_now))
+    if (m_leader->instances.isFromPredecessor (heartbeat, m_now))
     {
         answerControl (ticket, { ControlVerdict::kDone, ownAdminAddress(), "" });
         return;
@@ -156,11 +156,11 @@
 {
     if (! m_leader->instances.onHeartbeat (heartbeat, m_now))
         return;
-    placement::EngineHoldings holdings;
-    holdings.models = heartbeat.models;
-    holdings.inMemory.insert (heartbeat.inMemory.begin(), heartbeat.inMemory.end());
-    holdings.onDisk.insert (heartbeat.onDisk.begin(), heartbeat.onDisk.end());
-    m_leader->engines.onHeartbeat (heartbeat.instance.id, holdings, m_now);
+    placement::EngineHeldModels heldModels;
+    heldModels.models = heartbeat.models;
+    heldModels.inMemory.insert (heartbeat.inMemory.begin(), heartbeat.inMemory.end());
+    heldModels.onDisk.insert (heartbeat.onDisk.begin(), heartbeat.onDisk.end());
+    m_leader->engines.onHeartbeat (heartbeat.instance.id, heldModels, m_now);
     requestPlacement();
 }
 
@@ -179,29 +179,30 @@
 {
     cell::ServiceInstance instance = heartbeat.instance;
     instance.isReported = true;
-    instance.models = cell::inOrder (heartbeat.models);
+    instance.models = cell::sortedByName (heartbeat.models);
     return { std::move (instance), cellTime() };
 }
 
-void ControllerCore::Implementation::onSightings (const cell::InstanceSightings& sightings)
+void ControllerCore::Implementation::onRelayedHeartbeats (
+    const cell::RelayedHeartbeats& relayedHeartbeats)
 {
     bool hasAdded = false;
-    for (const cell::InstanceSighting& sighting : sightings.sightings)
+    for (const cell::RelayedHeartbeat& relayed : relayedHeartbeats.relayedHeartbeats)
     {
-        if (! sighting.hasHoldings)
+        if (! relayed.hasHeldModels)
         {
-            m_leader->instances.onHeard (sighting, m_now);
+            m_leader->instances.onUnchangedHeartbeat (relayed, m_now);
             continue;
         }
-        const cell::ServiceInstance* known = m_state.instances().find (sighting.instance);
+        const cell::ServiceInstance* known = m_state.instances().find (relayed.instance);
         const cell::ServiceInstance* reported =
-            sighting.first.empty() ? known : &sighting.first.front();
+            relayed.first.empty() ? known : &relayed.first.front();
         if (reported == nullptr)
             continue;
-        InstanceHeartbeat heartbeat{ *reported, sighting.sequence, sighting.models,
-                                     sighting.inMemory, sighting.onDisk };
-        heartbeat.instance.startedAt = sighting.startedAt;
-        if (m_leader->instances.isOfPredecessor (heartbeat, m_now)
+        InstanceHeartbeat heartbeat{ *reported, relayed.sequence, relayed.models, relayed.inMemory,
+                                     relayed.onDisk };
+        heartbeat.instance.startedAt = relayed.startedAt;
+        if (m_leader->instances.isFromPredecessor (heartbeat, m_now)
             || isOfEarlierIncarnation (heartbeat.instance))
             continue;
         applyHeartbeat (heartbeat);
@@ -284,7 +285,7 @@
 {
     if (! holdsLease())
         return;
-    if (m_leader->engines.hasUnshown (m_now))
+    if (m_leader->engines.hasChangedEngines (m_now))
         m_leader->instanceTable.request();
     const std::size_t routers = m_leader->sessions.sessions().size();
     const base::Duration wholeInterval =
@@ -325,13 +326,15 @@
     InstanceTable& instances = m_leader->instances;
     std::visit (
         base::Overloaded{
-            [&] (const cell::AddInstance& add) { instances.onAgreed (add.instance.id); },
-            [&] (const cell::DrainInstance& drained) { instances.onAgreed (drained.instance); },
-            [&] (const cell::RemoveInstance& removed) { instances.onAgreed (removed.instance); },
-            [&] (const cell::NoteHoldings& noted)
+            [&] (const cell::AddInstance& add) { instances.onReplicatedChange (add.instance.id); },
+            [&] (const cell::DrainInstance& drained)
+            { instances.onReplicatedChange (drained.instance); },
+            [&] (const cell::RemoveInstance& removed)
+            { instances.onReplicatedChange (removed.instance); },
+            [&] (const cell::RecordHeldModels& noted)
             {
-                for (const cell::InstanceHoldings& holdings : noted.holdings)
-                    instances.onAgreed (holdings.instance);
+                for (const cell::InstanceHeldModels& heldModels : noted.heldModels)
+                    instances.onReplicatedChange (heldModels.instance);
             },
             [] (const auto& /*other*/) {},
         },
@@ -346,7 +349,7 @@
         if (wait.tableVersion != 0)
             continue;
         wait.tableVersion = present;
-        wait.leasesEndAt = m_now + m_leader->sessions.longestLease();
+        wait.leasesEndAt = m_now + m_leader->sessions.maxLeaseDuration();
         m_leader->requiredInstanceVersion = present;
     }
     const InstanceTable& instances = m_leader->instances;
@@ -402,7 +405,7 @@
     m_leader->instanceSweep.request();
     requestPlacement();
     sendInstancesIfDue();
-    proposeHoldingsIfDue();
+    proposeHeldModelsIfDue();
     removeSilent();
 }
 
@@ -419,28 +422,29 @@
     }
 }
 
-void ControllerCore::Implementation::proposeHoldingsIfDue()
+void ControllerCore::Implementation::proposeHeldModelsIfDue()
 {
     // The held models of a row change only together with the version of the table.
     const std::uint64_t version = m_leader->instances.version();
-    if (m_now < m_leader->nextHoldingsAt || version == m_leader->recordedHoldingsVersion)
+    if (m_now < m_leader->nextHeldModelsAt || version == m_leader->recordedHeldModelsVersion)
         return;
-    m_leader->nextHoldingsAt = m_now + kHoldingsInterval;
-    cell::NoteHoldings command;
+    m_leader->nextHeldModelsAt = m_now + kHeldModelsInterval;
+    cell::RecordHeldModels command;
     m_leader->instances.visitSince (
-        m_leader->recordedHoldingsVersion,
+        m_leader->recordedHeldModelsVersion,
         [&] (const std::string& id, const cell::RoutableInstance* row)
         {
             const cell::ServiceInstance* agreed = m_state.instances().find (id);
             const bool isKnown = row != nullptr && agreed != nullptr && row->instance.isReported;
             if (isKnown && agreed->models != row->instance.models)
             {
-                command.holdings.push_back ({ id, row->instance.models, row->instance.startedAt });
+                command.heldModels.push_back (
+                    { id, row->instance.models, row->instance.startedAt });
             }
         });
     command.proposedAt = cellTime();
-    if (command.holdings.empty() || propose (command, ForNothing{}))
-        m_leader->recordedHoldingsVersion = version;
+    if (command.heldModels.empty() || propose (command, ForNothing{}))
+        m_leader->recordedHeldModelsVersion = version;
 }
 
 std::string ControllerCore::Implementation::ownAdminAddress() const
--- a/src/controller/ControllerLoads.cpp
+++ b/src/controller/ControllerLoads.cpp
@@ -46,10 +46,11 @@
     for (cell::InstanceSlowdown& slowdown : report.slowdowns)
     {
         if (const cell::ServiceInstance* known = m_state.instances().find (slowdown.instance))
-            speeds.onStated ({ slowdown.instance, known->service }, slowdown.percent, m_now);
+            speeds.onReportedWorkTime ({ slowdown.instance, known->service }, slowdown.percent,
+                                       m_now);
         slowdown.percent =
-            (slowdown.percent * speeds.speedOf (slowdown.instance) + cell::kUsualPercent / 2)
-            / cell::kUsualPercent;
+            (slowdown.percent * speeds.speedOf (slowdown.instance) + cell::kNominalPercent / 2)
+            / cell::kNominalPercent;
     }
     for (const cell::InstancePace& pace : report.paces)
     {
@@ -67,8 +68,9 @@
     const auto keep = [this] (const cell::InstanceLoad& load)
     {
         const cell::ServiceInstance* known = m_state.instances().find (load.instance);
-        if (known != nullptr && load.speedPercent != cell::kUsualPercent)
-            m_leader->speeds.setEarlier ({ load.instance, known->service }, load.speedPercent);
+        if (known != nullptr && load.speedPercent != cell::kNominalPercent)
+            m_leader->speeds.setInheritedSpeed ({ load.instance, known->service },
+                                                load.speedPercent);
     };
     loads.visit (m_now, keep);
 }
@@ -90,14 +92,14 @@
         return;
     const base::Duration longest = m_options.routerLease * kSilenceQuarters / 4;
     for (const auto& [connection, session] : sessions.sessions())
-        sum.setHeard (connection, m_now - session.heardAt < longest);
+        sum.setReporterActive (connection, m_now - session.lastMessageAt < longest);
 }
 
 void ControllerCore::Implementation::sendLoadsTo (RouterSessions& sessions,
                                                   const InstanceLoadTable& loads,
-                                                  base::TimePoint& nextAt)
+                                                  base::TimePoint& nextUpdateAt)
 {
-    if (m_now < nextAt)
+    if (m_now < nextUpdateAt)
         return;
     std::map<std::uint64_t, std::vector<RouterConnection>> behind;
     for (auto& [connection, session] : sessions.sessions())
@@ -123,9 +125,9 @@
     }
     if (! behind.empty())
     {
-        nextAt = m_now
-                 + std::max<base::Duration> (
-                     kLoadInterval, static_cast<std::int64_t> (rows) * kLoadIntervalForRow);
+        nextUpdateAt = m_now
+                       + std::max<base::Duration> (
+                           kLoadInterval, static_cast<std::int64_t> (rows) * kLoadIntervalForRow);
     }
 }
 
--- a/src/controller/ControllerLoadsTest.cpp
+++ b/src/controller/ControllerLoadsTest.cpp
@@ -31,10 +31,11 @@
         m_leader = m_cell.leader();
         for (std::size_t number = 0; number < kRouters; ++number)
             m_cell.reconnect (number, memberFor (number));
-        const auto answer = m_cell.askControl (m_leader, ReplaceConfiguration{ "1 " }, seconds (4));
+        const auto answer =
+            m_cell.sendControlRequest (m_leader, ReplaceConfiguration{ "1 " }, seconds (4));
         EXPECT_TRUE (answer && answer->verdict == ControlVerdict::kDone);
         for (const std::string id : { "i-1", "i-2" })
-            EXPECT_TRUE (m_cell.askControl (m_leader, heartbeat (id)));
+            EXPECT_TRUE (m_cell.sendControlRequest (m_leader, heartbeat (id)));
         // Without heartbeats the instances would be removed.
         m_cell.onStep = [this]
         {
@@ -69,7 +70,7 @@
             if (! std::exchange (m_isBeatDue, false) || m_cell.leader() == 0)
                 continue;
             for (const std::string id : { "i-1", "i-2" })
-                m_cell.askControl (m_cell.leader(), heartbeat (id), milliseconds (0));
+                m_cell.sendControlRequest (m_cell.leader(), heartbeat (id), milliseconds (0));
         }
     }
     void report (std::size_t router, std::vector<cell::InstanceUse> uses)
@@ -120,7 +121,7 @@
         EXPECT_TRUE (m_cell.runUntil ([&] { return allHave ("i-1", inFlight); }, kBound))
             << "after the report of router " << router;
     }
-    EXPECT_EQ (m_cell.router (0).loads.at ("i-1").unreadTokens, 6 * 900U);
+    EXPECT_EQ (m_cell.router (0).loads.at ("i-1").pendingPrefillTokens, 6 * 900U);
     for (std::size_t router = 0; router < kRouters; ++router)
         report (router, { { "i-1", 0, 0 } });
     EXPECT_TRUE (m_cell.runUntil ([&] { return allHave ("i-1", 0); }, kBound));
--- a/src/controller/ControllerMetrics.cpp
+++ b/src/controller/ControllerMetrics.cpp
@@ -36,19 +36,19 @@
                      base::TimePoint now)
 {
     std::uint64_t inFlight = 0;
-    std::uint64_t unreadTokens = 0;
+    std::uint64_t pendingPrefillTokens = 0;
     std::uint64_t slowNow = 0;
-    std::uint32_t slowest = cell::kUsualPercent;
-    std::uint32_t fastest = cell::kUsualPercent;
+    std::uint32_t slowest = cell::kNominalPercent;
+    std::uint32_t fastest = cell::kNominalPercent;
     const auto add = [&] (const cell::InstanceLoad& load)
     {
         inFlight += load.inFlight;
-        unreadTokens += load.unreadTokens;
+        pendingPrefillTokens += load.pendingPrefillTokens;
         slowest = std::min (slowest, load.speedPercent);
         fastest = std::max (fastest, load.speedPercent);
         const bool isSlow =
-            load.slowdownPercent > cell::kUsualPercent
-            && load.slowdownAgeMilliseconds < base::toMilliseconds (cell::kSlowdownLife);
+            load.slowdownPercent > cell::kNominalPercent
+            && load.slowdownAgeMilliseconds < base::toMilliseconds (cell::kSlowdownLifetime);
         slowNow += isSlow ? 1 : 0;
     };
     loads.visit (now, add);
@@ -57,11 +57,12 @@
     addGauge (text, "loads_known", "Runners of which loads, speeds or slowdowns are known.",
               loads.size());
     addGauge (text, "loads_age_milliseconds", "Since loads of runners were last told here.",
-              loads.toldAt() == base::TimePoint{}
+              loads.lastUpdateAt() == base::TimePoint{}
                   ? 0
-                  : static_cast<std::uint64_t> (base::toMilliseconds (now - loads.toldAt())));
+                  : static_cast<std::uint64_t> (base::toMilliseconds (now - loads.lastUpdateAt())));
     addGauge (text, "requests_in_flight", "Requests of all routers at runners.", inFlight);
-    addGauge (text, "unread_prompt_tokens", "Of prompts whose answer has not begun.", unreadTokens);
+    addGauge (text, "unread_prompt_tokens", "Of prompts whose answer has not begun.",
+              pendingPrefillTokens);
     addGauge (text, "slowest_runner_percent", "Speed of the slowest runner; 100: usual.", slowest);
     addGauge (text, "fastest_runner_percent", "Speed of the fastest runner; 100: usual.", fastest);
     addGauge (text, "runners_slowed", "Runners that stated a slow moment just now.", slowNow);
@@ -87,7 +88,7 @@
               status.unknownEngines);
     addGauge (text, "engines_attended",
               "Engines with an order under way, planned or in doubt, at the leader.",
-              status.attendedEngines);
+              status.enginesWithOrders);
     addGauge (text, "adapters_waited_for", "Adapters that requests wait for, at the leader.",
               status.waitingAdapters);
     addCounter (text, "adapter_orders_total", "Orders for adapters that requests waited for.",
--- a/src/controller/ControllerPlacement.cpp
+++ b/src/controller/ControllerPlacement.cpp
@@ -50,9 +50,10 @@
     addReplicaViews (snapshot);
     if (snapshot.catalogue != nullptr)
     {
-        m_leader->storePace.observe (snapshot.catalogue->weightStore, snapshot.replicas, m_now);
-        snapshot.storeConcurrency = m_leader->storePace.concurrency();
-        snapshot.storeStarts = m_leader->storePace.startsAllowed();
+        m_leader->storeLoadLimiter.observe (snapshot.catalogue->weightStore, snapshot.replicas,
+                                            m_now);
+        snapshot.storeConcurrency = m_leader->storeLoadLimiter.concurrency();
+        snapshot.storeStarts = m_leader->storeLoadLimiter.startsAllowed();
     }
     return snapshot;
 }
@@ -72,11 +73,11 @@
         view.accelerators = std::max (runner.machine.accelerators, 1U);
         view.takesNewWork = runner.takesNewWork();
         view.isResponsive = m_leader->watch.isResponsive (id, m_now);
-        const RunnerSight* sight = m_leader->watch.find (id);
-        if (sight != nullptr && sight->report)
+        const RunnerObservation* observation = m_leader->watch.find (id);
+        if (observation != nullptr && observation->report)
         {
-            view.slots = std::max (sight->report->slots, 1U);
-            view.checkpoints = &sight->checkpoints;
+            view.slots = std::max (observation->report->slots, 1U);
+            view.checkpoints = &observation->checkpoints;
         }
         snapshot.runners.push_back (std::move (view));
     }
@@ -85,11 +86,11 @@
 void ControllerCore::Implementation::addReplicaViews (placement::Snapshot& snapshot)
 {
     std::map<base::ReplicaId, std::uint32_t> active;
-    for (const auto& [runner, sight] : m_leader->watch.sights())
+    for (const auto& [runner, observation] : m_leader->watch.observations())
     {
-        if (! sight.report)
+        if (! observation.report)
             continue;
-        for (const engine::ReplicaReport& replica : sight.report->replicas)
+        for (const engine::ReplicaReport& replica : observation.report->replicas)
         {
             active[replica.replica] = replica.runningRequests + replica.waitingRequests;
         }
@@ -125,12 +126,12 @@
 
 bool ControllerCore::Implementation::loadsFromStore (const cell::Replica& replica) const
 {
-    const RunnerSight* sight = m_leader->watch.find (replica.runner);
+    const RunnerObservation* observation = m_leader->watch.find (replica.runner);
     // A load that began under an earlier leader is assumed to use the store, which is the worst
     // case.
-    if (sight == nullptr || replica.decidedAt < m_leader->unixSince)
+    if (observation == nullptr || replica.decidedAt < m_leader->unixSince)
         return true;
-    return sight->checkpoints.count (replica.target()) == 0;
+    return observation->checkpoints.count (replica.target()) == 0;
 }
 
 void ControllerCore::Implementation::proposeDecision (const placement::Decision& decision)
--- a/src/controller/ControllerProcess.cpp
+++ b/src/controller/ControllerProcess.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "base/Overloaded.h"
-#include "consensus/Durable.h"
+#include "consensus/ConsensusCodec.h"
 #include "consensus/Membership.h"
 #include "controller/CellFormation.h"
 #include "controller/ConfigurationLog.h"
@@ -58,10 +58,10 @@
 void logQuarantine (const cell::Suspect& suspect)
 {
     std::string runners;
-    for (const cell::RunnerEnd& end : suspect.ends)
-        runners.append (runners.empty() ? "" : ",").append (end.instance);
+    for (const cell::RunnerCrash& crash : suspect.crashes)
+        runners.append (runners.empty() ? "" : ",").append (crash.instance);
     log::write (log::Event::kRequestQuarantined, { { "identity", suspect.request.digest },
-                                                   { "ends", suspect.successive },
+                                                   { "ends", suspect.consecutiveCrashCount },
                                                    { "runners", runners } });
 }
 
@@ -83,7 +83,7 @@
             [this] (RouterConnection connection, const cell::RouterToController& message)
             { feed ([&] (ControllerCore& core) { core.onRouterMessage (connection, message); }); },
             [this] (RouterConnection connection)
-            { feed ([&] (ControllerCore& core) { core.onRouterGone (connection); }); } },
+            { feed ([&] (ControllerCore& core) { core.onRouterDisconnected (connection); }); } },
           &m_traffic),
       m_admin ({ [this] (AdminTicket ticket, const AdminRequest& request)
                  { feed ([&] (ControllerCore& core) { core.onAdmin (ticket, request); }); },
@@ -207,7 +207,7 @@
 
 std::string ControllerProcess::storageMetrics() const
 {
-    const StorageWork work = m_storage->work();
+    const StorageCounters work = m_storage->work();
     std::string text;
     appendCounter (text, "fernlift_storage_requests_total", "Writes asked for by consensus.",
                    std::to_string (work.requests));
@@ -275,7 +275,7 @@
             [this] (const placement::SendEngineOrder& send) { sendEngineOrder (send); },
             [this] (const placement::PollEngine& poll) { pollEngine (poll); },
             [] (const placement::EngineOrderDone& done) { logDone (done); },
-            [] (const ConfigurationNews& news) { logConfigurationEvent (news); },
+            [] (const ConfigurationEvent& event) { logConfigurationEvent (event); },
             [] (const RequestQuarantined& quarantined) { logQuarantine (quarantined.suspect); },
             [this] (const RunnerMessageUnusable& message)
             { recordUnusable (message.instance, message.reason); },
--- a/src/controller/ControllerProposals.cpp
+++ b/src/controller/ControllerProposals.cpp
@@ -151,7 +151,7 @@
     order.version = orphan.report.version;
     order.adapter = orphan.report.adapter;
     order.memory = orphan.report.memory;
-    m_leader->orders.addStray (orphan.runner, order);
+    m_leader->orders.addOrphan (orphan.runner, order);
     m_leader->ordersDue.insert (orphan.runner);
 }
 
--- a/src/controller/ControllerQuarantine.cpp
+++ b/src/controller/ControllerQuarantine.cpp
@@ -33,31 +33,31 @@
 void ControllerCore::Implementation::recordReporter (RouterSession& session,
                                                      const cell::SuspectReport& report)
 {
-    for (const cell::RunnerEndReport& end : report.ends)
-        session.reportedSuspects[end.request.digest] = m_now;
+    for (const cell::RunnerCrashReport& crash : report.crashes)
+        session.reportedSuspects[crash.request.digest] = m_now;
     m_suspectsSend.request();
 }
 
 void ControllerCore::Implementation::onSuspectReport (const cell::SuspectReport& report)
 {
     const cell::QuarantineTable& table = m_state.quarantine();
-    for (const cell::RunnerEndReport& end : report.ends)
+    for (const cell::RunnerCrashReport& crash : report.crashes)
     {
-        const cell::Suspect* known = table.find (end.request.digest);
-        const bool isNew = known == nullptr || ! known->contains (end.instance);
+        const cell::Suspect* known = table.find (crash.request.digest);
+        const bool isNew = known == nullptr || ! known->contains (crash.instance);
         // The end of a runner that was leaving is no crash.
-        if (! isNew || isLeaving (end.instance))
+        if (! isNew || isLeaving (crash.instance))
             continue;
-        m_leader->unappliedCrashes.push_back ({ end, m_now, false });
+        m_leader->unappliedCrashes.push_back ({ crash, m_now, false });
         const base::UnixMilliseconds now = cellTime();
-        m_leader->suspects.ends.push_back ({ end.request, end.instance,
-                                             now - end.sentAgoMilliseconds,
-                                             now - end.endedAgoMilliseconds });
+        m_leader->suspects.crashes.push_back ({ crash.request, crash.instance,
+                                                now - crash.sentAgoMilliseconds,
+                                                now - crash.crashedAgoMilliseconds });
     }
-    for (const std::string& digest : report.acquitted)
+    for (const std::string& digest : report.cleared)
     {
         if (table.find (digest) != nullptr)
-            m_leader->suspects.acquitted.push_back (digest);
+            m_leader->suspects.cleared.push_back (digest);
     }
 }
 
@@ -73,47 +73,47 @@
 
 void ControllerCore::Implementation::proposeSuspectsIfDue()
 {
-    cell::NoteSuspects& pending = m_leader->suspects;
+    cell::RecordSuspects& pending = m_leader->suspects;
     const bool mustExpire =
         m_now >= m_leader->nextSuspectExpiryAt && m_state.quarantine().hasExpired (cellTime());
     if (m_now >= m_leader->nextSuspectExpiryAt)
         m_leader->nextSuspectExpiryAt = m_now + kExpiryInterval;
-    if (pending.ends.empty() && pending.acquitted.empty() && ! mustExpire)
+    if (pending.crashes.empty() && pending.cleared.empty() && ! mustExpire)
         return;
-    cell::NoteSuspects command = std::exchange (pending, {});
+    cell::RecordSuspects command = std::exchange (pending, {});
     command.proposedAt = cellTime();
     propose (command, ForNothing{});
 }
 
 void ControllerCore::Implementation::announceLateCrashes()
 {
-    std::erase_if (m_leader->unappliedCrashes, [this] (const UnappliedCrash& end)
-                   { return m_now - end.receivedAt >= kUnappliedCrashLifetime; });
+    std::erase_if (m_leader->unappliedCrashes, [this] (const UnappliedCrash& crash)
+                   { return m_now - crash.receivedAt >= kUnappliedCrashLifetime; });
     const bool isAnyLate = std::ranges::any_of (
-        m_leader->unappliedCrashes, [this] (const UnappliedCrash& end)
-        { return ! end.isAnnounced && m_now - end.receivedAt >= kAnnouncementDelay; });
+        m_leader->unappliedCrashes, [this] (const UnappliedCrash& crash)
+        { return ! crash.isAnnounced && m_now - crash.receivedAt >= kAnnouncementDelay; });
     if (! isAnyLate)
         return;
     std::map<std::string, std::set<std::string>>
         instances;  // Crashed instances by fingerprint of the request.
-    for (const UnappliedCrash& end : m_leader->unappliedCrashes)
-        instances[end.report.request.digest].insert (end.report.instance);
+    for (const UnappliedCrash& crash : m_leader->unappliedCrashes)
+        instances[crash.report.request.digest].insert (crash.report.instance);
     cell::SuspectReport hint;
-    for (UnappliedCrash& end : m_leader->unappliedCrashes)
+    for (UnappliedCrash& crash : m_leader->unappliedCrashes)
     {
-        const std::string& digest = end.report.request.digest;
+        const std::string& digest = crash.report.request.digest;
         const bool isRepeated =
             instances[digest].size() > 1 || m_state.quarantine().find (digest) != nullptr;
-        const base::Duration age = m_now - end.receivedAt;
-        if (end.isAnnounced || ! isRepeated)
+        const base::Duration age = m_now - crash.receivedAt;
+        if (crash.isAnnounced || ! isRepeated)
             continue;
-        end.isAnnounced = true;
-        cell::RunnerEndReport report = end.report;
+        crash.isAnnounced = true;
+        cell::RunnerCrashReport report = crash.report;
         report.sentAgoMilliseconds += base::toMilliseconds (age);
-        report.endedAgoMilliseconds += base::toMilliseconds (age);
-        hint.ends.push_back (std::move (report));
+        report.crashedAgoMilliseconds += base::toMilliseconds (age);
+        hint.crashes.push_back (std::move (report));
     }
-    if (! hint.ends.empty())
+    if (! hint.crashes.empty())
         sendToAllOf (m_leader->sessions, std::move (hint));
 }
 
@@ -126,20 +126,20 @@
     m_effects.emplace_back (BroadcastToRouters{ std::move (connections), std::move (message) });
 }
 
-void ControllerCore::Implementation::onSuspectsApplied (const cell::NoteSuspects& command)
+void ControllerCore::Implementation::onSuspectsApplied (const cell::RecordSuspects& command)
 {
     std::erase_if (m_leader->unappliedCrashes,
-                   [&] (const UnappliedCrash& end)
+                   [&] (const UnappliedCrash& crash)
                    {
                        const cell::Suspect* suspect =
-                           m_state.quarantine().find (end.report.request.digest);
-                       return suspect != nullptr && suspect->contains (end.report.instance);
+                           m_state.quarantine().find (crash.report.request.digest);
+                       return suspect != nullptr && suspect->contains (crash.report.instance);
                    });
-    for (const cell::RunnerEnd& end : command.ends)
+    for (const cell::RunnerCrash& crash : command.crashes)
     {
-        const cell::Suspect* suspect = m_state.quarantine().find (end.request.digest);
+        const cell::Suspect* suspect = m_state.quarantine().find (crash.request.digest);
         const bool isNewlyQuarantined = suspect != nullptr && suspect->isInQuarantine()
-                                        && suspect->ends.back().instance == end.instance;
+                                        && suspect->crashes.back().instance == crash.instance;
         if (isNewlyQuarantined)
             m_effects.emplace_back (RequestQuarantined{ *suspect });
     }
--- a/src/controller/ControllerQuarantineTest.cpp
+++ b/src/controller/ControllerQuarantineTest.cpp
@@ -43,7 +43,7 @@
     void report (std::size_t router, const std::string& instance)
     {
         cell::SuspectReport report;
-        report.ends.push_back ({ { 1, "r" }, instance, 60, 10 });
+        report.crashes.push_back ({ { 1, "r" }, instance, 60, 10 });
         m_cell.sendFromRouter (router, report);
     }
     void reportTwoCrashes()
@@ -58,13 +58,13 @@
     {
         const auto& suspects = m_cell.router (router).suspects;
         const auto found = suspects.find ("r");
-        return found == suspects.end() ? 0 : found->second.ends;
+        return found == suspects.end() ? 0 : found->second.crashes;
     }
-    [[nodiscard]] bool allHave (std::uint32_t ends)
+    [[nodiscard]] bool allHave (std::uint32_t crashes)
     {
         for (std::size_t number = 0; number < kRouters; ++number)
         {
-            if (crashesAt (number) != ends)
+            if (crashesAt (number) != crashes)
                 return false;
         }
         return true;
@@ -147,7 +147,7 @@
     reportTwoCrashes();
     ASSERT_TRUE (allHave (2));
     cell::SuspectReport clearance;
-    clearance.acquitted.emplace_back ("r");
+    clearance.cleared.emplace_back ("r");
     m_cell.sendFromRouter (3, clearance);
     EXPECT_TRUE (m_cell.runUntil ([&] { return allHave (0); }, milliseconds (300)));
 }
@@ -160,7 +160,7 @@
     heartbeat.instance.address = "10.0.0.9:80";
     heartbeat.instance.isDraining = true;
     heartbeat.sequence = 1;
-    ASSERT_TRUE (m_cell.askControl (m_leader, heartbeat));
+    ASSERT_TRUE (m_cell.sendControlRequest (m_leader, heartbeat));
     report (0, "a");
     m_cell.run (milliseconds (300));
     EXPECT_TRUE (allHave (0));
--- a/src/controller/ControllerRates.cpp
+++ b/src/controller/ControllerRates.cpp
@@ -47,14 +47,15 @@
         sendToRouter (connection, rateTable());
 }
 
-void ControllerCore::Implementation::sendRatesTo (const RouterSessions& sessions, RateNews& news)
+void ControllerCore::Implementation::sendRatesTo (const RouterSessions& sessions,
+                                                  RateUpdateState& updateState)
 {
     // Called after each input: while the table is unchanged it must not iterate over the routers,
     // which all got the table when they connected or later.
     const std::uint64_t version = rateTableVersion();
-    if (news.sentVersion == version || m_now < news.nextAt)
+    if (updateState.sentVersion == version || m_now < updateState.nextUpdateAt)
         return;
-    news.sentVersion = version;
+    updateState.sentVersion = version;
     std::vector<RouterConnection> readers;
     for (const auto& [connection, session] : sessions.sessions())
     {
@@ -65,7 +66,7 @@
         return;
     cell::InstanceRateUpdate table = rateTable();
     const auto rows = static_cast<std::int64_t> (readers.size() * table.limited.size());
-    news.nextAt = m_now + kTableInterval + rows * kTableIntervalForRow;
+    updateState.nextUpdateAt = m_now + kTableInterval + rows * kTableIntervalForRow;
     m_effects.emplace_back (BroadcastToRouters{ std::move (readers), std::move (table) });
 }
 
@@ -76,7 +77,7 @@
         if (const cell::ServiceInstance* known = m_state.instances().find (statement.instance))
             m_leader->rates.onStatement (statement, known->startedAt, m_now);
     }
-    sendRatesTo (m_leader->sessions, m_leader->rateNews);
+    sendRatesTo (m_leader->sessions, m_leader->rateUpdateState);
 }
 
 void ControllerCore::Implementation::grantPermits (RouterConnection connection,
--- a/src/controller/ControllerRatesTest.cpp
+++ b/src/controller/ControllerRatesTest.cpp
@@ -39,7 +39,8 @@
         EXPECT_TRUE (m_cell.awaitLeader());
         m_leader = m_cell.leader();
         connectAll();
-        const auto answer = m_cell.askControl (m_leader, ReplaceConfiguration{ "1 " }, seconds (4));
+        const auto answer =
+            m_cell.sendControlRequest (m_leader, ReplaceConfiguration{ "1 " }, seconds (4));
         EXPECT_TRUE (answer && answer->verdict == ControlVerdict::kDone);
         beat();
         run (seconds (1));
@@ -61,7 +62,7 @@
         beat.instance.service = "llm";
         beat.instance.address = "10.0.0.9:1";
         beat.sequence = ++m_sequence;
-        m_cell.askControl (m_cell.leader(), beat, milliseconds (0));
+        m_cell.sendControlRequest (m_cell.leader(), beat, milliseconds (0));
     }
     /// Advances the time while the runner sends heartbeats.
     void run (base::Duration duration)
--- a/src/controller/ControllerRelay.cpp
+++ b/src/controller/ControllerRelay.cpp
@@ -135,10 +135,10 @@
         if (end != base::TimePoint{})
             sendToRouter (connection, cell::NotLeaderReply{});
         else
-            m_relay->unanswered[connection] = request;
+            m_relay->pendingLeaseRequests[connection] = request;
         return;
     }
-    if (session.statedInstanceVersion < m_relay->instances.requiredVersion())
+    if (session.reportedInstanceVersion < m_relay->instances.requiredVersion())
     {
         ++m_counters.leasesWithheld;
         return;
@@ -155,20 +155,20 @@
 {
     const std::uint64_t version = m_state.configuration().identity().version;
     const bool hasAdvanced =
-        m_relay->sessions.confirmedVersion (version, {}, m_now) > m_relay->statedVersion
+        m_relay->sessions.confirmedVersion (version, {}, m_now) > m_relay->reportedVersion
         || m_relay->sessions.confirmedInstanceVersion (m_relay->instances.version(), m_now)
-               > m_relay->statedInstanceVersion;
+               > m_relay->reportedInstanceVersion;
     if (hasAdvanced)
         m_relay->session.requestSoon (m_now);
 }
 
 void ControllerCore::Implementation::relayRouterGone (RouterConnection connection)
 {
-    m_relay->unanswered.erase (connection);
+    m_relay->pendingLeaseRequests.erase (connection);
     m_relay->sessions.close (connection);
-    m_relay->demands.onRouterGone (connection);
-    m_relay->loadSum.onReporterGone (connection);
-    m_relay->quotas.onRouterGone (connection);
+    m_relay->demands.onRouterDisconnected (connection);
+    m_relay->loadSum.onReporterDisconnected (connection);
+    m_relay->quotas.onRouterDisconnected (connection);
 }
 
 bool ControllerCore::Implementation::relayHeartbeat (const InstanceHeartbeat& heartbeat)
@@ -198,15 +198,16 @@
     sendRelayedInstances();
     sendSuspectsTo (m_relay->sessions);
     relayLoads();
-    sendRatesTo (m_relay->sessions, m_relay->rateNews);
+    sendRatesTo (m_relay->sessions, m_relay->rateUpdateState);
     if (! m_relay->session.isConnected())
         return;
     if (auto demands = m_relay->demands.takeDue (m_now); ! demands.empty())
         m_effects.emplace_back (SendToLeader{ cell::EngineDemandReport{ std::move (demands) } });
     if (auto quota = m_relay->quotas.takeRequest (m_now))
         m_effects.emplace_back (SendToLeader{ std::move (*quota) });
-    if (auto sightings = m_relay->heartbeats.takeDue (m_now); ! sightings.empty())
-        m_effects.emplace_back (SendToLeader{ cell::InstanceSightings{ std::move (sightings) } });
+    if (auto relayedHeartbeats = m_relay->heartbeats.takeDue (m_now); ! relayedHeartbeats.empty())
+        m_effects.emplace_back (
+            SendToLeader{ cell::RelayedHeartbeats{ std::move (relayedHeartbeats) } });
 }
 
 void ControllerCore::Implementation::followLeader()
@@ -239,8 +240,8 @@
     request.instanceVersion =
         m_relay->sessions.confirmedInstanceVersion (m_relay->instances.version(), m_now);
     request.routers = m_relay->sessions.countRouters();
-    m_relay->statedVersion = request.configurationVersion;
-    m_relay->statedInstanceVersion = request.instanceVersion;
+    m_relay->reportedVersion = request.configurationVersion;
+    m_relay->reportedInstanceVersion = request.instanceVersion;
     m_effects.emplace_back (SendToLeader{ std::move (request) });
 }
 
@@ -260,9 +261,9 @@
     hello.instanceTerm = m_relay->instances.term();
     hello.instanceVersion = m_relay->needsWholeTable ? 0 : m_relay->instances.version();
     m_effects.emplace_back (SendToLeader{ std::move (hello) });
-    m_relay->demands.tellAll();
-    m_relay->loadSum.tellAll();
-    m_relay->heartbeats.tellAll();
+    m_relay->demands.resendAll();
+    m_relay->loadSum.resendAll();
+    m_relay->heartbeats.resendAll();
     m_relay->quotas.onLeaderLost();
     m_relay->rates.onLeaderLost();
     runRelay();
@@ -284,7 +285,7 @@
 {
     if (m_leader)
         return;
-    m_relay->session.onHeard (m_now);
+    m_relay->session.onMessageReceived (m_now);
     applyLeaderRates (message);
     if (std::holds_alternative<cell::NotLeaderReply> (message))
     {
@@ -295,7 +296,7 @@
     {
         m_relay->session.onGrant (*grant);
         m_relay->session.requestBy (m_now + kRenewInterval);
-        for (const auto& [connection, request] : std::exchange (m_relay->unanswered, {}))
+        for (const auto& [connection, request] : std::exchange (m_relay->pendingLeaseRequests, {}))
         {
             if (RouterSession* session = m_relay->sessions.find (connection))
                 forwardLease (connection, *session, request);
@@ -344,7 +345,7 @@
 
 void ControllerCore::Implementation::sendRelayedInstances()
 {
-    const InstanceMirror& instances = m_relay->instances;
+    const RelayInstanceTable& instances = m_relay->instances;
     if (! instances.hasTable())
         return;
     const std::size_t routers = m_relay->sessions.sessions().size();
--- a/src/controller/ControllerRelayTest.cpp
+++ b/src/controller/ControllerRelayTest.cpp
@@ -35,7 +35,7 @@
 
     bool apply (std::uint64_t version)
     {
-        const auto answer = m_cell.askControl (
+        const auto answer = m_cell.sendControlRequest (
             m_leader, ReplaceConfiguration{ std::to_string (version) + " " }, seconds (4));
         return answer && answer->verdict == ControlVerdict::kDone;
     }
@@ -108,7 +108,7 @@
 {
     ASSERT_TRUE (apply (1));
     for (const base::MemberId member : { m_follower, 6 - m_leader - m_follower })
-        ASSERT_TRUE (m_cell.askControl (member, heartbeat (1)));
+        ASSERT_TRUE (m_cell.sendControlRequest (member, heartbeat (1)));
     m_cell.run (seconds (1));
     m_cell.refusesLeaderLinks = true;
     m_cell.kill (m_leader);
@@ -116,12 +116,12 @@
     const base::MemberId leader = m_cell.leader();
     ASSERT_NE (leader, 0U);
     const base::MemberId relay = 6 - leader - m_leader;  // The third of the members 1 to 3.
-    const auto answer = m_cell.askControl (relay, heartbeat (2));
+    const auto answer = m_cell.sendControlRequest (relay, heartbeat (2));
     ASSERT_TRUE (answer);
     EXPECT_EQ (answer->verdict, ControlVerdict::kDone) << "the relay must keep the heartbeat";
     // The time is limited, since the leader would consider the runner silent.
     m_cell.run (seconds (3));
-    const auto later = m_cell.askControl (relay, heartbeat (3));
+    const auto later = m_cell.sendControlRequest (relay, heartbeat (3));
     ASSERT_TRUE (later);
     EXPECT_EQ (later->verdict, ControlVerdict::kNotLeader);
 }
@@ -130,7 +130,7 @@
 {
     ASSERT_TRUE (apply (1));
     for (const base::MemberId member : { m_follower, 6 - m_leader - m_follower })
-        ASSERT_TRUE (m_cell.askControl (member, heartbeat (1)));
+        ASSERT_TRUE (m_cell.sendControlRequest (member, heartbeat (1)));
     m_cell.run (seconds (1));
     const TestRouter& router = m_cell.router (0);
     const std::uint64_t earlierVersion = router.instanceVersion;
@@ -186,10 +186,10 @@
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
-    const auto registered = m_cell.askControl (m_leader, heartbeat (1));
+    const auto registered = m_cell.sendControlRequest (m_leader, heartbeat (1));
     ASSERT_TRUE (registered && registered->verdict == ControlVerdict::kDone);
     m_cell.run (milliseconds (500));
-    const auto taken = m_cell.askControl (m_follower, heartbeat (2, { { "m1", 1, {} } }));
+    const auto taken = m_cell.sendControlRequest (m_follower, heartbeat (2, { { "m1", 1, {} } }));
     ASSERT_TRUE (taken);
     EXPECT_EQ (taken->verdict, ControlVerdict::kDone);
     EXPECT_TRUE (m_cell.runUntil (
@@ -206,7 +206,7 @@
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
-    const auto taken = m_cell.askControl (m_follower, heartbeat (1, { { "m1", 1, {} } }));
+    const auto taken = m_cell.sendControlRequest (m_follower, heartbeat (1, { { "m1", 1, {} } }));
     ASSERT_TRUE (taken);
     EXPECT_EQ (taken->verdict, ControlVerdict::kDone);
     EXPECT_TRUE (m_cell.runUntil ([&] { return m_cell.router (0).instances.contains ("i-1"); },
@@ -217,13 +217,13 @@
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
-    ASSERT_TRUE (m_cell.askControl (m_leader, heartbeat (1)));
-    const auto few = m_cell.askControl (m_leader, heartbeat (2));
+    ASSERT_TRUE (m_cell.sendControlRequest (m_leader, heartbeat (1)));
+    const auto few = m_cell.sendControlRequest (m_leader, heartbeat (2));
     ASSERT_TRUE (few);
     EXPECT_EQ (few->leaderAddress, "c" + std::to_string (m_leader) + ":2");
     for (std::uint64_t sequence = 3; sequence < 200; ++sequence)
-        ASSERT_TRUE (m_cell.askControl (m_leader, heartbeat (sequence)));
-    const auto many = m_cell.askControl (m_leader, heartbeat (200));
+        ASSERT_TRUE (m_cell.sendControlRequest (m_leader, heartbeat (sequence)));
+    const auto many = m_cell.sendControlRequest (m_leader, heartbeat (200));
     ASSERT_TRUE (many);
     EXPECT_EQ (many->verdict, ControlVerdict::kDone);
     EXPECT_EQ (many->leaderAddress, "c" + std::to_string (m_follower) + ":2");
@@ -233,10 +233,10 @@
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
-    ASSERT_TRUE (m_cell.askControl (m_leader, heartbeat (1)));
-    ASSERT_TRUE (m_cell.askControl (m_leader, InstanceDeregistration{ "i-1" }));
+    ASSERT_TRUE (m_cell.sendControlRequest (m_leader, heartbeat (1)));
+    ASSERT_TRUE (m_cell.sendControlRequest (m_leader, InstanceDeregistration{ "i-1" }));
     m_cell.run (milliseconds (500));
-    m_cell.askControl (m_follower, heartbeat (2));
+    m_cell.sendControlRequest (m_follower, heartbeat (2));
     m_cell.run (seconds (1));
     EXPECT_FALSE (m_cell.router (0).instances.contains ("i-1"));
 }
@@ -244,11 +244,11 @@
 TEST_F (ControllerRelayTest, RelayRefersDrainToLeader)
 {
     ASSERT_TRUE (apply (1));
-    ASSERT_TRUE (m_cell.askControl (m_leader, heartbeat (1)));
+    ASSERT_TRUE (m_cell.sendControlRequest (m_leader, heartbeat (1)));
     m_cell.run (milliseconds (500));
     InstanceHeartbeat draining = heartbeat (2);
     draining.instance.isDraining = true;
-    const auto answer = m_cell.askControl (m_follower, draining);
+    const auto answer = m_cell.sendControlRequest (m_follower, draining);
     ASSERT_TRUE (answer);
     EXPECT_EQ (answer->verdict, ControlVerdict::kNotLeader);
 }
--- a/src/controller/ControllerRouters.cpp
+++ b/src/controller/ControllerRouters.cpp
@@ -109,12 +109,12 @@
         m_leader->instanceTable.request();
         requestPlacement();
     }
-    else if (const auto* sightings = std::get_if<cell::InstanceSightings> (&message))
+    else if (const auto* relayedHeartbeats = std::get_if<cell::RelayedHeartbeats> (&message))
     {
-        onSightings (*sightings);
+        onRelayedHeartbeats (*relayedHeartbeats);
         return;
     }
-    else if (const auto* seen = std::get_if<cell::RunnerLeavingSeen> (&message))
+    else if (const auto* seen = std::get_if<cell::RunnerLeavingReport> (&message))
     {
         onLeavingSeen (*seen);
     }
@@ -131,7 +131,7 @@
             m_leader->isPlacementDue = true;
         const auto sent = m_leader->sharers.find (demand.target);
         const bool hasMoreSharers = sent != m_leader->sharers.end()
-                                    && m_leader->demands.askers (demand.target) > sent->second;
+                                    && m_leader->demands.sourceCount (demand.target) > sent->second;
         if (hasMoreSharers)
             m_leader->isTableDue = true;
     }
@@ -170,7 +170,7 @@
         replyNotLeader (connection);
 }
 
-void ControllerCore::Implementation::onRouterGone (RouterConnection connection)
+void ControllerCore::Implementation::onRouterDisconnected (RouterConnection connection)
 {
     m_watchers.erase (connection);
     if (! m_leader)
@@ -180,8 +180,8 @@
     }
     m_leader->sessions.close (connection);
     m_leader->demands.forget (connection);
-    m_leader->engines.onRouterGone (connection);
-    m_leader->loadSum.onReporterGone (connection);
+    m_leader->engines.onRouterDisconnected (connection);
+    m_leader->loadSum.onReporterDisconnected (connection);
     m_leader->isTableDue = true;
 }
 
@@ -217,7 +217,7 @@
     if (hello.instanceTerm > instances.term())
     {
         // This member continued a table that another leader had replaced.
-        instances.beginAnew (m_leader->term);
+        instances.restartVersions (m_leader->term);
         m_leader->sessions.forgetInstanceVersions();
         return;
     }
@@ -288,12 +288,12 @@
         m_leader->quotas.setRouters (m_leader->sessions.countRouters(), m_now);
         if (std::exchange (m_leader->quotaBasis, basis) == basis)
             return;
-        m_leader->quotas.setPart (partOfLeader (basis.granters), m_now);
+        m_leader->quotas.setPart (partOfLeader (basis.grantingControllers), m_now);
         m_leader->quotas.setTenants (tenants, m_now);
     }
     else if (m_relay && std::exchange (m_relay->quotaBasis, basis) != basis)
     {
-        m_relay->quotas.setTenants (tenants, basis.granters, m_now);
+        m_relay->quotas.setTenants (tenants, basis.grantingControllers, m_now);
     }
 }
 
@@ -306,9 +306,9 @@
     sendToRouter (connection, m_leader->quotas.answer (request, m_now));
 }
 
-void ControllerCore::Implementation::onLeavingSeen (const cell::RunnerLeavingSeen& seen)
+void ControllerCore::Implementation::onLeavingSeen (const cell::RunnerLeavingReport& seen)
 {
-    m_leader->watch.onLeavingSign (seen.runner, seen.incarnation);
+    m_leader->watch.onLeavingNotice (seen.runner, seen.incarnation);
     observe (seen.runner);
 }
 
@@ -421,11 +421,12 @@
         entry.incarnation = runner.incarnation;
         entry.zone = runner.machine.zone;
         entry.address = runner.machine.address;
-        const RunnerSight* sight = m_leader->watch.find (id);
-        const bool isReported = sight != nullptr && sight->report;
-        entry.slots = isReported ? sight->report->slots : 1;
+        const RunnerObservation* observation = m_leader->watch.find (id);
+        const bool isReported = observation != nullptr && observation->report;
+        entry.slots = isReported ? observation->report->slots : 1;
         entry.load =
-            isReported ? sight->report->runningRequests + sight->report->waitingRequests : 0;
+            isReported ? observation->report->runningRequests + observation->report->waitingRequests
+                       : 0;
         for (const base::ApplicationName& name : runner.machine.applications)
         {
             const config::Application* application = catalogue->findApplication (name);
@@ -463,13 +464,13 @@
     if (catalogue == nullptr)
         return;
     ReadyEstimates fresh = estimateTargets (m_state.replicas(), *catalogue, cellTime(), m_now);
-    m_leader->estimates = keepStated (m_leader->estimates, std::move (fresh), m_now);
+    m_leader->estimates = keepSentEstimates (m_leader->estimates, std::move (fresh), m_now);
 }
 
 void ControllerCore::Implementation::shareCredits (std::vector<cell::RoutableReplica>& replicas)
 {
     const auto routers = static_cast<std::uint32_t> (m_leader->sessions.sessions().size());
-    m_leader->newRouterSharers = steadySharers (m_leader->newRouterSharers, routers);
+    m_leader->newRouterSharers = stableSharerCount (m_leader->newRouterSharers, routers);
     std::map<std::string, std::uint32_t> sharers;
     for (cell::RoutableReplica& replica : replicas)
     {
@@ -478,8 +479,8 @@
         {
             const auto earlier = m_leader->sharers.find (replica.target);
             const std::uint32_t steady =
-                steadySharers (earlier == m_leader->sharers.end() ? 0 : earlier->second,
-                               m_leader->demands.askers (replica.target));
+                stableSharerCount (earlier == m_leader->sharers.end() ? 0 : earlier->second,
+                                   m_leader->demands.sourceCount (replica.target));
             found = sharers.emplace (replica.target, steady).first;
         }
         replica.credits = std::max (replica.slots / found->second, 1U);
--- a/src/controller/ControllerRunners.cpp
+++ b/src/controller/ControllerRunners.cpp
@@ -28,7 +28,7 @@
         sendOrders (runner);
     sendTablesIfDue();
     shareLoads();
-    sendRatesTo (m_leader->sessions, m_leader->rateNews);
+    sendRatesTo (m_leader->sessions, m_leader->rateUpdateState);
     if (m_now < m_leader->nextRoutineAt)
         return;
     m_leader->nextRoutineAt = m_now + kRoutineInterval;
@@ -43,10 +43,11 @@
     placeIfDue();
     if (m_options.plantedFault == cell::PlantedFault::kReplicaReleasedOnSilence)
     {
-        const auto sights = m_leader->watch.sights();  // A copy: removeRunner changes it.
-        for (const auto& [runner, sight] : sights)
+        const auto observations =
+            m_leader->watch.observations();  // A copy: removeRunner changes it.
+        for (const auto& [runner, observation] : observations)
         {
-            if (sight.report && ! m_leader->watch.isResponsive (runner, m_now))
+            if (observation.report && ! m_leader->watch.isResponsive (runner, m_now))
                 removeRunner (runner);
         }
     }
@@ -66,15 +67,15 @@
 {
     for (const base::RunnerId& runner : m_leader->watch.takeDuePolls (m_now))
     {
-        const RunnerSight* sight = m_leader->watch.find (runner);
+        const RunnerObservation* observation = m_leader->watch.find (runner);
         const cell::Runner* known = m_state.replicas().findRunner (runner);
-        if (! sight->listed && known == nullptr)
+        if (! observation->listed && known == nullptr)
         {
             m_leader->watch.onReportFailed (runner, m_now);
             continue;
         }
         const std::string& address =
-            sight->listed ? sight->listed->address : known->machine.address;
+            observation->listed ? observation->listed->address : known->machine.address;
         m_effects.emplace_back (PollRunner{ runner, address });
     }
 }
@@ -134,10 +135,11 @@
 {
     if (m_leader->busyRunners.count (runner) != 0)
         return;
-    const RunnerSight* sight = m_leader->watch.find (runner);
-    if (sight == nullptr)
+    const RunnerObservation* observation = m_leader->watch.find (runner);
+    if (observation == nullptr)
         return;
-    std::optional<cell::ObserveRunner> command = observationOf (runner, *sight, m_state.replicas());
+    std::optional<cell::ObserveRunner> command =
+        observationOf (runner, *observation, m_state.replicas());
     if (! command)
         return;
     command->proposedAt = cellTime();
@@ -223,7 +225,7 @@
                    [&] (const auto& entry) { return m_now >= entry.second; });
     if (m_leader->busyOrphans.count (key) != 0 || m_leader->orphanUnloadDelays.count (key) != 0)
         return;
-    if (m_leader->orders.hasStray (orphan.runner, orphan.report.replica))
+    if (m_leader->orders.hasOrphan (orphan.runner, orphan.report.replica))
         return;
     const cell::DecideUnload command{ orphan.report.replica, "held by an engine but not decided",
                                       cellTime() };
--- a/src/controller/ControllerSettings.cpp
+++ b/src/controller/ControllerSettings.cpp
@@ -109,7 +109,8 @@
         "fetch_ahead", &core.fetchesAhead,
         "models of which no registered engine has a copy are loaded while the weight "
         "store has places to spare, before anybody asks for them");
-    schema.addDuration ("order_pause_ms", &core.orderPause, milliseconds (0), seconds (600),
+    schema.addDuration ("order_pause_ms", &core.newLeaderOrderDelay, milliseconds (0),
+                        seconds (600),
                         "a new leader sends registered engines no order for this time");
     schema.addDuration ("keep_alive_ms", &core.keepAlive, kMinDuration, kMaxDuration,
                         "idle time before a replica may be unloaded");
--- a/src/controller/CreditShareTest.cpp
+++ b/src/controller/CreditShareTest.cpp
@@ -32,8 +32,8 @@
     const auto slots = *rc::gen::inRange<std::uint32_t> (1, 40);
     const auto sources = *rc::gen::inRange<DemandSource> (1, 12);
     const std::vector<std::string> targets = { "a", "b", "c" };
-    const auto asks = *rc::gen::container<std::vector<bool>> (sources * targets.size(),
-                                                              rc::gen::arbitrary<bool>());
+    const auto hasDemand = *rc::gen::container<std::vector<bool>> (sources * targets.size(),
+                                                                   rc::gen::arbitrary<bool>());
     DemandTable demands;
     std::vector<cell::RoutableReplica> replicas;
     replicas.reserve (targets.size());
@@ -44,7 +44,7 @@
     {
         for (std::size_t target = 0; target < targets.size(); ++target)
         {
-            if (! asks[source * targets.size() + target])
+            if (! hasDemand[source * targets.size() + target])
                 continue;
             addDemand (demands, source, targets[target]);
             ++pairs;
@@ -58,7 +58,7 @@
         {
             const std::uint32_t credits = share.creditsFor (source, replica);
             RC_ASSERT (credits >= 1U);
-            if (demands.asks (source, replica.target))
+            if (demands.hasDemand (source, replica.target))
                 sum += credits;
         }
     }
--- a/src/controller/DemandTable.cpp
+++ b/src/controller/DemandTable.cpp
@@ -91,7 +91,7 @@
     return totals;
 }
 
-std::uint32_t DemandTable::askers (const std::string& target) const
+std::uint32_t DemandTable::sourceCount (const std::string& target) const
 {
     const auto found = m_demands.find (target);
     return found == m_demands.end() ? 0 : static_cast<std::uint32_t> (found->second.size());
@@ -108,7 +108,7 @@
     return sources;
 }
 
-bool DemandTable::asks (DemandSource source, const std::string& target) const
+bool DemandTable::hasDemand (DemandSource source, const std::string& target) const
 {
     const auto found = m_demands.find (target);
     return found != m_demands.end() && found->second.count (source) != 0;
--- a/src/controller/DemandTable.h
+++ b/src/controller/DemandTable.h
@@ -34,9 +34,9 @@
     [[nodiscard]] placement::TargetDemand total (const std::string& target) const;
     [[nodiscard]] std::map<std::string, placement::TargetDemand> totals() const;
     /// Returns the number of sources with waiting or running requests for a target.
-    [[nodiscard]] std::uint32_t askers (const std::string& target) const;
+    [[nodiscard]] std::uint32_t sourceCount (const std::string& target) const;
     [[nodiscard]] std::vector<DemandSource> sourcesOf (const std::string& target) const;
-    [[nodiscard]] bool asks (DemandSource source, const std::string& target) const;
+    [[nodiscard]] bool hasDemand (DemandSource source, const std::string& target) const;
 
 private:
     struct SourceDemand
--- a/src/controller/EngineDemandSum.cpp
+++ b/src/controller/EngineDemandSum.cpp
@@ -43,7 +43,7 @@
     }
 }
 
-void EngineDemandSum::onRouterGone (std::uint64_t router)
+void EngineDemandSum::onRouterDisconnected (std::uint64_t router)
 {
     for (auto& [target, total] : m_totals)
     {
@@ -52,7 +52,7 @@
     }
 }
 
-void EngineDemandSum::tellAll()
+void EngineDemandSum::resendAll()
 {
     for (auto& [target, total] : m_totals)
         total.isChanged = total.isUrgent = true;
--- a/src/controller/EngineDemandSum.h
+++ b/src/controller/EngineDemandSum.h
@@ -24,9 +24,9 @@
 public:
     /** Replaces the demand that one router reported earlier for these targets. */
     void onReport (std::uint64_t router, const std::vector<cell::EngineDemand>& demands);
-    void onRouterGone (std::uint64_t router);
+    void onRouterDisconnected (std::uint64_t router);
     /** Puts every target into the next report, for a new leader or one that lost its state. */
-    void tellAll();
+    void resendAll();
 
     /** Returns the report that is due, or nothing. A report is due 20 ms after the last one when
         more requests wait at a router than before, so that a request that waits only briefly is
--- a/src/controller/HeartbeatBatch.cpp
+++ b/src/controller/HeartbeatBatch.cpp
@@ -28,7 +28,7 @@
 /// Without heartbeats for this time, a runner was removed or is connected to another controller.
 constexpr base::Duration kEntryLifetime = base::seconds (30);
 
-bool hasSameModels (const cell::InstanceSighting& left, const cell::InstanceSighting& right)
+bool hasSameModels (const cell::RelayedHeartbeat& left, const cell::RelayedHeartbeat& right)
 {
     return left.models == right.models && left.inMemory == right.inMemory
            && left.onDisk == right.onDisk && left.startedAt == right.startedAt;
@@ -60,41 +60,41 @@
 void HeartbeatBatch::add (const InstanceHeartbeat& heartbeat, bool isKnown, base::TimePoint now)
 {
     const std::string& id = heartbeat.instance.id;
-    cell::InstanceSighting sighting;
-    sighting.instance = id;
-    sighting.sequence = heartbeat.sequence;
-    sighting.startedAt = heartbeat.instance.startedAt;
-    sighting.hasHoldings = true;
-    sighting.models = heartbeat.models;
-    sighting.inMemory = heartbeat.inMemory;
-    sighting.onDisk = heartbeat.onDisk;
+    cell::RelayedHeartbeat relayed;
+    relayed.instance = id;
+    relayed.sequence = heartbeat.sequence;
+    relayed.startedAt = heartbeat.instance.startedAt;
+    relayed.hasHeldModels = true;
+    relayed.models = heartbeat.models;
+    relayed.inMemory = heartbeat.inMemory;
+    relayed.onDisk = heartbeat.onDisk;
     if (! isKnown)
-        sighting.first = { heartbeat.instance };
-    cell::InstanceSighting& waiting = m_waiting[id];
-    if (cell::isEarlierIncarnation (sighting.startedAt, waiting.startedAt))
+        relayed.first = { heartbeat.instance };
+    cell::RelayedHeartbeat& waiting = m_waiting[id];
+    if (cell::isEarlierIncarnation (relayed.startedAt, waiting.startedAt))
         return;
-    const bool isLater = cell::isEarlierIncarnation (waiting.startedAt, sighting.startedAt);
-    if (waiting.sequence > sighting.sequence && ! isLater)
+    const bool isLater = cell::isEarlierIncarnation (waiting.startedAt, relayed.startedAt);
+    if (waiting.sequence > relayed.sequence && ! isLater)
         return;
     const auto sent = m_sent.find (id);
     const bool isChange =
-        ! isKnown || sent == m_sent.end() || ! hasSameModels (sent->second.sighting, sighting);
+        ! isKnown || sent == m_sent.end() || ! hasSameModels (sent->second.relayed, relayed);
     if (isChange || isRepeatDue (id, sent->second, now))
     {
-        m_sent[id] = { sighting, now, m_leaderChanges };
+        m_sent[id] = { relayed, now, m_leaderChanges };
         m_isUrgent = m_isUrgent || isChange;
-        waiting = std::move (sighting);
+        waiting = std::move (relayed);
         return;
     }
     // Keeps held models that are still waiting to be sent.
     waiting.instance = id;
-    waiting.sequence = sighting.sequence;
-    waiting.startedAt = sighting.startedAt;
+    waiting.sequence = relayed.sequence;
+    waiting.startedAt = relayed.startedAt;
 }
 
-std::vector<cell::InstanceSighting> HeartbeatBatch::takeDue (base::TimePoint now)
+std::vector<cell::RelayedHeartbeat> HeartbeatBatch::takeDue (base::TimePoint now)
 {
-    std::vector<cell::InstanceSighting> due;
+    std::vector<cell::RelayedHeartbeat> due;
     const base::Duration interval = m_isUrgent ? kUrgentInterval : kInterval;
     if (m_waiting.empty() || now - m_sentAt < interval)
         return due;
@@ -102,8 +102,8 @@
     m_sentAt = now;
     std::erase_if (m_sent,
                    [&] (const auto& item) { return now - item.second.at > kEntryLifetime; });
-    for (auto& [id, sighting] : std::exchange (m_waiting, {}))
-        due.push_back (std::move (sighting));
+    for (auto& [id, relayed] : std::exchange (m_waiting, {}))
+        due.push_back (std::move (relayed));
     return due;
 }
 
--- a/src/controller/HeartbeatBatch.h
+++ b/src/controller/HeartbeatBatch.h
@@ -33,9 +33,9 @@
         lost its state. Such a leader has those that the log records; the rest is less urgent than
         its other updates.
     */
-    void tellAll() { ++m_leaderChanges; }
+    void resendAll() { ++m_leaderChanges; }
     /** Returns the heartbeats to relay now. */
-    [[nodiscard]] std::vector<cell::InstanceSighting> takeDue (base::TimePoint now);
+    [[nodiscard]] std::vector<cell::RelayedHeartbeat> takeDue (base::TimePoint now);
 
 private:
     static constexpr double kMaxRepeatsAtOnce = 50;
@@ -43,7 +43,7 @@
 
     struct SentModels
     {
-        cell::InstanceSighting sighting;  ///< Includes the held models.
+        cell::RelayedHeartbeat relayed;  ///< Includes the held models.
         base::TimePoint at{};
         std::uint64_t leaderChange = 0;  ///< Value of m_leaderChanges when sent.
     };
@@ -54,9 +54,9 @@
     [[nodiscard]] bool isRepeatDue (const std::string& id, const SentModels& sent,
                                     base::TimePoint now);
 
-    std::map<std::string, cell::InstanceSighting> m_waiting;  ///< Heartbeats to relay, by instance.
+    std::map<std::string, cell::RelayedHeartbeat> m_waiting;  ///< Heartbeats to relay, by instance.
     std::map<std::string, SentModels> m_sent;  ///< Held models last sent, by instance.
-    std::uint64_t m_leaderChanges = 0;         ///< Number of calls of tellAll().
+    std::uint64_t m_leaderChanges = 0;         ///< Number of calls of resendAll().
     /** Limits the rate at which held models are sent again to a new leader. When it received those
         of all runners of a large cell within one heartbeat interval, it had no time left to send
         its own heartbeats.
--- a/src/controller/InstanceLoadSum.cpp
+++ b/src/controller/InstanceLoadSum.cpp
@@ -21,7 +21,7 @@
         return;
     const auto total = m_totals.try_emplace (instance).first;
     total->second.inFlight += after.inFlight - before.inFlight;
-    total->second.unreadTokens += after.unreadTokens - before.unreadTokens;
+    total->second.pendingPrefillTokens += after.pendingPrefillTokens - before.pendingPrefillTokens;
     if (total->second == Use{})
         m_totals.erase (total);
     m_changed.insert (instance);
@@ -31,11 +31,11 @@
 void InstanceLoadSum::onReport (std::uint64_t reporter, const cell::InstanceLoadReport& report,
                                 base::TimePoint now)
 {
-    setHeard (reporter, true);
+    setReporterActive (reporter, true);
     std::map<std::string, Use>& uses = m_reporters[reporter].uses;
     for (const cell::InstanceUse& row : report.uses)
     {
-        const Use use{ row.inFlight, row.unreadTokens };
+        const Use use{ row.inFlight, row.pendingPrefillTokens };
         const Use before = std::exchange (uses[row.instance], use);
         replace (row.instance, before, use);
         if (use == Use{})
@@ -58,13 +58,13 @@
     }
 }
 
-void InstanceLoadSum::onReporterGone (std::uint64_t reporter)
+void InstanceLoadSum::onReporterDisconnected (std::uint64_t reporter)
 {
-    setHeard (reporter, false);
+    setReporterActive (reporter, false);
     m_reporters.erase (reporter);
 }
 
-void InstanceLoadSum::setHeard (std::uint64_t reporter, bool isActive)
+void InstanceLoadSum::setReporterActive (std::uint64_t reporter, bool isActive)
 {
     const auto found = m_reporters.find (reporter);
     if (found == m_reporters.end() || std::exchange (found->second.isActive, isActive) == isActive)
@@ -73,7 +73,7 @@
         replace (instance, isActive ? Use{} : use, isActive ? use : Use{});
 }
 
-void InstanceLoadSum::tellAll()
+void InstanceLoadSum::resendAll()
 {
     for (const auto& [instance, use] : m_totals)
         m_changed.insert (instance);
@@ -99,7 +99,7 @@
     for (const std::string& instance : std::exchange (m_changed, {}))
     {
         const Use use = useOf (instance);
-        report.uses.push_back ({ instance, use.inFlight, use.unreadTokens });
+        report.uses.push_back ({ instance, use.inFlight, use.pendingPrefillTokens });
     }
     for (const auto& [key, pace] : std::exchange (m_paces, {}))
         report.paces.push_back ({ key.first, key.second, pace.pauses, pace.microseconds });
--- a/src/controller/InstanceLoadSum.h
+++ b/src/controller/InstanceLoadSum.h
@@ -17,7 +17,7 @@
 
 #include "base/Time.h"
 #include "cell/InstanceLoadMessages.h"
-#include "controller/PacedWork.h"
+#include "controller/ThrottledWork.h"
 
 namespace fernlift::controller
 {
@@ -29,7 +29,7 @@
     struct Use
     {
         std::uint32_t inFlight = 0;
-        std::uint64_t unreadTokens = 0;
+        std::uint64_t pendingPrefillTokens = 0;
 
         bool operator== (const Use&) const = default;
     };
@@ -37,15 +37,15 @@
     /** Replaces the reporter's requests at the runners that the report names. */
     void onReport (std::uint64_t reporter, const cell::InstanceLoadReport& report,
                    base::TimePoint now);
-    void onReporterGone (std::uint64_t reporter);
+    void onReporterDisconnected (std::uint64_t reporter);
     /** Sets whether messages of the reporter have arrived recently. While none have, its part is
        not counted: the reporter may be frozen or disconnected, and its requests may have ended.
     */
-    void setHeard (std::uint64_t reporter, bool isActive);
+    void setReporterActive (std::uint64_t reporter, bool isActive);
     /** Puts every runner in use into the next report, for a new receiver or one that lost its
      * state.
      */
-    void tellAll();
+    void resendAll();
 
     [[nodiscard]] Use useOf (const std::string& instance) const;
     [[nodiscard]] std::size_t reporters() const { return m_reporters.size(); }
@@ -82,7 +82,7 @@
     /// Paces to be reported, by runner and model.
     std::map<std::pair<std::string, std::string>, Pace> m_paces;
     std::map<std::string, Slowdown> m_slowdowns;  ///< Latest of each runner, to be reported.
-    PacedWork m_reporting;
+    ThrottledWork m_reporting;
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/InstanceLoadTable.cpp
+++ b/src/controller/InstanceLoadTable.cpp
@@ -28,14 +28,15 @@
     for (const cell::InstanceUse& use : report.uses)
     {
         Row& row = m_rows[use.instance];
-        const bool isPrefillComplete = use.unreadTokens == 0 && row.unreadTokens != 0;
+        const bool isPrefillComplete =
+            use.pendingPrefillTokens == 0 && row.pendingPrefillTokens != 0;
         const bool isChanged =
             use.inFlight != row.inFlight || isPrefillComplete
-            || difference (use.unreadTokens, row.unreadTokens) > kNegligibleTokens;
+            || difference (use.pendingPrefillTokens, row.pendingPrefillTokens) > kNegligibleTokens;
         if (! isChanged)
             continue;
         row.inFlight = use.inFlight;
-        row.unreadTokens = use.unreadTokens;
+        row.pendingPrefillTokens = use.pendingPrefillTokens;
         markChanged (row);
     }
     for (const cell::InstanceSlowdown& slowdown : report.slowdowns)
@@ -51,14 +52,14 @@
         return;
     row.slowdownAt = statedAt;
     const bool isNominal =
-        difference (percent, cell::kUsualPercent) * kNegligibleDivisor <= cell::kUsualPercent;
+        difference (percent, cell::kNominalPercent) * kNegligibleDivisor <= cell::kNominalPercent;
     const bool isSignificant =
-        isNominal != (row.slowdownPercent == cell::kUsualPercent)
+        isNominal != (row.slowdownPercent == cell::kNominalPercent)
         || difference (percent, row.slowdownPercent) * kNegligibleDivisor > row.slowdownPercent;
     const bool isRepeated = ! isNominal && statedAt - row.slowdownSentAt >= kSlowdownRepeatInterval;
     if (! isSignificant && ! isRepeated)
         return;
-    row.slowdownPercent = isNominal ? cell::kUsualPercent : percent;
+    row.slowdownPercent = isNominal ? cell::kNominalPercent : percent;
     row.slowdownSentAt = statedAt;
     markChanged (row);
 }
@@ -82,7 +83,7 @@
     {
         Row& row = m_rows[load.instance];
         row.inFlight = load.inFlight;
-        row.unreadTokens = load.unreadTokens;
+        row.pendingPrefillTokens = load.pendingPrefillTokens;
         row.speedPercent = load.speedPercent;
         row.slowdownPercent = load.slowdownPercent;
         row.slowdownAt = now - base::milliseconds (load.slowdownAgeMilliseconds);
@@ -135,8 +136,9 @@
 
 bool InstanceLoadTable::isNominal (const Row& row)
 {
-    return row.inFlight == 0 && row.unreadTokens == 0 && row.speedPercent == cell::kUsualPercent
-           && row.slowdownPercent == cell::kUsualPercent;
+    return row.inFlight == 0 && row.pendingPrefillTokens == 0
+           && row.speedPercent == cell::kNominalPercent
+           && row.slowdownPercent == cell::kNominalPercent;
 }
 
 cell::InstanceLoad InstanceLoadTable::toMessage (const std::string& instance, const Row& row,
@@ -145,7 +147,7 @@
     cell::InstanceLoad load;
     load.instance = instance;
     load.inFlight = row.inFlight;
-    load.unreadTokens = row.unreadTokens;
+    load.pendingPrefillTokens = row.pendingPrefillTokens;
     load.speedPercent = row.speedPercent;
     load.slowdownPercent = row.slowdownPercent;
     load.slowdownAgeMilliseconds = base::toMilliseconds (now - row.slowdownAt);
--- a/src/controller/InstanceLoadTable.h
+++ b/src/controller/InstanceLoadTable.h
@@ -48,7 +48,7 @@
     [[nodiscard]] cell::InstanceLoad loadOf (const std::string& instance,
                                              base::TimePoint now) const;
     /** Time of the last report or update; the epoch before the first. */
-    [[nodiscard]] base::TimePoint toldAt() const { return m_lastUpdateAt; }
+    [[nodiscard]] base::TimePoint lastUpdateAt() const { return m_lastUpdateAt; }
     /** Calls `visit` with each row, in the form in which updateSince() returns it. */
     void visit (base::TimePoint now,
                 const std::function<void (const cell::InstanceLoad& load)>& visit) const;
@@ -57,7 +57,7 @@
     struct Row
     {
         std::uint32_t inFlight = 0;
-        std::uint64_t unreadTokens = 0;
+        std::uint64_t pendingPrefillTokens = 0;
         std::uint32_t speedPercent = 100;
         std::uint32_t slowdownPercent = 100;
         base::TimePoint slowdownAt{};      ///< Time of the last report of it.
--- a/src/controller/InstanceLoadsTest.cpp
+++ b/src/controller/InstanceLoadsTest.cpp
@@ -68,7 +68,7 @@
     sum.onReport (1, uses ({ { "a", 2, 100 } }), at (0));
     sum.onReport (2, uses ({ { "a", 3, 50 } }), at (0));
     ASSERT_TRUE (sum.takeDue (at (0)));
-    sum.onReporterGone (2);
+    sum.onReporterDisconnected (2);
     const auto due = sum.takeDue (at (60));
     ASSERT_TRUE (due);
     EXPECT_EQ (due->uses, (std::vector<cell::InstanceUse>{ { "a", 2, 100 } }));
@@ -81,19 +81,19 @@
     sum.onReport (1, uses ({ { "a", 2, 100 } }), at (0));
     sum.onReport (2, uses ({ { "a", 1, 0 } }), at (0));
     ASSERT_TRUE (sum.takeDue (at (0)));
-    sum.setHeard (1, false);
+    sum.setReporterActive (1, false);
     EXPECT_EQ (sum.useOf ("a").inFlight, 1U);
     const auto due = sum.takeDue (at (60));
     ASSERT_TRUE (due);
     EXPECT_EQ (due->uses, (std::vector<cell::InstanceUse>{ { "a", 1, 0 } }));
-    sum.setHeard (1, true);
+    sum.setReporterActive (1, true);
     EXPECT_EQ (sum.useOf ("a"), (InstanceLoadSum::Use{ 3, 100 }));
-    sum.setHeard (1, false);
+    sum.setReporterActive (1, false);
     sum.onReport (1, uses ({ { "b", 1, 7 } }), at (100));
     EXPECT_EQ (sum.useOf ("a").inFlight, 3U);
     EXPECT_EQ (sum.useOf ("b").inFlight, 1U);
-    sum.setHeard (1, false);
-    sum.onReporterGone (1);
+    sum.setReporterActive (1, false);
+    sum.onReporterDisconnected (1);
     EXPECT_EQ (sum.useOf ("a").inFlight, 1U) << "the part is subtracted only once";
 }
 
@@ -102,7 +102,7 @@
     InstanceLoadSum sum;
     sum.onReport (1, uses ({ { "a", 2, 100 }, { "b", 1, 0 } }), at (0));
     ASSERT_TRUE (sum.takeDue (at (0)));
-    sum.tellAll();
+    sum.resendAll();
     const auto due = sum.takeDue (at (1));
     ASSERT_TRUE (due);
     EXPECT_EQ (due->uses.size(), 2U);
@@ -167,9 +167,9 @@
     std::uint64_t connections = 0;
     const auto connect = [&] (Relay& relay)
     {
-        leaderSum.onReporterGone (relay.connection);
+        leaderSum.onReporterDisconnected (relay.connection);
         relay.connection = ++connections;
-        relay.sum.tellAll();
+        relay.sum.resendAll();
         relay.sentVersion = 0;
     };
     for (Relay& relay : relays)
@@ -202,7 +202,7 @@
         time += step.pause;
         if (step.kind == 7)
         {
-            relay.sum.setHeard (step.router, false);
+            relay.sum.setReporterActive (step.router, false);
             relay.silent.insert (step.router);
         }
         else if (step.kind < 7)
@@ -214,13 +214,13 @@
         }
         else if (step.kind == 8)
         {
-            relay.sum.onReporterGone (step.router);
+            relay.sum.onReporterDisconnected (step.router);
             relay.truth.erase (step.router);
         }
         else if (step.kind == 9)
         {
             relay.isCut = true;
-            leaderSum.onReporterGone (relay.connection);
+            leaderSum.onReporterDisconnected (relay.connection);
         }
         else if (step.kind == 10)
         {
@@ -253,7 +253,7 @@
                 if (relay.isCut || relay.silent.contains (router) || found == held.end())
                     continue;
                 truth.inFlight += found->second.inFlight;
-                truth.unreadTokens += found->second.unreadTokens;
+                truth.pendingPrefillTokens += found->second.pendingPrefillTokens;
             }
         }
         for (const Relay& relay : relays)
@@ -265,7 +265,7 @@
                                [&] (const cell::InstanceLoad& load)
                                {
                                    if (load.instance == instance)
-                                       known = { load.inFlight, load.unreadTokens };
+                                       known = { load.inFlight, load.pendingPrefillTokens };
                                });
             RC_ASSERT (known == truth);
         }
--- a/src/controller/InstanceTable.cpp
+++ b/src/controller/InstanceTable.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void InstanceTable::continueFrom (InstanceMirror&& earlier, base::Term leader)
+void InstanceTable::continueFrom (RelayInstanceTable&& earlier, base::Term leader)
 {
     if (! earlier.hasTable())
         return;
@@ -30,7 +30,7 @@
         m_idsAt[row.instance.address].insert (id);
 }
 
-void InstanceTable::beginAnew (base::Term term)
+void InstanceTable::restartVersions (base::Term term)
 {
     m_term = term;
     m_known.restart (++m_version);
@@ -55,12 +55,13 @@
     state.sequence = heartbeat.sequence;
     state.isReported = true;
     if (! state.isPlaced)
-        state.models = cell::inOrder (heartbeat.models);  // The order that placement uses.
+        state.models = cell::sortedByName (heartbeat.models);  // The order that placement uses.
     m_pendingRefresh.insert (heartbeat.instance.id);
     return true;
 }
 
-void InstanceTable::onHeard (const cell::InstanceSighting& relayed, base::TimePoint now)
+void InstanceTable::onUnchangedHeartbeat (const cell::RelayedHeartbeat& relayed,
+                                          base::TimePoint now)
 {
     const auto found = m_heartbeats.find (relayed.instance);
     if (found == m_heartbeats.end())
@@ -94,7 +95,8 @@
     return predecessors;
 }
 
-bool InstanceTable::isOfPredecessor (const InstanceHeartbeat& heartbeat, base::TimePoint now) const
+bool InstanceTable::isFromPredecessor (const InstanceHeartbeat& heartbeat,
+                                       base::TimePoint now) const
 {
     if (heartbeat.sequence <= kMaxFirstSequence || m_rows.contains (heartbeat.instance.id))
         return false;
--- a/src/controller/InstanceTable.h
+++ b/src/controller/InstanceTable.h
@@ -14,7 +14,7 @@
 #include "cell/RouterMessages.h"
 #include "cell/ServiceInstances.h"
 #include "controller/ControlRequests.h"
-#include "controller/InstanceMirror.h"
+#include "controller/RelayInstanceTable.h"
 #include "controller/TableVersions.h"
 #include "controller/VersionIndex.h"
 
@@ -33,10 +33,10 @@
 
     /// Continues the table of an earlier leader from the relay copy that this member holds. Call it
     /// before any other update. `leader` is the term of the new leader.
-    void continueFrom (InstanceMirror&& earlier, base::Term leader);
+    void continueFrom (RelayInstanceTable&& earlier, base::Term leader);
     /// Discards the version history, so that all receivers get the whole table. Needed when a
     /// receiver holds a table that was created by a later leader than this one.
-    void beginAnew (base::Term term);
+    void restartVersions (base::Term term);
 
     /// Records a heartbeat. Returns false when one with a higher sequence or of a later incarnation
     /// was recorded before. The first one of a later incarnation replaces all recorded state of the
@@ -48,17 +48,17 @@
         const cell::ServiceInstance& instance) const;
     /// Whether a heartbeat is a late one of an instance that is not in the table any more and whose
     /// address now belongs to another instance.
-    [[nodiscard]] bool isOfPredecessor (const InstanceHeartbeat& heartbeat,
-                                        base::TimePoint now) const;
+    [[nodiscard]] bool isFromPredecessor (const InstanceHeartbeat& heartbeat,
+                                          base::TimePoint now) const;
     /// Records a relayed heartbeat that does not change the held models.
-    void onHeard (const cell::InstanceSighting& relayed, base::TimePoint now);
+    void onUnchangedHeartbeat (const cell::RelayedHeartbeat& relayed, base::TimePoint now);
     /// Records that a router could not reach the instance: it counts as silent until its next
     /// heartbeat.
     void onUnreachable (const std::string& id, base::TimePoint now);
     /// Replaces the models of an engine, which a report or a completed order has shown.
     void setModels (const std::string& id, std::vector<cell::HeldModel> models);
     /// Records that the replicated table changed or removed the entry of the instance.
-    void onAgreed (const std::string& id) { m_pendingRefresh.insert (id); }
+    void onReplicatedChange (const std::string& id) { m_pendingRefresh.insert (id); }
     /// Updates all rows from the replicated table and the silence of each instance.
     void refresh (const cell::ServiceInstances& replicated, base::TimePoint now);
     /// Updates only the rows of instances with a heartbeat or change since the last refresh; does
--- a/src/controller/InstanceTableTest.cpp
+++ b/src/controller/InstanceTableTest.cpp
@@ -76,7 +76,7 @@
     receive (heartbeatOf ("i-1", 9), kStart);
     receive (heartbeatOf ("i-3", 9, "10.0.0.3:80"), kStart);
     const InstanceHeartbeat next = heartbeatOf ("i-2", 1);
-    EXPECT_FALSE (m_table.isOfPredecessor (next, kStart));
+    EXPECT_FALSE (m_table.isFromPredecessor (next, kStart));
     EXPECT_EQ (m_table.predecessorsOf (next.instance), std::vector<std::string>{ "i-1" });
     m_replicated.remove ("i-1", false);
     receive (next, kStart);
@@ -87,11 +87,11 @@
 {
     receive (heartbeatOf ("i-2", 1), kStart);
     const InstanceHeartbeat late = heartbeatOf ("i-1", 9);
-    EXPECT_TRUE (m_table.isOfPredecessor (late, kStart + base::seconds (1)));
-    EXPECT_FALSE (m_table.isOfPredecessor (heartbeatOf ("i-4", 9, "10.0.0.4:80"), kStart));
+    EXPECT_TRUE (m_table.isFromPredecessor (late, kStart + base::seconds (1)));
+    EXPECT_FALSE (m_table.isFromPredecessor (heartbeatOf ("i-4", 9, "10.0.0.4:80"), kStart));
     // No other instance at the address has sent a heartbeat recently, so this one may be the only
     // one.
-    EXPECT_FALSE (m_table.isOfPredecessor (late, kStart + kSilence));
+    EXPECT_FALSE (m_table.isFromPredecessor (late, kStart + kSilence));
 }
 
 TEST_F (InstanceTableTest, UpdatesContainChangesAndRemovals)
@@ -154,15 +154,15 @@
 TEST_F (InstanceTableTest, HeartbeatOfAnEarlierIncarnationDoesNotEndSilence)
 {
     receive (heartbeatOf (2000, 1), kStart);
-    cell::InstanceSighting late;
+    cell::RelayedHeartbeat late;
     late.instance = "i-1";
     late.sequence = 91;
     late.startedAt = 1000;
-    m_table.onHeard (late, kStart + kSilence);
+    m_table.onUnchangedHeartbeat (late, kStart + kSilence);
     m_table.refresh (m_replicated, kStart + kSilence);
     EXPECT_TRUE (m_table.rows().at ("i-1").isSilent);
     late.startedAt = 2000;
-    m_table.onHeard (late, kStart + kSilence);
+    m_table.onUnchangedHeartbeat (late, kStart + kSilence);
     m_table.refresh (m_replicated, kStart + kSilence);
     EXPECT_FALSE (m_table.rows().at ("i-1").isSilent);
 }
--- a/src/controller/LargeCellFiguresTest.cpp
+++ b/src/controller/LargeCellFiguresTest.cpp
@@ -18,7 +18,7 @@
 #include <string>
 
 #include "base/Random.h"
-#include "consensus/Durable.h"
+#include "consensus/ConsensusCodec.h"
 #include "controller/ControlTraffic.h"
 #include "controller/ControllerCore.h"
 #include "wire/Codec.h"
--- a/src/controller/LargeFleetTest.cpp
+++ b/src/controller/LargeFleetTest.cpp
@@ -60,7 +60,7 @@
 {
     TestCell::Options options = test::forwardingOptions (kRouters);
     options.controller.catalogueParser = &parseCatalogueOfAdapters;
-    options.controller.orderPause = base::Duration::zero();
+    options.controller.newLeaderOrderDelay = base::Duration::zero();
     options.controller.instanceSilence = seconds (1000);
     return options;
 }
@@ -106,7 +106,7 @@
     void configure()
     {
         const auto answer =
-            m_cell.askControl (m_cell.leader(), ReplaceConfiguration{ "1 " }, seconds (4));
+            m_cell.sendControlRequest (m_cell.leader(), ReplaceConfiguration{ "1 " }, seconds (4));
         EXPECT_TRUE (answer && answer->verdict == ControlVerdict::kDone);
     }
 
@@ -118,11 +118,11 @@
 
     void registerEngines()
     {
-        cell::InstanceSightings message;
+        cell::RelayedHeartbeats message;
         for (std::size_t number = 0; number < GetParam(); ++number)
         {
-            message.sightings.push_back (sightingOf (number));
-            const bool isFull = message.sightings.size() == kEnginesInMessage;
+            message.relayedHeartbeats.push_back (relayedHeartbeatOf (number));
+            const bool isFull = message.relayedHeartbeats.size() == kEnginesInMessage;
             if (! isFull && number + 1 < GetParam())
                 continue;
             m_cell.sendFromRouter (0, std::exchange (message, {}));
@@ -130,34 +130,34 @@
         EXPECT_TRUE (
             m_cell.runUntil ([this] { return allRoutersHave (lastEngine()); }, seconds (30)));
     }
-    [[nodiscard]] cell::InstanceSighting sightingOf (std::size_t number) const
+    [[nodiscard]] cell::RelayedHeartbeat relayedHeartbeatOf (std::size_t number) const
     {
-        cell::InstanceSighting sighting;
-        sighting.instance = engineName (number);
-        sighting.sequence = 1;
-        sighting.hasHoldings = true;
-        sighting.models = { { "common", 1, {} }, { "base", 1, {} } };
+        cell::RelayedHeartbeat relayed;
+        relayed.instance = engineName (number);
+        relayed.sequence = 1;
+        relayed.hasHeldModels = true;
+        relayed.models = { { "common", 1, {} }, { "base", 1, {} } };
         if (number + 1 == GetParam())
-            sighting.models.push_back ({ "rare", 1, {} });
+            relayed.models.push_back ({ "rare", 1, {} });
         cell::ServiceInstance instance;
-        instance.id = sighting.instance;
+        instance.id = relayed.instance;
         instance.service = "llm";
         instance.address = "10.0.0.1:" + std::to_string (number);
         instance.slots = 64;
-        instance.models = sighting.models;
+        instance.models = relayed.models;
         instance.isReported = true;
-        sighting.first = { instance };
-        return sighting;
+        relayed.first = { instance };
+        return relayed;
     }
     /// Relays the engines' heartbeats to a new leader, as all controllers do.
     void repeatHeartbeats()
     {
-        cell::InstanceSightings message;
+        cell::RelayedHeartbeats message;
         for (std::size_t number = 0; number + 1 < GetParam(); ++number)
         {
-            message.sightings.push_back (sightingOf (number));
-            message.sightings.back().sequence = 2;
-            message.sightings.back().first.clear();
+            message.relayedHeartbeats.push_back (relayedHeartbeatOf (number));
+            message.relayedHeartbeats.back().sequence = 2;
+            message.relayedHeartbeats.back().first.clear();
         }
         m_cell.sendFromRouter (0, message);
     }
--- a/src/controller/LoadEstimates.cpp
+++ b/src/controller/LoadEstimates.cpp
@@ -134,7 +134,8 @@
     return estimates;
 }
 
-ReadyEstimates keepStated (const ReadyEstimates& sent, ReadyEstimates fresh, base::TimePoint now)
+ReadyEstimates keepSentEstimates (const ReadyEstimates& sent, ReadyEstimates fresh,
+                                  base::TimePoint now)
 {
     for (auto& [target, estimate] : fresh)
     {
--- a/src/controller/LoadEstimates.h
+++ b/src/controller/LoadEstimates.h
@@ -38,8 +38,8 @@
 
 /// Returns `fresh`, with each estimate that differs only insignificantly from the one in `sent`
 /// replaced by the latter, so that the passing of time alone causes no further update.
-[[nodiscard]] ReadyEstimates keepStated (const ReadyEstimates& sent, ReadyEstimates fresh,
-                                         base::TimePoint now);
+[[nodiscard]] ReadyEstimates keepSentEstimates (const ReadyEstimates& sent, ReadyEstimates fresh,
+                                                base::TimePoint now);
 
 /// Converts an estimate to its message; a time in the past becomes zero.
 [[nodiscard]] cell::TargetEstimate toMessage (const std::string& target,
--- a/src/controller/LoadEstimatesTest.cpp
+++ b/src/controller/LoadEstimatesTest.cpp
@@ -114,9 +114,9 @@
     const ReadyEstimates sent{ { "first", { true, kNow + base::seconds (8) } } };
     ReadyEstimates fresh{ { "first",
                             { true, kNow + base::seconds (8) + base::milliseconds (200) } } };
-    EXPECT_EQ (keepStated (sent, fresh, kNow), sent);
+    EXPECT_EQ (keepSentEstimates (sent, fresh, kNow), sent);
     fresh.at ("first").readyAt = kNow + base::seconds (20);
-    EXPECT_EQ (keepStated (sent, fresh, kNow), fresh);
+    EXPECT_EQ (keepSentEstimates (sent, fresh, kNow), fresh);
 }
 
 TEST_F (LoadEstimatesTest, RouterIsSentEachEstimateOnceAndItsWithdrawal)
--- a/src/controller/LoadFiguresTest.cpp
+++ b/src/controller/LoadFiguresTest.cpp
@@ -135,7 +135,8 @@
                 if (const auto report = sum.takeDue (now))
                 {
                     for (const cell::InstanceSlowdown& slowdown : report->slowdowns)
-                        speeds.onStated ({ slowdown.instance, "llm" }, slowdown.percent, now);
+                        speeds.onReportedWorkTime ({ slowdown.instance, "llm" }, slowdown.percent,
+                                                   now);
                     for (const cell::InstancePace& pace : report->paces)
                     {
                         speeds.onPauses ({ pace.instance, "llm" },
--- a/src/controller/MemberStart.cpp
+++ b/src/controller/MemberStart.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "consensus/Durable.h"
+#include "consensus/ConsensusCodec.h"
 #include "log/Log.h"
 #include "wire/Codec.h"
 
--- a/src/controller/MemberStartTest.cpp
+++ b/src/controller/MemberStartTest.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "consensus/Durable.h"
+#include "consensus/ConsensusCodec.h"
 #include "controller/MemberStart.h"
 #include "wire/Codec.h"
 
--- a/src/controller/OrderNotes.cpp
+++ b/src/controller/OrderHistory.cpp
@@ -1,4 +1,4 @@
-#include "controller/OrderNotes.h"
+#include "controller/OrderHistory.h"
 
 #include <algorithm>
 
@@ -12,9 +12,9 @@
 
 }  // namespace
 
-void OrderNotes::onNote (const cell::NoteOrders& note, base::TimePoint now)
+void OrderHistory::onOrdersRecorded (const cell::RecordOrders& record, base::TimePoint now)
 {
-    for (const cell::NotedOrder& order : note.orders)
+    for (const cell::RecordedOrder& order : record.orders)
     {
         m_orderedAt[order.instance] = now;
         if (order.isFromStore)
@@ -26,14 +26,14 @@
         m_storeLoads.pop_front();
 }
 
-void OrderNotes::forget (base::TimePoint now)
+void OrderHistory::forget (base::TimePoint now)
 {
     m_knownFrom = now;
     m_orderedAt.clear();
     m_storeLoads.clear();
 }
 
-base::TimePoint OrderNotes::orderedAt (const std::string& instance) const
+base::TimePoint OrderHistory::orderedAt (const std::string& instance) const
 {
     const auto found = m_orderedAt.find (instance);
     return found == m_orderedAt.end() ? m_knownFrom : std::max (found->second, m_knownFrom);
--- a/src/controller/OrderNotes.h
+++ b/src/controller/OrderHistory.h
@@ -14,14 +14,14 @@
 namespace fernlift::controller
 {
 
-class OrderNotes
+class OrderHistory
 {
 public:
     /// Starts without information on orders before `now`.
-    explicit OrderNotes (base::TimePoint now) : m_knownFrom (now) {}
+    explicit OrderHistory (base::TimePoint now) : m_knownFrom (now) {}
 
     /// Records the orders of an applied log entry. They are sent at that time or shortly after.
-    void onNote (const cell::NoteOrders& note, base::TimePoint now);
+    void onOrdersRecorded (const cell::RecordOrders& record, base::TimePoint now);
     /// Discards all records after the state was replaced by a snapshot, which skips log entries.
     void forget (base::TimePoint now);
 
--- a/src/controller/OrderNotesTest.cpp
+++ b/src/controller/OrderHistoryTest.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "controller/OrderNotes.h"
+#include "controller/OrderHistory.h"
 
 namespace fernlift::controller
 {
@@ -10,32 +10,32 @@
 constexpr base::TimePoint kStart{ base::seconds (100) };
 constexpr base::TimePoint kRecordedAt{ base::seconds (110) };
 
-cell::NoteOrders recordOf (const std::string& instance, bool isFromStore)
+cell::RecordOrders recordOf (const std::string& instance, bool isFromStore)
 {
-    cell::NoteOrders command;
+    cell::RecordOrders command;
     command.orders.push_back ({ instance, isFromStore });
     return command;
 }
 
-TEST (OrderNotesTest, AssumesAnOrderAtTheStart)
+TEST (OrderHistoryTest, AssumesAnOrderAtTheStart)
 {
-    const OrderNotes history (kStart);
+    const OrderHistory history (kStart);
     EXPECT_EQ (history.orderedAt ("i-1"), kStart);
 }
 
-TEST (OrderNotesTest, RecordAppliesToItsInstanceOnly)
+TEST (OrderHistoryTest, RecordAppliesToItsInstanceOnly)
 {
-    OrderNotes history (kStart);
-    history.onNote (recordOf ("i-1", true), kRecordedAt);
+    OrderHistory history (kStart);
+    history.onOrdersRecorded (recordOf ("i-1", true), kRecordedAt);
     EXPECT_EQ (history.orderedAt ("i-1"), kRecordedAt);
     EXPECT_EQ (history.orderedAt ("i-2"), kStart);
     EXPECT_EQ (history.storeLoads().size(), 1U);
 }
 
-TEST (OrderNotesTest, SnapshotDiscardsEarlierRecords)
+TEST (OrderHistoryTest, SnapshotDiscardsEarlierRecords)
 {
-    OrderNotes history (kStart);
-    history.onNote (recordOf ("i-1", false), kRecordedAt);
+    OrderHistory history (kStart);
+    history.onOrdersRecorded (recordOf ("i-1", false), kRecordedAt);
     history.forget (kRecordedAt + base::seconds (5));
     EXPECT_EQ (history.orderedAt ("i-1"), kRecordedAt + base::seconds (5));
     EXPECT_EQ (history.orderedAt ("i-2"), kRecordedAt + base::seconds (5));
--- a/src/controller/OrderQueue.cpp
+++ b/src/controller/OrderQueue.cpp
@@ -38,12 +38,12 @@
     return order;
 }
 
-void OrderQueue::addStray (const base::RunnerId& runner, const engine::Order& order)
+void OrderQueue::addOrphan (const base::RunnerId& runner, const engine::Order& order)
 {
     m_queues[runner].orphans[order.fence] = order;
 }
 
-bool OrderQueue::hasStray (const base::RunnerId& runner, base::ReplicaId replica) const
+bool OrderQueue::hasOrphan (const base::RunnerId& runner, base::ReplicaId replica) const
 {
     const auto found = m_queues.find (runner);
     if (found == m_queues.end())
--- a/src/controller/OrderQueue.h
+++ b/src/controller/OrderQueue.h
@@ -30,9 +30,9 @@
     }
 
     /// Adds an order to unload an orphaned replica, one that is not in the replicated state.
-    void addStray (const base::RunnerId& runner, const engine::Order& order);
+    void addOrphan (const base::RunnerId& runner, const engine::Order& order);
 
-    [[nodiscard]] bool hasStray (const base::RunnerId& runner, base::ReplicaId replica) const;
+    [[nodiscard]] bool hasOrphan (const base::RunnerId& runner, base::ReplicaId replica) const;
 
     /// Returns the order to send to a runner now, if any, and marks it as sent.
     [[nodiscard]] std::optional<engine::Order> next (const base::RunnerId& runner,
--- a/src/controller/OrderQueueTest.cpp
+++ b/src/controller/OrderQueueTest.cpp
@@ -112,7 +112,7 @@
     orphan.fence = ++m_index;
     orphan.incarnation = 1;
     orphan.replica = 99;
-    m_orders.addStray (kRunner, orphan);
+    m_orders.addOrphan (kRunner, orphan);
     EXPECT_EQ (next(), orphan);
     observe (2);
     m_orders.onFailed (kRunner, orphan.fence, m_now);
@@ -121,7 +121,7 @@
     const auto order = next();
     ASSERT_TRUE (order);
     EXPECT_EQ (order->replica, replica);
-    EXPECT_FALSE (m_orders.hasStray (kRunner, orphan.replica));
+    EXPECT_FALSE (m_orders.hasOrphan (kRunner, orphan.replica));
 }
 
 }  // namespace
--- a/src/controller/PeerListener.cpp
+++ b/src/controller/PeerListener.cpp
@@ -4,7 +4,7 @@
 #include <QTcpSocket>
 #include <utility>
 
-#include "consensus/Durable.h"
+#include "consensus/ConsensusCodec.h"
 #include "log/Log.h"
 #include "wire/Codec.h"
 
@@ -124,7 +124,7 @@
     const bool isRouter = found->second.isRouter;
     m_connections.erase (found);
     if (isRouter)
-        m_handlers.onRouterGone (number);
+        m_handlers.onRouterDisconnected (number);
 }
 
 }  // namespace fernlift::controller
--- a/src/controller/PeerListener.h
+++ b/src/controller/PeerListener.h
@@ -27,7 +27,7 @@
         std::function<void (const consensus::Message& message)> onMemberMessage;
         std::function<void (RouterConnection connection, const cell::RouterToController& message)>
             onRouterMessage;
-        std::function<void (RouterConnection connection)> onRouterGone;
+        std::function<void (RouterConnection connection)> onRouterDisconnected;
     };
 
     /// `traffic` must outlive the listener.
--- a/src/controller/PeerTransportTest.cpp
+++ b/src/controller/PeerTransportTest.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "consensus/Durable.h"
+#include "consensus/ConsensusCodec.h"
 #include "controller/ControllerTestSupport.h"
 #include "controller/PeerListener.h"
 #include "controller/PeerTransport.h"
@@ -29,7 +29,7 @@
         handlers.onRouterMessage =
             [this] (RouterConnection connection, const cell::RouterToController& message)
         { m_routerMessages.emplace_back (connection, message.index()); };
-        handlers.onRouterGone = [this] (RouterConnection connection)
+        handlers.onRouterDisconnected = [this] (RouterConnection connection)
         { m_disconnected.push_back (connection); };
         m_listener = std::make_unique<PeerListener> (handlers, &m_traffic);
         const auto bound = m_listener->listen (address);
--- a/src/controller/QuarantineBoundTest.cpp
+++ b/src/controller/QuarantineBoundTest.cpp
@@ -26,7 +26,7 @@
 
 using base::milliseconds;
 using base::seconds;
-using quarantine::RunnerFate;
+using quarantine::RunnerProbeResult;
 using quarantine::SuspectRequests;
 using test::TestCell;
 
@@ -180,8 +180,8 @@
     }
     void send (Request& request)
     {
-        const quarantine::Standing status =
-            m_suspects[request.router].standingOf (request.identity);
+        const quarantine::SuspectStatus status =
+            m_suspects[request.router].suspectStatusOf (request.identity);
         if (status.isInQuarantine())
         {
             request.isEnded = true;
@@ -209,7 +209,7 @@
             ++m_outcome.sentAfterPropagation;
         }
     }
-    const Runner* choose (const Request& request, const quarantine::Standing& status)
+    const Runner* choose (const Request& request, const quarantine::SuspectStatus& status)
     {
         const Runner* chosen = nullptr;
         std::uint64_t highest = 0;
@@ -277,8 +277,9 @@
             const std::string instance = m_fault == Fault::kHealthyBlamed
                                              ? request.instance + std::to_string (m_random.bits())
                                              : request.instance;
-            suspects.onBrokenOff (request.identity, instance, sentAt, m_cell.now());
-            suspects.onFate (instance, counts ? RunnerFate::kGone : RunnerFate::kAlive);
+            suspects.onAnswerInterrupted (request.identity, instance, sentAt, m_cell.now());
+            suspects.onProbeResult (instance,
+                                    counts ? RunnerProbeResult::kGone : RunnerProbeResult::kAlive);
             request.isEnded = request.attempts >= kMaxAttempts;
         }
     }
@@ -325,9 +326,10 @@
     /// known.
     [[nodiscard]] bool isHeldBack (const Request& request) const
     {
-        const quarantine::Standing standing =
-            m_suspects[request.router].standingOf (request.identity);
-        return standing.isUndecided() && m_cell.now() < *standing.undecidedSince + kProbeWait;
+        const quarantine::SuspectStatus suspectStatus =
+            m_suspects[request.router].suspectStatusOf (request.identity);
+        return suspectStatus.isUndecided()
+               && m_cell.now() < *suspectStatus.undecidedSince + kProbeWait;
     }
 
     void stepRequests()
@@ -347,7 +349,7 @@
     {
         if (request.isPoison)
         {
-            if (++m_outcome.crashedByPoison == cell::kEndsBeforeQuarantine)
+            if (++m_outcome.crashedByPoison == cell::kCrashesBeforeQuarantine)
                 m_thirdCrashAt = m_cell.now();
             crash (request.runner);
             return;
@@ -355,8 +357,8 @@
         request.isRunning = false;
         request.isEnded = true;
         SuspectRequests& suspects = m_suspects[request.router];
-        if (suspects.standingOf (request.identity).isSuspect())
-            suspects.onWholeAnswer (request.identity);
+        if (suspects.suspectStatusOf (request.identity).isSuspect())
+            suspects.onCompleteAnswer (request.identity);
     }
     void report()
     {
--- a/src/controller/QuotaBoundTest.cpp
+++ b/src/controller/QuotaBoundTest.cpp
@@ -11,8 +11,8 @@
 
 #include "base/Random.h"
 #include "controller/QuotaRelay.h"
+#include "quota/FallbackShare.h"
 #include "quota/QuotaLedger.h"
-#include "quota/UnassistedShare.h"
 
 namespace fernlift::controller
 {
@@ -104,7 +104,7 @@
     struct Router
     {
         quota::QuotaPool pool{ base::Duration::zero() };
-        quota::UnassistedShare share{ tolerance() };
+        quota::FallbackShare share{ tolerance() };
         std::deque<quota::QuotaClaim> claims;
         bool isCutOff = false;
     };
@@ -183,7 +183,7 @@
             m_used.emplace_back (m_now, kClaim);
         if (answer != quota::QuotaAnswer::kPending)
             return true;
-        if (m_now - claim.askedAt < kGrantTimeout)
+        if (m_now - claim.requestedAt < kGrantTimeout)
             return false;
         router.pool.giveUp (claim);
         if (router.share.admits (tenant(), kClaim, m_now, m_random))
--- a/src/controller/QuotaCellTestSupport.h
+++ b/src/controller/QuotaCellTestSupport.h
@@ -17,8 +17,8 @@
 
 #include "base/Random.h"
 #include "controller/QuotaRelay.h"
+#include "quota/FallbackShare.h"
 #include "quota/QuotaLedger.h"
-#include "quota/UnassistedShare.h"
 
 namespace fernlift::controller::testing
 {
@@ -180,7 +180,7 @@
     struct Router
     {
         quota::QuotaPool pool{ base::Duration::zero() };
-        quota::UnassistedShare share{ cellTolerance() };
+        quota::FallbackShare share{ cellTolerance() };
         std::deque<Request> requests;
         bool isCutOff = false;
         base::TimePoint cutAt{};
@@ -325,7 +325,7 @@
         const quota::QuotaAnswer answer = router.pool.take (request.claim, m_now);
         if (answer != quota::QuotaAnswer::kPending)
             return end (request, answer == quota::QuotaAnswer::kGranted);
-        const base::Duration waited = m_now - request.claim.askedAt;
+        const base::Duration waited = m_now - request.claim.requestedAt;
         if (waited < kGrantTimeout)
             return false;
         if (! std::exchange (request.hasDrawn, true)
@@ -361,7 +361,7 @@
             [this, answer]
             {
                 m_routers[answer.router]->pool.onGrant (answer.grant);
-                m_routers[answer.router]->share.onAssisted (m_now);
+                m_routers[answer.router]->share.onControllerAnswer (m_now);
             });
     }
 
--- a/src/controller/QuotaRelay.cpp
+++ b/src/controller/QuotaRelay.cpp
@@ -32,15 +32,15 @@
 
 }  // namespace
 
-quota::QuotaPart partOfRelay (std::size_t granters)
+quota::QuotaPart partOfRelay (std::size_t grantingControllers)
 {
-    const auto controllers = static_cast<double> (std::max<std::size_t> (granters, 1));
+    const auto controllers = static_cast<double> (std::max<std::size_t> (grantingControllers, 1));
     return { kRelayShareOfLimit / controllers, kRelayShareOfDebt / controllers };
 }
 
-quota::QuotaPart partOfLeader (std::size_t granters)
+quota::QuotaPart partOfLeader (std::size_t grantingControllers)
 {
-    const quota::QuotaPart relay = partOfRelay (granters);
+    const quota::QuotaPart relay = partOfRelay (grantingControllers);
     return { 1 - kRelayShareOfLimit + relay.limit, 1 - kRelayShareOfDebt + relay.debt };
 }
 
@@ -49,10 +49,10 @@
 {
 }
 
-void QuotaRelay::setTenants (const std::vector<config::Tenant>& tenants, std::size_t granters,
-                             base::TimePoint now)
+void QuotaRelay::setTenants (const std::vector<config::Tenant>& tenants,
+                             std::size_t grantingControllers, base::TimePoint now)
 {
-    m_ownPart.setPart (partOfRelay (granters), now);
+    m_ownPart.setPart (partOfRelay (grantingControllers), now);
     m_ownPart.setTenants (tenants, now);
 }
 
@@ -154,7 +154,7 @@
     }
 }
 
-void QuotaRelay::onRouterGone (std::uint64_t router)
+void QuotaRelay::onRouterDisconnected (std::uint64_t router)
 {
     for (PendingRequest& pending : m_pending)
     {
--- a/src/controller/QuotaRelay.h
+++ b/src/controller/QuotaRelay.h
@@ -28,16 +28,16 @@
 /** Inputs that determine the parts of the limits that controllers grant. */
 struct QuotaBasis
 {
-    std::uint64_t configuration = 0;  ///< Configuration version in force; 0: none.
-    std::size_t granters = 0;         ///< Number of controllers that grant parts.
+    std::uint64_t configuration = 0;      ///< Configuration version in force; 0: none.
+    std::size_t grantingControllers = 0;  ///< Number of controllers that grant parts.
 
     bool operator== (const QuotaBasis&) const = default;
 };
 
 /** Returns the part of each limit that every controller grants without the leader. */
-[[nodiscard]] quota::QuotaPart partOfRelay (std::size_t granters);
+[[nodiscard]] quota::QuotaPart partOfRelay (std::size_t grantingControllers);
 /** Returns the leader's part: everything that the other controllers do not grant. */
-[[nodiscard]] quota::QuotaPart partOfLeader (std::size_t granters);
+[[nodiscard]] quota::QuotaPart partOfLeader (std::size_t grantingControllers);
 
 /** Pure: time is passed in. Threading: none; owned by one RouterRelay. */
 class QuotaRelay
@@ -52,7 +52,7 @@
     explicit QuotaRelay (const quota::QuotaTolerance& tolerance);
 
     /** Sets the limits in force and the number of controllers that grant parts of them. */
-    void setTenants (const std::vector<config::Tenant>& tenants, std::size_t granters,
+    void setTenants (const std::vector<config::Tenant>& tenants, std::size_t grantingControllers,
                      base::TimePoint now);
 
     /** Handles a router's request; returns the answer if everything can be granted now. */
@@ -61,7 +61,7 @@
                                                    base::TimePoint now);
     /** Applies a grant of the leader; returns the answers that it completes. */
     [[nodiscard]] std::vector<Answer> onGrant (const cell::QuotaGrant& grant, base::TimePoint now);
-    void onRouterGone (std::uint64_t router);
+    void onRouterDisconnected (std::uint64_t router);
     void onLeaderLost() { m_pool.onLinkLost(); }
 
     /** Returns the request to the leader that is due; it counts as sent at `now`. */
--- a/src/controller/RateRelay.cpp
+++ b/src/controller/RateRelay.cpp
@@ -30,11 +30,11 @@
 void RateRelay::onUpdate (const cell::InstanceRateUpdate& update, base::TimePoint now)
 {
     m_leaderGrants = update.isGranting;
-    adopt (update, now);
+    setTable (update, now);
     ++m_version;
 }
 
-void RateRelay::adopt (cell::InstanceRateUpdate table, base::TimePoint now)
+void RateRelay::setTable (cell::InstanceRateUpdate table, base::TimePoint now)
 {
     m_table = std::move (table);
     m_tableAt = now;
--- a/src/controller/RateRelay.h
+++ b/src/controller/RateRelay.h
@@ -16,10 +16,10 @@
 {
 
 /** State of the updates on limited runners that a leader or relay sends to its routers. */
-struct RateNews
+struct RateUpdateState
 {
-    std::uint64_t sentVersion = 1;  ///< Table version last sent to all; version 1 is empty.
-    base::TimePoint nextAt{};       ///< Earliest time of the next update.
+    std::uint64_t sentVersion = 1;   ///< Table version last sent to all; version 1 is empty.
+    base::TimePoint nextUpdateAt{};  ///< Earliest time of the next update.
 };
 
 /** Pure: time is passed in. Threading: none; owned by one RouterRelay. */
@@ -49,7 +49,7 @@
     /** Increases with each change of the table; starts at 1. */
     [[nodiscard]] std::uint64_t version() const { return m_version; }
     /** Sets the table that this member had as leader. */
-    void adopt (cell::InstanceRateUpdate table, base::TimePoint now);
+    void setTable (cell::InstanceRateUpdate table, base::TimePoint now);
 
     /** Returns the request to forward to the leader. */
     [[nodiscard]] cell::InstancePermitRequest onRequest (std::uint64_t router,
--- a/src/controller/Reconciliation.cpp
+++ b/src/controller/Reconciliation.cpp
@@ -50,26 +50,26 @@
 }  // namespace
 
 std::optional<cell::ObserveRunner> observationOf (const base::RunnerId& runner,
-                                                  const RunnerSight& sight,
+                                                  const RunnerObservation& observation,
                                                   const cell::ReplicaTable& table)
 {
     const cell::Runner* known = table.findRunner (runner);
-    if (! sight.listed && known == nullptr)
+    if (! observation.listed && known == nullptr)
         return std::nullopt;
-    if (! sight.report && known == nullptr)
+    if (! observation.report && known == nullptr)
         return std::nullopt;
     cell::ObserveRunner command;
-    command.machine = sight.listed ? *sight.listed : known->machine;
-    command.incarnation = sight.report ? sight.report->incarnation : known->incarnation;
-    if (sight.report && sight.report->totalMemory > 0)
+    command.machine = observation.listed ? *observation.listed : known->machine;
+    command.incarnation = observation.report ? observation.report->incarnation : known->incarnation;
+    if (observation.report && observation.report->totalMemory > 0)
     {
-        command.machine.memory = std::min (command.machine.memory, sight.report->totalMemory);
+        command.machine.memory = std::min (command.machine.memory, observation.report->totalMemory);
     }
     else if (known != nullptr)
     {
         command.machine.memory = std::min (command.machine.memory, known->machine.memory);
     }
-    command.isLeaving = RunnerWatch::isLeaving (sight, command.incarnation);
+    command.isLeaving = RunnerWatch::isLeaving (observation, command.incarnation);
     if (known == nullptr)
         return command;
     if (isFormerIncarnation (*known, command.incarnation))
--- a/src/controller/Reconciliation.h
+++ b/src/controller/Reconciliation.h
@@ -35,9 +35,9 @@
 
 /// The command that updates the state of a runner from the machine list and the report; none when
 /// it is up to date. Reports of a former incarnation are ignored.
-[[nodiscard]] std::optional<cell::ObserveRunner> observationOf (const base::RunnerId& runner,
-                                                                const RunnerSight& sight,
-                                                                const cell::ReplicaTable& table);
+[[nodiscard]] std::optional<cell::ObserveRunner> observationOf (
+    const base::RunnerId& runner, const RunnerObservation& observation,
+    const cell::ReplicaTable& table);
 
 /// Compares a report with the decided replicas. Reports lag: a missing replica counts as removed
 /// only when the highest fence in the report shows that the engine had accepted, or will never
--- a/src/controller/InstanceMirror.cpp
+++ b/src/controller/RelayInstanceTable.cpp
@@ -1,9 +1,9 @@
-#include "controller/InstanceMirror.h"
+#include "controller/RelayInstanceTable.h"
 
 namespace fernlift::controller
 {
 
-bool InstanceMirror::apply (const cell::InstanceUpdate& update)
+bool RelayInstanceTable::apply (const cell::InstanceUpdate& update)
 {
     const bool isWhole = update.fromVersion == 0;
     const bool fits = update.term == m_term && update.fromVersion == m_version;
@@ -43,7 +43,7 @@
     return true;
 }
 
-cell::InstanceUpdate InstanceMirror::updateSince (std::uint64_t version) const
+cell::InstanceUpdate RelayInstanceTable::updateSince (std::uint64_t version) const
 {
     const bool isWhole = ! m_known.contains (version);
     cell::InstanceUpdate update;
--- a/src/controller/InstanceMirror.h
+++ b/src/controller/RelayInstanceTable.h
@@ -22,7 +22,7 @@
 {
 
 /** Pure. Threading: none; owned by one RouterRelay. */
-class InstanceMirror
+class RelayInstanceTable
 {
 public:
     /** Applies an update. Returns false when it does not follow on the held version; the whole
--- a/src/controller/RelayPartsTest.cpp
+++ b/src/controller/RelayPartsTest.cpp
@@ -1,10 +1,10 @@
-// Tests of InstanceMirror, EngineDemandSum and HeartbeatBatch.
+// Tests of RelayInstanceTable, EngineDemandSum and HeartbeatBatch.
 
 #include <gtest/gtest.h>
 
 #include "controller/EngineDemandSum.h"
 #include "controller/HeartbeatBatch.h"
-#include "controller/InstanceMirror.h"
+#include "controller/RelayInstanceTable.h"
 
 namespace fernlift::controller
 {
@@ -36,9 +36,9 @@
     return update;
 }
 
-TEST (InstanceMirror, ReturnsChangesSinceAVersionOfTheLeader)
+TEST (RelayInstanceTable, ReturnsChangesSinceAVersionOfTheLeader)
 {
-    InstanceMirror table;
+    RelayInstanceTable table;
     ASSERT_TRUE (table.apply (change (0, 4, { "a", "b" })));
     ASSERT_TRUE (table.apply (change (4, 6, { "c" }, { "a" })));
     const cell::InstanceUpdate since = table.updateSince (4);
@@ -49,26 +49,26 @@
     EXPECT_EQ (since.removals, std::vector<std::string>{ "a" });
 }
 
-TEST (InstanceMirror, ReturnsTheWholeTableWhenChangesAreNotKnown)
+TEST (RelayInstanceTable, ReturnsTheWholeTableWhenChangesAreNotKnown)
 {
-    InstanceMirror table;
+    RelayInstanceTable table;
     ASSERT_TRUE (table.apply (change (0, 4, { "a", "b" })));
     const cell::InstanceUpdate whole = table.updateSince (3);
     EXPECT_EQ (whole.fromVersion, 0U);
     EXPECT_EQ (whole.upserts.size(), 2U);
 }
 
-TEST (InstanceMirror, RejectsAnUpdateAfterAGap)
+TEST (RelayInstanceTable, RejectsAnUpdateAfterAGap)
 {
-    InstanceMirror table;
+    RelayInstanceTable table;
     ASSERT_TRUE (table.apply (change (0, 4, { "a" })));
     EXPECT_FALSE (table.apply (change (5, 6, { "b" })));
     EXPECT_EQ (table.version(), 4U);
 }
 
-TEST (InstanceMirror, RequiresTheLastVersionThatMustBeConfirmed)
+TEST (RelayInstanceTable, RequiresTheLastVersionThatMustBeConfirmed)
 {
-    InstanceMirror table;
+    RelayInstanceTable table;
     ASSERT_TRUE (table.apply (change (0, 4, { "a" })));
     EXPECT_EQ (table.requiredVersion(), 0U);
     cell::InstanceUpdate drain = change (4, 5, { "a" });
@@ -95,7 +95,7 @@
     EngineDemandSum sum;
     sum.onReport (1, { { "llm", "m", "", 0, 2, 0, 0 } });
     ASSERT_EQ (sum.takeDue (at (0)).size(), 1U);
-    sum.onRouterGone (1);
+    sum.onRouterDisconnected (1);
     const auto due = sum.takeDue (at (300));
     ASSERT_EQ (due.size(), 1U);
     EXPECT_EQ (due[0].running, 0U);
@@ -124,7 +124,7 @@
 
 /// Returns the number of runners whose held models are sent to a new leader within the given time,
 /// with a heartbeat of each runner every two seconds.
-std::size_t holdingsSentToNewLeader (std::size_t runners, int milliseconds)
+std::size_t heldModelsSentToNewLeader (std::size_t runners, int milliseconds)
 {
     HeartbeatBatch batch;
     std::size_t sent = 0;
@@ -139,22 +139,22 @@
                 beat.instance.id = "i-" + std::to_string (number);
                 batch.add (beat, true, at (from + time));
             }
-            for (const cell::InstanceSighting& sighting : batch.takeDue (at (from + time)))
+            for (const cell::RelayedHeartbeat& relayed : batch.takeDue (at (from + time)))
                 sent +=
-                    sighting.hasHoldings && from >= 10'000 && from + time < 10'000 + milliseconds;
+                    relayed.hasHeldModels && from >= 10'000 && from + time < 10'000 + milliseconds;
         }
     };
     receiveAll (1, 0);
-    batch.tellAll();
+    batch.resendAll();
     receiveAll (2, 10'000);
     return sent;
 }
 
 TEST (HeartbeatBatch, SendsHeldModelsToANewLeaderAtALimitedRate)
 {
-    EXPECT_EQ (holdingsSentToNewLeader (40, 2000), 40U) << "a small cell sends all of them";
-    EXPECT_LE (holdingsSentToNewLeader (700, 1000), 250U);
-    EXPECT_GE (holdingsSentToNewLeader (700, 2000), 150U);
+    EXPECT_EQ (heldModelsSentToNewLeader (40, 2000), 40U) << "a small cell sends all of them";
+    EXPECT_LE (heldModelsSentToNewLeader (700, 1000), 250U);
+    EXPECT_GE (heldModelsSentToNewLeader (700, 2000), 150U);
 }
 
 TEST (HeartbeatBatch, SendsHeldModelsOnlyWhenTheyChange)
@@ -163,12 +163,12 @@
     batch.add (heartbeat (1, "m1"), true, at (0));
     const auto first = batch.takeDue (at (0));
     ASSERT_EQ (first.size(), 1U);
-    EXPECT_TRUE (first[0].hasHoldings);
+    EXPECT_TRUE (first[0].hasHeldModels);
     batch.add (heartbeat (2, "m1"), true, at (100));
     EXPECT_TRUE (batch.takeDue (at (100)).empty());
     const auto second = batch.takeDue (at (300));
     ASSERT_EQ (second.size(), 1U);
-    EXPECT_FALSE (second[0].hasHoldings);
+    EXPECT_FALSE (second[0].hasHeldModels);
     EXPECT_EQ (second[0].sequence, 2U);
     batch.add (heartbeat (3, "m2"), true, at (310));
     // Changes within the urgent interval are sent together.
@@ -203,7 +203,7 @@
     EXPECT_TRUE (batch.takeDue (at (2540)).empty());
     const auto due = batch.takeDue (at (2700));
     ASSERT_EQ (due.size(), 1U);
-    EXPECT_TRUE (due[0].hasHoldings);
+    EXPECT_TRUE (due[0].hasHeldModels);
 }
 
 TEST (HeartbeatBatch, LimitsTheRateOfRepeatsForManyRunners)
@@ -218,8 +218,8 @@
         InstanceHeartbeat beat = heartbeat (static_cast<std::uint64_t> (now / 1200 + 1), "m1");
         beat.instance.id = "i-" + std::to_string (now / 3 % kRunners);
         batch.add (beat, true, at (now));
-        for (const cell::InstanceSighting& sighting : batch.takeDue (at (now)))
-            sent += sighting.hasHoldings ? 1 : 0;
+        for (const cell::RelayedHeartbeat& relayed : batch.takeDue (at (now)))
+            sent += relayed.hasHeldModels ? 1 : 0;
     }
     const std::size_t repeats = sent - kRunners;
     EXPECT_GE (repeats, kRunners) << "each runner is repeated within 24 s";
--- a/src/controller/RoutableTable.cpp
+++ b/src/controller/RoutableTable.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-bool isLoadNews (std::uint32_t sent, std::uint32_t load)
+bool isSignificantLoadChange (std::uint32_t sent, std::uint32_t load)
 {
     if ((sent == 0) != (load == 0))
         return true;
@@ -39,7 +39,7 @@
     return difference > std::max (sent / kLoadStepDivisor, 1U);
 }
 
-std::uint32_t steadySharers (std::uint32_t sent, std::uint32_t sharers)
+std::uint32_t stableSharerCount (std::uint32_t sent, std::uint32_t sharers)
 {
     const std::uint32_t wanted = std::bit_ceil (std::max (sharers, 1U));
     if (sent == 0 || sharers > sent)
@@ -80,7 +80,8 @@
         if (stable == loads.end())
         {
             const auto sent = m_loads.find (row.runner);
-            const bool isSignificant = sent == m_loads.end() || isLoadNews (sent->second, row.load);
+            const bool isSignificant =
+                sent == m_loads.end() || isSignificantLoadChange (sent->second, row.load);
             stable = loads.emplace (row.runner, isSignificant ? row.load : sent->second).first;
         }
         row.load = stable->second;
--- a/src/controller/RoutableTable.h
+++ b/src/controller/RoutableTable.h
@@ -21,11 +21,11 @@
 
 /// Whether a runner's load differs enough from the one last sent to be sent to routers: by more
 /// than a quarter and more than one request, or between idle and busy.
-[[nodiscard]] bool isLoadNews (std::uint32_t sent, std::uint32_t load);
+[[nodiscard]] bool isSignificantLoadChange (std::uint32_t sent, std::uint32_t load);
 
 /// Returns the number of routers that share a target's replicas, rounded up to a power of two. The
 /// result changes only when the number exceeds the last result or falls to a quarter of it.
-[[nodiscard]] std::uint32_t steadySharers (std::uint32_t sent, std::uint32_t sharers);
+[[nodiscard]] std::uint32_t stableSharerCount (std::uint32_t sent, std::uint32_t sharers);
 
 class RoutableTable
 {
--- a/src/controller/RoutableTableTest.cpp
+++ b/src/controller/RoutableTableTest.cpp
@@ -23,21 +23,21 @@
 
 TEST (RoutableTableTest, SmallChangesOfLoadAreInsignificant)
 {
-    EXPECT_FALSE (isLoadNews (40, 50));
-    EXPECT_TRUE (isLoadNews (40, 51));
-    EXPECT_FALSE (isLoadNews (2, 3));
-    EXPECT_TRUE (isLoadNews (2, 4));
-    EXPECT_TRUE (isLoadNews (0, 1));
-    EXPECT_TRUE (isLoadNews (1, 0));
+    EXPECT_FALSE (isSignificantLoadChange (40, 50));
+    EXPECT_TRUE (isSignificantLoadChange (40, 51));
+    EXPECT_FALSE (isSignificantLoadChange (2, 3));
+    EXPECT_TRUE (isSignificantLoadChange (2, 4));
+    EXPECT_TRUE (isSignificantLoadChange (0, 1));
+    EXPECT_TRUE (isSignificantLoadChange (1, 0));
 }
 
 TEST (RoutableTableTest, SharerCountIsAPowerOfTwoWithHysteresis)
 {
-    EXPECT_EQ (steadySharers (0, 0), 1U);
-    EXPECT_EQ (steadySharers (0, 5), 8U);
-    EXPECT_EQ (steadySharers (8, 9), 16U);
-    EXPECT_EQ (steadySharers (8, 3), 8U);
-    EXPECT_EQ (steadySharers (8, 2), 2U);
+    EXPECT_EQ (stableSharerCount (0, 0), 1U);
+    EXPECT_EQ (stableSharerCount (0, 5), 8U);
+    EXPECT_EQ (stableSharerCount (8, 9), 16U);
+    EXPECT_EQ (stableSharerCount (8, 3), 8U);
+    EXPECT_EQ (stableSharerCount (8, 2), 2U);
 }
 
 TEST (RoutableTableTest, SendsLoadOncePerRunner)
@@ -65,7 +65,7 @@
         table.replace ({ row (1, "r1", load) }, {}, kNow);
     const auto whole = table.updatesSince (0, kNow);
     ASSERT_EQ (whole.size(), 1U);
-    EXPECT_FALSE (isLoadNews (whole[0].upserts[0].load, 40));
+    EXPECT_FALSE (isSignificantLoadChange (whole[0].upserts[0].load, 40));
 }
 
 TEST (RoutableTableTest, SendsMissedChangesInOrder)
