--- a/src/controller/RouterRelay.h
+++ b/src/controller/RouterRelay.h
@@ -20,11 +20,11 @@
 #include "controller/HeartbeatBatch.h"
 #include "controller/InstanceLoadSum.h"
 #include "controller/InstanceLoadTable.h"
-#include "controller/InstanceMirror.h"
-#include "controller/PacedWork.h"
 #include "controller/QuotaRelay.h"
 #include "controller/RateRelay.h"
+#include "controller/RelayInstanceTable.h"
 #include "controller/RouterSessions.h"
+#include "controller/ThrottledWork.h"
 
 namespace fernlift::controller
 {
@@ -38,7 +38,7 @@
                  const quota::QuotaTolerance& quotaTolerance, base::TimePoint now)
         : id (std::move (relayId)),
           random (randomSeed),
-          session (now, cell::ControllerSession::kQuickAfterLoss),
+          session (now, cell::ControllerSession::kShortLeaderWaitAfterLoss),
           leaderlessSince (now),
           sessions (routerLease),
           quotas (quotaTolerance)
@@ -55,25 +55,25 @@
     base::TimePoint leaderlessSince{};  ///< Start of the time without a connected session.
     RouterSessions sessions;            ///< Sessions of routers.
     /** Lease requests that arrived before this member held a lease itself. */
-    std::map<SessionId, cell::LeaseRequest> unanswered;
-    InstanceMirror instances;
+    std::map<SessionId, cell::LeaseRequest> pendingLeaseRequests;
+    RelayInstanceTable instances;
     bool needsWholeTable = false;   ///< An update did not follow on the held version.
     InstanceLoadSum loadSum;        ///< Sum over its routers, for the leader.
     InstanceLoadTable loads;        ///< Loads over all routers, from the leader.
     base::TimePoint nextLoadsAt{};  ///< Earliest time of the next loads for routers.
     RateRelay rates;                ///< Runners that limit their request rate.
-    RateNews rateNews;
+    RateUpdateState rateUpdateState;
     EngineDemandSum demands;
     HeartbeatBatch heartbeats;
     QuotaRelay quotas;
     QuotaBasis quotaBasis;               ///< Inputs of the limits in `quotas`.
     bool hasRunners = false;             ///< Some runners send their heartbeats here.
-    PacedWork instanceTable;             ///< Sends instance changes to routers.
-    PacedWork wholeTable;                ///< Sends whole instance tables to routers.
-    PacedWork configurationSend;         ///< Sends the configuration to routers.
+    ThrottledWork instanceTable;         ///< Sends instance changes to routers.
+    ThrottledWork wholeTable;            ///< Sends whole instance tables to routers.
+    ThrottledWork configurationSend;     ///< Sends the configuration to routers.
     std::uint64_t announcedVersion = 0;  ///< Configuration version last announced to routers.
-    std::uint64_t statedVersion = 0;     ///< Configuration version last reported to the leader.
-    std::uint64_t statedInstanceVersion = 0;  ///< Instance table version last reported to it.
+    std::uint64_t reportedVersion = 0;   ///< Configuration version last reported to the leader.
+    std::uint64_t reportedInstanceVersion = 0;  ///< Instance table version last reported to it.
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/RouterSessions.cpp
+++ b/src/controller/RouterSessions.cpp
@@ -131,7 +131,7 @@
     session.address = hello.address;
     session.configurationVersion = session.sentVersion = hello.configurationVersion;
     session.configurationDigest = hello.configurationDigest;
-    session.heardAt = now;
+    session.lastMessageAt = now;
     session.isRelay = hello.isRelay;
     return session;
 }
@@ -145,7 +145,7 @@
     if (! session.isSuperseded)
     {
         m_disconnected[session.router] = { session.configurationVersion,
-                                           session.statedInstanceVersion, session.leases };
+                                           session.reportedInstanceVersion, session.leases };
     }
     m_sessions.erase (found);
 }
@@ -175,10 +175,10 @@
 void RouterSessions::onLeaseRequest (RouterSession& session, const cell::LeaseRequest& request,
                                      base::Term term, base::TimePoint now)
 {
-    session.heardAt = now;
+    session.lastMessageAt = now;
     if (request.instanceTerm == term)
     {
-        session.statedInstanceVersion = request.instanceVersion;
+        session.reportedInstanceVersion = request.instanceVersion;
         session.heldInstanceVersion =
             std::max (request.instanceVersion, request.heldInstanceVersion);
     }
@@ -229,7 +229,7 @@
     // otherwise delay a change without limit.
     const bool isBehind = session.configurationVersion < inForce.version;
     if (isBehind && ! session.wasBehindAtLastGrant)
-        session.leases.extend (session.configurationVersion, now + longestLease(), now);
+        session.leases.extend (session.configurationVersion, now + maxLeaseDuration(), now);
     session.wasBehindAtLastGrant = isBehind;
     cell::LeaseGrant grant;
     grant.sequence = request.sequence;
@@ -245,7 +245,7 @@
                                                 base::TimePoint now) const
 {
     // Routers that have not connected to this leader may hold leases of the previous one.
-    if (now < leaderSince + longestLease())
+    if (now < leaderSince + maxLeaseDuration())
         return 0;
     std::uint64_t confirmed = newest;
     for (const auto& [id, session] : m_sessions)
@@ -272,14 +272,14 @@
 bool RouterSessions::isInstanceTableEverywhere (std::uint64_t version, base::TimePoint leaderSince,
                                                 base::TimePoint now) const
 {
-    if (now < leaderSince + longestLease())
+    if (now < leaderSince + maxLeaseDuration())
         return false;
     const bool isReported = std::ranges::all_of (
         m_sessions,
         [&] (const auto& item)
         {
             const RouterSession& session = item.second;
-            return session.isSuperseded || session.statedInstanceVersion >= version;
+            return session.isSuperseded || session.reportedInstanceVersion >= version;
         });
     return isReported
            && std::ranges::all_of (m_disconnected,
@@ -291,7 +291,7 @@
                                    });
 }
 
-void RouterSessions::describeBehind (ConfigurationLate& late) const
+void RouterSessions::describeLateRouters (ConfigurationLate& late) const
 {
     late.routers = m_sessions.size();
     for (const auto& [id, session] : m_sessions)
@@ -312,7 +312,7 @@
     for (const auto& [id, session] : m_sessions)
     {
         if (! session.isSuperseded && ! session.leases.isOver (now))
-            confirmed = std::min (confirmed, session.statedInstanceVersion);
+            confirmed = std::min (confirmed, session.reportedInstanceVersion);
     }
     for (const auto& [router, disconnected] : m_disconnected)
     {
@@ -325,7 +325,7 @@
 void RouterSessions::forgetInstanceVersions()
 {
     for (auto& [id, session] : m_sessions)
-        session.instanceVersion = session.statedInstanceVersion = session.heldInstanceVersion = 0;
+        session.instanceVersion = session.reportedInstanceVersion = session.heldInstanceVersion = 0;
     for (auto& [router, disconnected] : m_disconnected)
         disconnected.instanceVersion = 0;
 }
@@ -338,6 +338,6 @@
     return routers;
 }
 
-base::Duration RouterSessions::longestLease() const { return withDrift (m_leaseDuration); }
+base::Duration RouterSessions::maxLeaseDuration() const { return withDrift (m_leaseDuration); }
 
 }  // namespace fernlift::controller
--- a/src/controller/RouterSessions.h
+++ b/src/controller/RouterSessions.h
@@ -39,7 +39,7 @@
     bool isRelay = false;               ///< Controller that serves routers on behalf of this one.
     std::uint32_t routers = 1;          ///< Number of routers behind a relay; 1 for a router.
     bool isSuperseded = false;  ///< The router has connected again; this connection is dead.
-    base::TimePoint heardAt{};
+    base::TimePoint lastMessageAt{};
 
     /// Version of the replica table that the router has after all sent updates; 0: none.
     std::uint64_t tableVersion = 0;
@@ -54,9 +54,9 @@
     base::LogIndex suspectVersion = 0;  ///< Version of the suspect table last sent; 0: none.
     std::uint64_t instanceVersion = 0;  ///< Version of the instance table last sent; 0: none.
     base::TimePoint instancesSentAt{};
-    std::uint64_t statedInstanceVersion = 0;  ///< Instance table reported in this term.
-    std::uint64_t loadVersion = 0;            ///< Version of the instance loads last sent; 0: none.
-    std::uint32_t features = 0;               ///< Bits of cell::RouterFeature.
+    std::uint64_t reportedInstanceVersion = 0;  ///< Instance table reported in this term.
+    std::uint64_t loadVersion = 0;  ///< Version of the instance loads last sent; 0: none.
+    std::uint32_t features = 0;     ///< Bits of cell::RouterFeature.
     /// Version of the instance table that a relay holds itself, while its routers may be behind;
     /// for a router, the version that it reported.
     std::uint64_t heldInstanceVersion = 0;
@@ -127,9 +127,9 @@
     /// Returns the number of connected routers, including those behind relays.
     [[nodiscard]] std::uint32_t countRouters() const;
     /// Maximum duration, on the leader's clock, of a lease granted now.
-    [[nodiscard]] base::Duration longestLease() const;
+    [[nodiscard]] base::Duration maxLeaseDuration() const;
     /// Fills in the connected routers that have not confirmed the late version.
-    void describeBehind (ConfigurationLate& late) const;
+    void describeLateRouters (ConfigurationLate& late) const;
 
 private:
     /// Versions and leases that a disconnected router may still use.
--- a/src/controller/RunnerSpeeds.cpp
+++ b/src/controller/RunnerSpeeds.cpp
@@ -52,7 +52,8 @@
     return state;
 }
 
-void RunnerSpeeds::onStated (const Runner& runner, std::uint32_t percent, base::TimePoint now)
+void RunnerSpeeds::onReportedWorkTime (const Runner& runner, std::uint32_t percent,
+                                       base::TimePoint now)
 {
     RunnerState& state = stateOf (runner);
     if (! state.reported.empty() && now - state.reportedAt < kMinReportSpacing)
@@ -77,7 +78,7 @@
         samples.pop_front();
 }
 
-void RunnerSpeeds::setEarlier (const Runner& runner, std::uint32_t percent)
+void RunnerSpeeds::setInheritedSpeed (const Runner& runner, std::uint32_t percent)
 {
     stateOf (runner).inheritedPercent = percent;
 }
@@ -169,14 +170,14 @@
     const bool isMeasured = ! state.reported.empty() || state.logSpeed != 0;
     if (! isMeasured && state.inheritedPercent != 0)
         return state.inheritedPercent;
-    double percent = cell::kUsualPercent * std::exp (state.logSpeed);
+    double percent = cell::kNominalPercent * std::exp (state.logSpeed);
     if (! state.reported.empty())
     {
         std::vector<std::uint32_t> reported (state.reported.begin(), state.reported.end());
         std::ranges::sort (reported);
         const auto nominal =
             static_cast<std::size_t> (kNominalQuantile * static_cast<double> (reported.size() - 1));
-        percent *= cell::kUsualPercent / std::max<double> (reported[nominal], 1);
+        percent *= cell::kNominalPercent / std::max<double> (reported[nominal], 1);
     }
     return static_cast<std::uint32_t> (
         std::lround (std::clamp<double> (percent, cell::kMinPercent, cell::kMaxPercent)));
--- a/src/controller/RunnerSpeeds.h
+++ b/src/controller/RunnerSpeeds.h
@@ -18,7 +18,7 @@
 #include <vector>
 
 #include "base/Time.h"
-#include "controller/PacedWork.h"
+#include "controller/ThrottledWork.h"
 
 namespace fernlift::controller
 {
@@ -45,11 +45,11 @@
     };
 
     /** Records how long work takes on the runner's machine; 100 is nominal for its service. */
-    void onStated (const Runner& runner, std::uint32_t percent, base::TimePoint now);
+    void onReportedWorkTime (const Runner& runner, std::uint32_t percent, base::TimePoint now);
     /** Records recent pauses, observed with `inFlight` requests at the runner. */
     void onPauses (const Runner& runner, const Pauses& pauses, std::uint32_t inFlight);
     /** Sets the estimate of an earlier leader, which applies until this leader has its own. */
-    void setEarlier (const Runner& runner, std::uint32_t percent);
+    void setInheritedSpeed (const Runner& runner, std::uint32_t percent);
     /** Removes all other runners, which have been removed from the cell or restarted. */
     void keepOnly (const std::function<bool (const std::string& instance)>& isKept);
 
@@ -93,7 +93,7 @@
     [[nodiscard]] static std::uint32_t percentOf (const RunnerState& state);
 
     std::map<std::string, RunnerState> m_runners;
-    PacedWork m_estimating;
+    ThrottledWork m_estimating;
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/RunnerSpeedsTest.cpp
+++ b/src/controller/RunnerSpeedsTest.cpp
@@ -96,8 +96,8 @@
             return;
         const double factor = runner.timeFactor * (runner.isSlow ? 2.5 : 1);
         if (m_options.reportWorkTime)
-            speeds.onStated (runner.runner, static_cast<std::uint32_t> (std::lround (100 * factor)),
-                             m_now);
+            speeds.onReportedWorkTime (
+                runner.runner, static_cast<std::uint32_t> (std::lround (100 * factor)), m_now);
         const std::size_t model = runner.models[static_cast<std::size_t> (
             m_random.uniformInteger (0, static_cast<std::int64_t> (runner.models.size()) - 1))];
         const auto inFlight = m_random.uniformInteger (runner.load / 2, runner.load * 3 / 2);
@@ -160,11 +160,11 @@
 {
     RunnerSpeeds speeds;
     const base::TimePoint start = base::TimePoint{} + base::seconds (9);
-    speeds.onStated ({ "a", "app" }, 120, start);
+    speeds.onReportedWorkTime ({ "a", "app" }, 120, start);
     auto changed = speeds.takeChanged (start);
     ASSERT_EQ (changed.size(), 1U);
     EXPECT_EQ (changed[0].percent, 83U);
-    speeds.onStated ({ "a", "app" }, 300, start + milliseconds (400));
+    speeds.onReportedWorkTime ({ "a", "app" }, 300, start + milliseconds (400));
     EXPECT_TRUE (speeds.takeChanged (start + base::seconds (1)).empty());
 }
 
@@ -172,10 +172,10 @@
 {
     RunnerSpeeds speeds;
     const base::TimePoint start = base::TimePoint{} + base::seconds (9);
-    speeds.onStated ({ "a", "app" }, 50, start);
+    speeds.onReportedWorkTime ({ "a", "app" }, 50, start);
     ASSERT_EQ (speeds.takeChanged (start).size(), 1U);
     speeds.keepOnly ([] (const std::string&) { return false; });
-    speeds.onStated ({ "a", "app" }, 100, start + base::seconds (1));
+    speeds.onReportedWorkTime ({ "a", "app" }, 100, start + base::seconds (1));
     EXPECT_TRUE (speeds.takeChanged (start + base::seconds (2)).empty());
 }
 
@@ -183,11 +183,11 @@
 {
     RunnerSpeeds speeds;
     const base::TimePoint start = base::TimePoint{} + base::seconds (9);
-    speeds.setEarlier ({ "a", "llm" }, 180);
+    speeds.setInheritedSpeed ({ "a", "llm" }, 180);
     auto changed = speeds.takeChanged (start);
     ASSERT_EQ (changed.size(), 1U);
     EXPECT_EQ (changed[0].percent, 180U);
-    speeds.onStated ({ "a", "llm" }, 100, start);
+    speeds.onReportedWorkTime ({ "a", "llm" }, 100, start);
     changed = speeds.takeChanged (start + base::seconds (1));
     ASSERT_EQ (changed.size(), 1U);
     EXPECT_EQ (changed[0].percent, 100U);
--- a/src/controller/RunnerWatch.cpp
+++ b/src/controller/RunnerWatch.cpp
@@ -40,7 +40,7 @@
     std::set<base::RunnerId> present;
     for (const engine::Machine& machine : list.machines)
     {
-        RunnerSight& observation = m_observations[machine.runner];
+        RunnerObservation& observation = m_observations[machine.runner];
         observation.listed = machine;
         observation.omissions = 0;
         present.insert (machine.runner);
@@ -60,7 +60,7 @@
 void RunnerWatch::onReport (const base::RunnerId& runner, const engine::Report& report,
                             base::TimePoint now)
 {
-    RunnerSight& observation = m_observations[runner];
+    RunnerObservation& observation = m_observations[runner];
     observation.isPolled = false;
     observation.nextPollAt =
         now + (hasChangingReplica (report) ? m_reportInterval : steadyInterval());
@@ -83,7 +83,7 @@
     found->second.nextPollAt = now + m_reportInterval;
 }
 
-void RunnerWatch::onLeavingSign (const base::RunnerId& runner, base::Incarnation incarnation)
+void RunnerWatch::onLeavingNotice (const base::RunnerId& runner, base::Incarnation incarnation)
 {
     m_observations[runner].leavingIncarnations.insert (incarnation);
 }
@@ -116,7 +116,7 @@
         found->second.nextPollAt = std::min (found->second.nextPollAt, now);
 }
 
-const RunnerSight* RunnerWatch::find (const base::RunnerId& runner) const
+const RunnerObservation* RunnerWatch::find (const base::RunnerId& runner) const
 {
     const auto found = m_observations.find (runner);
     return found == m_observations.end() ? nullptr : &found->second;
@@ -124,7 +124,7 @@
 
 bool RunnerWatch::isResponsive (const base::RunnerId& runner, base::TimePoint now) const
 {
-    const RunnerSight* observation = find (runner);
+    const RunnerObservation* observation = find (runner);
     if (observation == nullptr || ! observation->report)
         return false;
     const base::Duration longerByRate = steadyInterval() - m_reportInterval;
@@ -139,7 +139,7 @@
     return std::max (m_reportInterval, forAllRunners);
 }
 
-bool RunnerWatch::isLeaving (const RunnerSight& observation, base::Incarnation incarnation)
+bool RunnerWatch::isLeaving (const RunnerObservation& observation, base::Incarnation incarnation)
 {
     const bool isListedLeaving =
         observation.listed && observation.listed->state == engine::MachineState::kLeaving;
--- a/src/controller/RunnerWatch.h
+++ b/src/controller/RunnerWatch.h
@@ -19,7 +19,7 @@
 {
 
 /// Latest observations of one runner.
-struct RunnerSight
+struct RunnerObservation
 {
     std::optional<engine::Machine> listed;  ///< Latest entry of the machine list.
     std::optional<engine::Report> report;   ///< Latest report.
@@ -51,22 +51,22 @@
     std::vector<base::RunnerId> onMachineList (const engine::MachineList& list);
     void onReport (const base::RunnerId& runner, const engine::Report& report, base::TimePoint now);
     void onReportFailed (const base::RunnerId& runner, base::TimePoint now);
-    void onLeavingSign (const base::RunnerId& runner, base::Incarnation incarnation);
+    void onLeavingNotice (const base::RunnerId& runner, base::Incarnation incarnation);
     void forget (const base::RunnerId& runner);
 
     /// Returns the runners to poll now, a bounded number in turn, and marks them as polled.
     [[nodiscard]] std::vector<base::RunnerId> takeDuePolls (base::TimePoint now);
     void pollSoon (const base::RunnerId& runner, base::TimePoint now);
 
-    [[nodiscard]] const RunnerSight* find (const base::RunnerId& runner) const;
-    [[nodiscard]] const std::map<base::RunnerId, RunnerSight>& sights() const
+    [[nodiscard]] const RunnerObservation* find (const base::RunnerId& runner) const;
+    [[nodiscard]] const std::map<base::RunnerId, RunnerObservation>& observations() const
     {
         return m_observations;
     }
     /// Returns false when several consecutive reports are missing.
     [[nodiscard]] bool isResponsive (const base::RunnerId& runner, base::TimePoint now) const;
     /// Returns whether the machine list, the report or a router showed this incarnation as leaving.
-    [[nodiscard]] static bool isLeaving (const RunnerSight& observation,
+    [[nodiscard]] static bool isLeaving (const RunnerObservation& observation,
                                          base::Incarnation incarnation);
 
 private:
@@ -77,7 +77,7 @@
     base::Duration m_reportInterval;
     base::TimePoint m_startedAt;
     base::RunnerId m_lastPolled;  ///< The next poll goes to a runner after this one.
-    std::map<base::RunnerId, RunnerSight> m_observations;
+    std::map<base::RunnerId, RunnerObservation> m_observations;
 };
 
 }  // namespace fernlift::controller
--- a/src/controller/RunnerWatchTest.cpp
+++ b/src/controller/RunnerWatchTest.cpp
@@ -62,7 +62,7 @@
 {
     report (7);
     EXPECT_FALSE (RunnerWatch::isLeaving (*m_watch.find (kRunner), 7));
-    m_watch.onLeavingSign (kRunner, 7);
+    m_watch.onLeavingNotice (kRunner, 7);
     EXPECT_TRUE (RunnerWatch::isLeaving (*m_watch.find (kRunner), 7));
     EXPECT_FALSE (RunnerWatch::isLeaving (*m_watch.find (kRunner), 8))
         << "a notice applies to one incarnation";
--- a/src/controller/StorageThread.cpp
+++ b/src/controller/StorageThread.cpp
@@ -5,7 +5,7 @@
 #include <optional>
 #include <utility>
 
-#include "consensus/Durable.h"
+#include "consensus/ConsensusCodec.h"
 
 namespace fernlift::controller
 {
@@ -39,7 +39,7 @@
     m_condition.notify_one();
 }
 
-StorageWork StorageThread::work() const
+StorageCounters StorageThread::work() const
 {
     const std::lock_guard lock (m_mutex);
     return m_work;
--- a/src/controller/StorageThread.h
+++ b/src/controller/StorageThread.h
@@ -21,7 +21,7 @@
 {
 
 /// Counters of the thread since its start.
-struct StorageWork
+struct StorageCounters
 {
     std::uint64_t requests = 0;      ///< Writes requested by consensus.
     std::uint64_t syncs = 0;         ///< Calls of Storage::write; each syncs once.
@@ -51,7 +51,7 @@
     StorageThread& operator= (const StorageThread&) = delete;
 
     void submit (consensus::PersistRequest request);
-    [[nodiscard]] StorageWork work() const;
+    [[nodiscard]] StorageCounters work() const;
 
 private:
     void run();
@@ -71,7 +71,7 @@
     std::condition_variable m_condition;
     std::deque<consensus::PersistRequest> m_waiting;
     bool m_isStopping = false;
-    StorageWork m_work;
+    StorageCounters m_work;
     std::thread m_thread;  ///< Last member, so that it starts after all others exist.
 };
 
--- a/src/controller/TestCell.h
+++ b/src/controller/TestCell.h
@@ -101,14 +101,14 @@
     std::uint64_t instanceVersion = 0;
     std::map<std::string, cell::InstanceLoad> loads;   ///< Received loads, without idle runners.
     std::map<std::string, cell::SuspectRow> suspects;  ///< By digest.
-    std::vector<cell::RunnerEndReport> suspectHints;
+    std::vector<cell::RunnerCrashReport> suspectHints;
     std::function<void (const cell::SuspectUpdate&)> onSuspects = [] (const auto&) {};
     std::function<void (const cell::InstanceLoadUpdate&)> onLoads = [] (const auto&) {};
     std::vector<std::string> received;                ///< Kinds of received messages, in order.
     std::optional<cell::InstanceRateUpdate> rates{};  ///< Latest received rates.
     std::vector<cell::QuotaAllowance> permits;
 
-    [[nodiscard]] bool knows (const std::string& target) const;
+    [[nodiscard]] bool hasReplica (const std::string& target) const;
 };
 
 /// A cell of simulated controllers, engines and routers.
@@ -157,8 +157,8 @@
 
     /// Sends a request of a registered runner or of the operator of services, and waits for its
     /// answer.
-    std::optional<ControlAnswer> askControl (base::MemberId member, ControlRequest request,
-                                             base::Duration limit = base::seconds (3));
+    std::optional<ControlAnswer> sendControlRequest (base::MemberId member, ControlRequest request,
+                                                     base::Duration limit = base::seconds (3));
     /// An order that arrived at a registered engine. Every order is accepted.
     struct ReceivedEngineOrder
     {
@@ -168,7 +168,7 @@
     };
     std::vector<ReceivedEngineOrder> engineOrders;  ///< In the order of arrival.
     /// Progress of configurations as reported by leaders, in order.
-    std::vector<ConfigurationNews> configurationEvents;
+    std::vector<ConfigurationEvent> configurationEvents;
     /// Reports of registered engines by instance; an engine without an entry does not answer.
     std::map<std::string, engine::ServiceReport> engineReports;
     std::size_t unusableMessages = 0;  ///< Messages of runners that controllers dropped.
@@ -260,7 +260,7 @@
     void carryOut (Node& node, placement::SendEngineOrder effect);
     void carryOut (Node& node, const placement::PollEngine& effect);
     void carryOut (Node& /*node*/, const placement::EngineOrderDone& /*done*/) {}
-    void carryOut (Node& node, ConfigurationNews news);
+    void carryOut (Node& node, ConfigurationEvent event);
     void carryOut (Node& /*node*/, const RequestQuarantined& /*quarantined*/) {}
     void carryOut (Node& /*node*/, const RunnerMessageUnusable& /*unusable*/)
     {
--- a/src/controller/TestCellTest.cpp
+++ b/src/controller/TestCellTest.cpp
@@ -271,7 +271,7 @@
     if (connection == 0)
         return;
     later (node.linkedTo, kNetworkDelay,
-           [connection] (ControllerCore& core) { core.onRouterGone (connection); });
+           [connection] (ControllerCore& core) { core.onRouterDisconnected (connection); });
     later (node.id, kNetworkDelay, [] (ControllerCore& core) { core.onLeaderLost(); });
 }
 
@@ -280,7 +280,7 @@
     const RouterConnection earlier = std::exchange (node.leaderLink, 0);
     if (earlier != 0)
         later (node.linkedTo, kNetworkDelay,
-               [earlier] (ControllerCore& core) { core.onRouterGone (earlier); });
+               [earlier] (ControllerCore& core) { core.onRouterDisconnected (earlier); });
     const base::MemberId from = node.id;
     const base::MemberId to = memberAt (effect.address);
     if (to == 0 || refusesLeaderLinks)
@@ -430,8 +430,9 @@
     return found == m_answers.end() ? std::nullopt : std::optional (found->second);
 }
 
-std::optional<ControlAnswer> TestCell::askControl (base::MemberId member, ControlRequest request,
-                                                   base::Duration limit)
+std::optional<ControlAnswer> TestCell::sendControlRequest (base::MemberId member,
+                                                           ControlRequest request,
+                                                           base::Duration limit)
 {
     const ControlTicket ticket = m_nextTicket++;
     runOn (member, [&] (ControllerCore& core) { core.onControl (ticket, request); });
@@ -471,9 +472,9 @@
            });
 }
 
-void TestCell::carryOut (Node& /*node*/, ConfigurationNews news)
+void TestCell::carryOut (Node& /*node*/, ConfigurationEvent event)
 {
-    configurationEvents.push_back (std::move (news));
+    configurationEvents.push_back (std::move (event));
 }
 
 int TestCell::apply (const std::string& text, bool waitInForce)
--- a/src/controller/TestRouterTest.cpp
+++ b/src/controller/TestRouterTest.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-bool TestRouter::knows (const std::string& target) const
+bool TestRouter::hasReplica (const std::string& target) const
 {
     return std::any_of (table.begin(), table.end(),
                         [&] (const auto& entry) { return entry.first.second == target; });
@@ -89,7 +89,8 @@
     if (router.connectedTo)
     {
         const RouterConnection old = router.connection;
-        runOn (*router.connectedTo, [&] (ControllerCore& core) { core.onRouterGone (old); });
+        runOn (*router.connectedTo,
+               [&] (ControllerCore& core) { core.onRouterDisconnected (old); });
     }
     router.connectedTo = member;
     router.connection = m_nextConnection++;
@@ -191,8 +192,8 @@
     }
     else if (const auto* hint = std::get_if<cell::SuspectReport> (&message))
     {
-        router.suspectHints.insert (router.suspectHints.end(), hint->ends.begin(),
-                                    hint->ends.end());
+        router.suspectHints.insert (router.suspectHints.end(), hint->crashes.begin(),
+                                    hint->crashes.end());
     }
     else if (const auto* rates = std::get_if<cell::InstanceRateUpdate> (&message))
     {
@@ -214,7 +215,7 @@
                        [] (const auto& item)
                        {
                            const cell::InstanceLoad& load = item.second;
-                           return load.inFlight == 0 && load.unreadTokens == 0
+                           return load.inFlight == 0 && load.pendingPrefillTokens == 0
                                   && load.speedPercent == 100 && load.slowdownPercent == 100;
                        });
     }
--- a/src/controller/PacedWork.h
+++ b/src/controller/ThrottledWork.h
@@ -18,7 +18,7 @@
 
     Pure: time is passed in. Threading: none; owned by one ControllerCore.
 */
-class PacedWork
+class ThrottledWork
 {
 public:
     /** Requests a run; several requests before the run count as one. */
--- a/src/controller/PacedWorkTest.cpp
+++ b/src/controller/ThrottledWorkTest.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "controller/PacedWork.h"
+#include "controller/ThrottledWork.h"
 
 namespace fernlift::controller
 {
@@ -16,16 +16,16 @@
     return base::TimePoint{} + base::seconds (100) + base::milliseconds (milliseconds);
 }
 
-TEST (PacedWork, firstRunIsDueAtOnce)
+TEST (ThrottledWork, firstRunIsDueAtOnce)
 {
-    PacedWork work;
+    ThrottledWork work;
     EXPECT_TRUE (work.takeDue (at (0), kInterval));
     EXPECT_FALSE (work.takeDue (at (100), kInterval)) << "no run was requested again";
 }
 
-TEST (PacedWork, requestsWithinAnIntervalAreMergedIntoOneRun)
+TEST (ThrottledWork, requestsWithinAnIntervalAreMergedIntoOneRun)
 {
-    PacedWork work;
+    ThrottledWork work;
     int runs = 0;
     for (int millisecond = 0; millisecond < 300; ++millisecond)
     {
@@ -36,18 +36,18 @@
     EXPECT_EQ (runs, 10);
 }
 
-TEST (PacedWork, aRequestWithinTheIntervalIsNotLost)
+TEST (ThrottledWork, aRequestWithinTheIntervalIsNotLost)
 {
-    PacedWork work;
+    ThrottledWork work;
     ASSERT_TRUE (work.takeDue (at (0), kInterval));
     work.request();
     EXPECT_FALSE (work.takeDue (at (29), kInterval));
     EXPECT_TRUE (work.takeDue (at (30), kInterval));
 }
 
-TEST (PacedWork, aRequestAfterTheIntervalIsDueAtOnce)
+TEST (ThrottledWork, aRequestAfterTheIntervalIsDueAtOnce)
 {
-    PacedWork work;
+    ThrottledWork work;
     ASSERT_TRUE (work.takeDue (at (0), kInterval));
     work.request();
     EXPECT_TRUE (work.takeDue (at (1000), kInterval));
--- a/src/dispatch/RetryBudget.cpp
+++ b/src/dispatch/RetryBudget.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "base/HashShare.h"
+#include "base/HashToUnitInterval.h"
 
 namespace fernlift::dispatch
 {
@@ -46,7 +46,7 @@
     if (share >= 1)
         return share;
     const double deviation = std::sqrt (share * (1 - share) / sharers);
-    return base::hashShare (name) < share - kReservedDeviations * deviation ? 1 : 0;
+    return base::hashToUnitInterval (name) < share - kReservedDeviations * deviation ? 1 : 0;
 }
 
 }  // namespace fernlift::dispatch
--- a/src/dispatch/RetryPolicy.cpp
+++ b/src/dispatch/RetryPolicy.cpp
@@ -3,16 +3,16 @@
 namespace fernlift::dispatch
 {
 
-RetryDecision decideRetry (const RetryQuestion& question)
+RetryDecision decideRetry (const RetryContext& context)
 {
-    if (question.attemptsMade >= question.maximumAttempts)
+    if (context.attemptsMade >= context.maximumAttempts)
         return RetryDecision::kFail;
-    const bool isSafe = question.isRepeatable || provesNotRun (question.failure);
+    const bool isSafe = context.isRepeatable || provesNotRun (context.failure);
     if (! isSafe)
         return RetryDecision::kFail;
-    if (! question.hasReachedCaller)
+    if (! context.hasReachedCaller)
         return RetryDecision::kRetry;
-    return question.canResume ? RetryDecision::kResume : RetryDecision::kFail;
+    return context.canResume ? RetryDecision::kResume : RetryDecision::kFail;
 }
 
 base::ErrorKind errorKindOf (AttemptFailure failure, bool isRepeatable)
--- a/src/dispatch/RetryPolicy.h
+++ b/src/dispatch/RetryPolicy.h
@@ -25,7 +25,7 @@
 }
 
 /// State of the request whose attempt failed.
-struct RetryQuestion
+struct RetryContext
 {
     AttemptFailure failure = AttemptFailure::kBroken;
     bool isRepeatable = false;
@@ -42,7 +42,7 @@
     kFail
 };
 
-[[nodiscard]] RetryDecision decideRetry (const RetryQuestion& question);
+[[nodiscard]] RetryDecision decideRetry (const RetryContext& context);
 
 /// Kind of the error that is returned to the caller if no further attempt is made.
 [[nodiscard]] base::ErrorKind errorKindOf (AttemptFailure failure, bool isRepeatable);
--- a/src/dispatch/RetryTest.cpp
+++ b/src/dispatch/RetryTest.cpp
@@ -175,9 +175,9 @@
     RC_ASSERT (sum <= reserve + 1e-6);
 }
 
-RetryQuestion question (AttemptFailure failure, bool isRepeatable)
+RetryContext retryContext (AttemptFailure failure, bool isRepeatable)
 {
-    RetryQuestion context;
+    RetryContext context;
     context.failure = failure;
     context.isRepeatable = isRepeatable;
     context.attemptsMade = 1;
@@ -189,21 +189,21 @@
 {
     for (const auto failure : { AttemptFailure::kNotSent, AttemptFailure::kRefused })
     {
-        EXPECT_EQ (decideRetry (question (failure, false)), RetryDecision::kRetry);
+        EXPECT_EQ (decideRetry (retryContext (failure, false)), RetryDecision::kRetry);
         EXPECT_NE (errorKindOf (failure, false), base::ErrorKind::kOutcomeUnknown);
     }
     for (const auto failure :
          { AttemptFailure::kBroken, AttemptFailure::kTimedOut, AttemptFailure::kServerFailed })
     {
-        EXPECT_EQ (decideRetry (question (failure, false)), RetryDecision::kFail);
-        EXPECT_EQ (decideRetry (question (failure, true)), RetryDecision::kRetry);
+        EXPECT_EQ (decideRetry (retryContext (failure, false)), RetryDecision::kFail);
+        EXPECT_EQ (decideRetry (retryContext (failure, true)), RetryDecision::kRetry);
         EXPECT_EQ (errorKindOf (failure, false), base::ErrorKind::kOutcomeUnknown);
     }
 }
 
 TEST (RetryPolicyTest, ResumesOrFailsAPartialAnswer)
 {
-    RetryQuestion context = question (AttemptFailure::kBroken, true);
+    RetryContext context = retryContext (AttemptFailure::kBroken, true);
     context.hasReachedCaller = true;
     EXPECT_EQ (decideRetry (context), RetryDecision::kFail);
     context.canResume = true;
--- a/src/http/StreamSocket.cpp
+++ b/src/http/StreamSocket.cpp
@@ -12,7 +12,7 @@
 #include <cerrno>
 #include <utility>
 
-#include "base/SilentPeers.h"
+#include "base/DeadPeerDetection.h"
 
 namespace fernlift::http
 {
@@ -28,7 +28,7 @@
 {
     constexpr int kOn = 1;
     ::setsockopt (descriptor, IPPROTO_TCP, TCP_NODELAY, &kOn, sizeof kOn);
-    base::endWhenSilent (descriptor, kMaxSilence);
+    base::enableDeadPeerDetection (descriptor, kMaxSilence);
 }
 
 /// Drops a notifier that may be in the middle of emitting its signal.
--- a/src/placement/EnginePlacement.cpp
+++ b/src/placement/EnginePlacement.cpp
@@ -100,7 +100,7 @@
     }
     if (! instance.isReported)
         return;
-    EngineHoldings agreed;
+    EngineHeldModels agreed;
     agreed.models = instance.models;
     applyHeldModels (engine, agreed, now);
     engine.hasReported = false;  // The local copies are not known.
@@ -164,13 +164,13 @@
     m_changed.insert (engine.id);
 }
 
-bool EnginePlacement::hasUnshown (base::TimePoint now) const
+bool EnginePlacement::hasChangedEngines (base::TimePoint now) const
 {
     return ! m_changed.empty()
            || (! m_adaptersDueAt.empty() && m_adaptersDueAt.begin()->first <= now);
 }
 
-std::set<std::string> EnginePlacement::takeUnshown (base::TimePoint now)
+std::set<std::string> EnginePlacement::takeChangedEngines (base::TimePoint now)
 {
     std::set<std::string> engines = std::exchange (m_changed, {});
     while (! m_adaptersDueAt.empty() && m_adaptersDueAt.begin()->first <= now)
@@ -178,7 +178,7 @@
     return engines;
 }
 
-void EnginePlacement::applyHeldModels (Engine& engine, const EngineHoldings& heldModels,
+void EnginePlacement::applyHeldModels (Engine& engine, const EngineHeldModels& heldModels,
                                        base::TimePoint now)
 {
     engine.hasReported = true;
@@ -236,7 +236,7 @@
     }
 }
 
-void EnginePlacement::onHeartbeat (const std::string& instance, const EngineHoldings& heldModels,
+void EnginePlacement::onHeartbeat (const std::string& instance, const EngineHeldModels& heldModels,
                                    base::TimePoint now)
 {
     const auto found = m_engines.find (instance);
@@ -249,7 +249,7 @@
     updateDerivedState (found->second);
 }
 
-void EnginePlacement::applyHeartbeat (Engine& engine, const EngineHoldings& heldModels,
+void EnginePlacement::applyHeartbeat (Engine& engine, const EngineHeldModels& heldModels,
                                       base::TimePoint now)
 {
     engine.inMemory = heldModels.inMemory;
@@ -284,7 +284,7 @@
         m_waitingAdapters.erase (key);
 }
 
-void EnginePlacement::onRouterGone (std::uint64_t router)
+void EnginePlacement::onRouterDisconnected (std::uint64_t router)
 {
     for (auto& [key, target] : m_demands)
     {
@@ -416,7 +416,7 @@
     if (engine.unanswered)
         return;  // An order was sent after the poll.
     engine.sequence = report.sequence;
-    EngineHoldings heldModels;
+    EngineHeldModels heldModels;
     for (const engine::ReportedModel& model : report.models)
     {
         heldModels.models.push_back ({ model.name, model.version, model.adapters });
--- a/src/placement/EnginePlacement.h
+++ b/src/placement/EnginePlacement.h
@@ -53,7 +53,7 @@
 };
 
 /// Models of an engine as stated in its last heartbeat or report.
-struct EngineHoldings
+struct EngineHeldModels
 {
     std::vector<cell::HeldModel> models;
     std::set<std::string> inMemory;  ///< Models that can be loaded from host memory.
@@ -88,11 +88,11 @@
 struct EnginePlacementStatus
 {
     std::size_t engines = 0;
-    std::size_t unknownEngines = 0;   ///< Engines with unknown sequence; polled before an order.
-    std::size_t attendedEngines = 0;  ///< Engines with a pending, planned or unconfirmed order.
-    std::size_t waitingAdapters = 0;  ///< Adapters with waiting requests.
-    std::uint64_t adapterOrders = 0;  ///< Load orders for adapters with waiting requests.
-    base::Duration adapterWait{};     ///< Sum of the times from the first wait to the order.
+    std::size_t unknownEngines = 0;     ///< Engines with unknown sequence; polled before an order.
+    std::size_t enginesWithOrders = 0;  ///< Engines with a pending, planned or unconfirmed order.
+    std::size_t waitingAdapters = 0;    ///< Adapters with waiting requests.
+    std::uint64_t adapterOrders = 0;    ///< Load orders for adapters with waiting requests.
+    base::Duration adapterWait{};       ///< Sum of the times from the first wait to the order.
 };
 
 /// Placement on registered engines during one term of leadership.
@@ -108,12 +108,12 @@
     /// Updates one engine from its row; null removes the engine.
     void refreshRow (const std::string& instance, const cell::RoutableInstance* row,
                      base::TimePoint now);
-    void onHeartbeat (const std::string& instance, const EngineHoldings& heldModels,
+    void onHeartbeat (const std::string& instance, const EngineHeldModels& heldModels,
                       base::TimePoint now);
     /// Replaces the demand that `router` reported before.
     void onDemand (std::uint64_t router, const std::vector<cell::EngineDemand>& demands,
                    base::TimePoint now);
-    void onRouterGone (std::uint64_t router);
+    void onRouterDisconnected (std::uint64_t router);
     /// Sets the ids of the engines that announce a request rate limit in their answers. Nothing is
     /// loaded on these engines. A model that only they hold is loaded on another engine while
     /// requests wait for it.
@@ -130,15 +130,18 @@
     /// progress. Visits only the waiting adapters and the engines concerned.
     [[nodiscard]] std::vector<EngineCommand> decideUrgent (base::TimePoint now);
 
-    /// Whether takeUnshown() returns a non-empty set.
-    [[nodiscard]] bool hasUnshown (base::TimePoint now) const;
+    /// Whether takeChangedEngines() returns a non-empty set.
+    [[nodiscard]] bool hasChangedEngines (base::TimePoint now) const;
     /// Returns the engines whose routableModels() may have changed since the last call.
-    [[nodiscard]] std::set<std::string> takeUnshown (base::TimePoint now);
+    [[nodiscard]] std::set<std::string> takeChangedEngines (base::TimePoint now);
 
     [[nodiscard]] EnginePlacementStatus status() const;
 
     /// Returns the model orders completed since the last call.
-    [[nodiscard]] std::vector<EngineOrderDone> takeDone() { return std::exchange (m_done, {}); }
+    [[nodiscard]] std::vector<EngineOrderDone> takeCompletedOrders()
+    {
+        return std::exchange (m_done, {});
+    }
 
     /// Models to publish to routers for the engine, without those about to be unloaded; nullopt for
     /// an engine that is unknown or has not reported yet.
@@ -146,7 +149,7 @@
         const std::string& instance, base::TimePoint now) const;
     /// Cheap check without a copy: true only when routableModels() surely equals `shown`, or has no
     /// value. May return false for an equal list.
-    [[nodiscard]] bool isPlainlyShown (const std::string& instance,
+    [[nodiscard]] bool isKnownCurrent (const std::string& instance,
                                        const std::vector<cell::HeldModel>& shown) const;
 
 private:
@@ -341,9 +344,9 @@
     bool resetForNewIncarnation (Engine& engine, const cell::RoutableInstance& row,
                                  base::TimePoint now);
     /// Updates the models that the engine holds.
-    void applyHeldModels (Engine& engine, const EngineHoldings& heldModels, base::TimePoint now);
+    void applyHeldModels (Engine& engine, const EngineHeldModels& heldModels, base::TimePoint now);
     /// Updates the held models and the local copies of weights.
-    void applyHeartbeat (Engine& engine, const EngineHoldings& heldModels, base::TimePoint now);
+    void applyHeartbeat (Engine& engine, const EngineHeldModels& heldModels, base::TimePoint now);
     /// Sets the initial state of an engine that the cell has just accepted: from an earlier
     /// heartbeat if there was one, else from the replicated instance.
     void applyInitialState (Engine& engine, const cell::ServiceInstance& instance,
@@ -368,7 +371,7 @@
     EngineIndex m_index;  ///< Index over m_engines.
     struct EarlyHeldModels
     {
-        EngineHoldings heldModels;
+        EngineHeldModels heldModels;
         base::TimePoint receivedAt{};
     };
     /// Heartbeats of engines that are not in m_engines yet. The first heartbeat arrives before the
@@ -378,8 +381,8 @@
     std::set<std::string> m_withOrders;
     std::set<std::string> m_unknownSequence;  ///< Ids of usable engines with unknown sequence.
     std::set<std::string> m_unreported;       ///< Ids of usable engines that have not reported yet.
-    std::set<std::string> m_changed;          ///< Ids of engines changed since takeUnshown().
-    /// Times at which adapters are expected to be loaded; takeUnshown() removes past ones.
+    std::set<std::string> m_changed;  ///< Ids of engines changed since takeChangedEngines().
+    /// Times at which adapters are expected to be loaded; takeChangedEngines() removes past ones.
     std::set<std::pair<base::TimePoint, std::string>> m_adaptersDueAt;
     std::uint64_t m_adapterOrders = 0;
     base::Duration m_adapterWait{};
--- a/src/placement/EnginePlacementFiguresTest.cpp
+++ b/src/placement/EnginePlacementFiguresTest.cpp
@@ -65,9 +65,9 @@
     return rows;
 }
 
-EngineHoldings heldModelsOf (int engine)
+EngineHeldModels heldModelsOf (int engine)
 {
-    EngineHoldings heldModels;
+    EngineHeldModels heldModels;
     for (int offset = 0; offset < 2; ++offset)
         heldModels.models.push_back ({ modelName ((2 * engine + offset) % (kModels - 20)), 1, {} });
     return heldModels;
@@ -132,7 +132,7 @@
     placement.refresh (rows, now);
     const auto sendHeartbeat = [&] (int number)
     {
-        EngineHoldings heldModels = heldModelsOf (number);
+        EngineHeldModels heldModels = heldModelsOf (number);
         for (int copy = 0; copy < kCopies; ++copy)
             heldModels.onDisk.insert (modelName ((number + 37 * copy) % (kModels - 20)));
         placement.onHeartbeat (engineName (number), heldModels, now);
--- a/src/placement/EnginePlacementTest.cpp
+++ b/src/placement/EnginePlacementTest.cpp
@@ -59,7 +59,7 @@
     void sendHeartbeat (const std::string& id, const std::vector<std::string>& models,
                         const std::set<std::string>& onDisk = {})
     {
-        EngineHoldings heldModels;
+        EngineHeldModels heldModels;
         for (const std::string& model : models)
             heldModels.models.push_back ({ model, 1, {} });
         heldModels.onDisk = onDisk;
--- a/src/placement/EnginePlayTestSupportTest.cpp
+++ b/src/placement/EnginePlayTestSupportTest.cpp
@@ -229,7 +229,7 @@
 void EnginePlay::sendHeartbeat (Engine& engine)
 {
     engine.heartbeatAt = m_now;
-    EngineHoldings heldModels;
+    EngineHeldModels heldModels;
     engine::ServiceReport report;
     for (const std::string& model : engine.held)
     {
--- a/src/placement/EngineViews.cpp
+++ b/src/placement/EngineViews.cpp
@@ -132,7 +132,7 @@
     EnginePlacementStatus status;
     status.engines = m_engines.size();
     status.unknownEngines = m_unknownSequence.size();
-    status.attendedEngines = m_withOrders.size();
+    status.enginesWithOrders = m_withOrders.size();
     status.waitingAdapters = m_waitingAdapters.size();
     status.adapterOrders = m_adapterOrders;
     status.adapterWait = m_adapterWait;
@@ -230,7 +230,7 @@
     return static_cast<double> (m_storeLoads.size()) + 1 <= allowed;
 }
 
-bool EnginePlacement::isPlainlyShown (const std::string& instance,
+bool EnginePlacement::isKnownCurrent (const std::string& instance,
                                       const std::vector<cell::HeldModel>& shown) const
 {
     const auto found = m_engines.find (instance);
--- a/src/placement/Placement.h
+++ b/src/placement/Placement.h
@@ -69,8 +69,8 @@
     std::set<std::pair<std::string, base::RunnerId>> avoided;
     /// Upper limit of the keep-alive time; the prices may shorten it.
     base::Duration keepAlive{};
-    /// Limit of concurrent loads from the weight store, as determined by StorePace. The limit of
-    /// the catalogue applies as well.
+    /// Limit of concurrent loads from the weight store, as determined by StoreLoadLimiter. The
+    /// limit of the catalogue applies as well.
     std::uint32_t storeConcurrency = std::numeric_limits<std::uint32_t>::max();
     /// Number of loads from the store that may begin now within its rate limit.
     std::uint32_t storeStarts = std::numeric_limits<std::uint32_t>::max();
--- a/src/placement/StorePace.cpp
+++ b/src/placement/StoreLoadLimiter.cpp
@@ -1,4 +1,4 @@
-#include "placement/StorePace.h"
+#include "placement/StoreLoadLimiter.h"
 
 #include <algorithm>
 #include <set>
@@ -16,10 +16,13 @@
 
 }  // namespace
 
-std::uint32_t StorePace::startsAllowed() const { return static_cast<std::uint32_t> (m_tokens); }
+std::uint32_t StoreLoadLimiter::startsAllowed() const
+{
+    return static_cast<std::uint32_t> (m_tokens);
+}
 
-void StorePace::observe (const config::WeightStoreLimits& limits,
-                         const std::vector<ReplicaView>& replicas, base::TimePoint now)
+void StoreLoadLimiter::observe (const config::WeightStoreLimits& limits,
+                                const std::vector<ReplicaView>& replicas, base::TimePoint now)
 {
     refill (limits, now);
     std::set<base::ReplicaId> loading;
@@ -44,7 +47,7 @@
     findOverdue (now);
 }
 
-void StorePace::refill (const config::WeightStoreLimits& limits, base::TimePoint now)
+void StoreLoadLimiter::refill (const config::WeightStoreLimits& limits, base::TimePoint now)
 {
     const double burst = std::max (limits.loadsPerSecond, 1.0);
     if (m_limit != limits.concurrentLoads)
@@ -59,14 +62,14 @@
     m_refilledAt = now;
 }
 
-void StorePace::onReady (const Load& load, base::TimePoint now)
+void StoreLoadLimiter::onReady (const Load& load, base::TimePoint now)
 {
     const double sample =
         base::toSeconds (now - load.startedAt) / static_cast<double> (load.memory);
     addSample (sample, load, now);
 }
 
-void StorePace::addSample (double secondsPerMegabyte, const Load& load, base::TimePoint now)
+void StoreLoadLimiter::addSample (double secondsPerMegabyte, const Load& load, base::TimePoint now)
 {
     if (m_nominalSecondsPerMegabyte <= 0)
     {
@@ -86,7 +89,7 @@
     m_concurrency = std::min (m_concurrency + 1, m_limit);
 }
 
-void StorePace::findOverdue (base::TimePoint now)
+void StoreLoadLimiter::findOverdue (base::TimePoint now)
 {
     if (m_nominalSecondsPerMegabyte <= 0)
         return;
@@ -103,7 +106,7 @@
         reduceConcurrency (now);
 }
 
-void StorePace::reduceConcurrency (base::TimePoint now)
+void StoreLoadLimiter::reduceConcurrency (base::TimePoint now)
 {
     m_concurrency = std::max (m_concurrency / 2, 1U);
     m_slowedAt = now;
--- a/src/placement/StorePace.h
+++ b/src/placement/StoreLoadLimiter.h
@@ -17,7 +17,7 @@
 /// Additive increase and multiplicative decrease of the concurrency, up to the limit of the
 /// catalogue, and a token bucket with the rate of the catalogue. The state is not replicated: a new
 /// leader starts from the limits of the catalogue.
-class StorePace
+class StoreLoadLimiter
 {
 public:
     /// Updates the estimate with loads that began, ended or were abandoned since the last call.
--- a/src/proxy/Exchange.cpp
+++ b/src/proxy/Exchange.cpp
@@ -77,7 +77,7 @@
 void Exchange::admitAndDispatch()
 {
     // A quarantined request must neither consume quota units nor count as demand for a model.
-    if (const quarantine::Standing known = suspectStatus(); known.isInQuarantine())
+    if (const quarantine::SuspectStatus known = suspectStatus(); known.isInQuarantine())
     {
         refuseQuarantined (known);
         return;
@@ -205,7 +205,7 @@
         onTimer();
         return;
     }
-    const quarantine::Standing known = suspectStatus();
+    const quarantine::SuspectStatus known = suspectStatus();
     if (isBlockedAsSuspect (known))
         return;
     m_query.isolationKey = known.isSuspect() ? identity().digest : std::string();
--- a/src/proxy/Exchange.h
+++ b/src/proxy/Exchange.h
@@ -89,14 +89,14 @@
     void readModel();
     void dispatchNext();
     /// Status of this request among the requests suspected of crashing runners.
-    [[nodiscard]] quarantine::Standing suspectStatus() const;
+    [[nodiscard]] quarantine::SuspectStatus suspectStatus() const;
     /// Records that the runner broke off its answer or stopped sending in the middle of it.
     void recordBrokenAnswer();
     /// Records that the isolation runner of a suspect request accepted no connection.
     void recordIsolationRunnerUnreachable();
     /// Whether the suspect status makes the request wait, or has ended it in quarantine.
-    [[nodiscard]] bool isBlockedAsSuspect (const quarantine::Standing& suspectStatus);
-    void refuseQuarantined (const quarantine::Standing& suspectStatus);
+    [[nodiscard]] bool isBlockedAsSuspect (const quarantine::SuspectStatus& suspectStatus);
+    void refuseQuarantined (const quarantine::SuspectStatus& suspectStatus);
     /// Chooses a runner and starts an attempt, or begins to wait.
     void chooseRunner();
     /// Returns true when an attempt at `m_permitChoice` started or its permit is pending, and false
--- a/src/proxy/ExchangeAnswers.cpp
+++ b/src/proxy/ExchangeAnswers.cpp
@@ -203,7 +203,7 @@
         m_caller.endAnswer();
     }
     if (suspectStatus().isSuspect())
-        m_context.suspects.onWholeAnswer (identity());
+        m_context.suspects.onCompleteAnswer (identity());
     const bool isFailure = m_head.status >= kFirstServerError;
     endAttempt (isFailure ? AttemptEnd::kFailed : AttemptEnd::kAnswered, true);
     ++m_context.counters.answered;
--- a/src/proxy/ExchangeQuarantine.cpp
+++ b/src/proxy/ExchangeQuarantine.cpp
@@ -21,14 +21,15 @@
 constexpr base::Duration kMaxWaitForIsolationRunner = base::milliseconds (1500);
 
 /// Time until which the request is not sent to a runner; none: it may be sent now.
-std::optional<base::TimePoint> heldUntil (const quarantine::Standing& suspectStatus)
+std::optional<base::TimePoint> heldUntil (const quarantine::SuspectStatus& suspectStatus)
 {
     std::optional<base::TimePoint> until;
     // Copies wait like retries, because each copy sent in the meantime may crash one more runner.
     if (suspectStatus.isUndecided())
         until = *suspectStatus.undecidedSince + kMaxWaitForVerdict;
-    if (suspectStatus.trialGoneSince)
-        until = std::max (until, { *suspectStatus.trialGoneSince + kMaxWaitForIsolationRunner });
+    if (suspectStatus.isolationRunnerGoneSince)
+        until = std::max (until,
+                          { *suspectStatus.isolationRunnerGoneSince + kMaxWaitForIsolationRunner });
     return until;
 }
 
@@ -56,17 +57,18 @@
     return m_hasBrokenAnswer ? identity().digest : std::string();
 }
 
-quarantine::Standing Exchange::suspectStatus() const
+quarantine::SuspectStatus Exchange::suspectStatus() const
 {
     if (m_context.suspects.isEmpty())
         return {};
     if (! m_fingerprint)
         m_fingerprint = fingerprintOf (m_request, tenantName());
-    return m_context.suspects.mayKnow (*m_fingerprint) ? m_context.suspects.standingOf (identity())
-                                                       : quarantine::Standing();
+    return m_context.suspects.mayContain (*m_fingerprint)
+               ? m_context.suspects.suspectStatusOf (identity())
+               : quarantine::SuspectStatus();
 }
 
-bool Exchange::isBlockedAsSuspect (const quarantine::Standing& suspectStatus)
+bool Exchange::isBlockedAsSuspect (const quarantine::SuspectStatus& suspectStatus)
 {
     m_suspectHoldDeadline.reset();
     if (suspectStatus.isInQuarantine())
@@ -93,7 +95,7 @@
     }
     if (! m_connection)
         return;
-    const quarantine::Standing known = suspectStatus();
+    const quarantine::SuspectStatus known = suspectStatus();
     if (! known.isInQuarantine())
         return;
     endAttempt (AttemptEnd::kAbandoned, false);
@@ -107,24 +109,24 @@
     if (! m_isAttemptSent || m_context.directory.isDraining (m_instance))
         return;
     const std::string incarnation = cell::Incarnation{ m_instance, m_instanceStart }.name();
-    m_context.suspects.onBrokenOff (identity(), incarnation, m_attemptSentAt, now());
+    m_context.suspects.onAnswerInterrupted (identity(), incarnation, m_attemptSentAt, now());
     m_context.checkRunner (incarnation, m_address);
 }
 
 void Exchange::recordIsolationRunnerUnreachable()
 {
     const std::string incarnation = cell::Incarnation{ m_instance, m_instanceStart }.name();
-    m_context.suspects.onTrialUnreachable (identity(), incarnation, now());
+    m_context.suspects.onIsolationRunnerUnreachable (identity(), incarnation, now());
 }
 
-void Exchange::refuseQuarantined (const quarantine::Standing& suspectStatus)
+void Exchange::refuseQuarantined (const quarantine::SuspectStatus& suspectStatus)
 {
     ++m_context.counters.quarantined;
     log::write (log::Event::kQuarantinedRequestRefused,
                 { { "request", m_request.headers.value (m_context.names.requestId) },
                   { "identity", identity().digest },
                   { "caller", callerName() },
-                  { "ends", suspectStatus.ends } });
+                  { "ends", suspectStatus.crashes } });
     if (m_isAnswerBegun)
         abortAnswer();
     else
--- a/src/proxy/ExchangeTest.cpp
+++ b/src/proxy/ExchangeTest.cpp
@@ -48,11 +48,11 @@
 }
 
 cell::SuspectUpdate suspectUpdate (std::uint64_t version, const std::string& host,
-                                   std::uint32_t ends, std::vector<std::string> instances)
+                                   std::uint32_t crashes, std::vector<std::string> instances)
 {
     cell::SuspectUpdate update;
     update.toVersion = version;
-    update.upserts.push_back ({ identityOfRequest (host), ends, std::move (instances) });
+    update.upserts.push_back ({ identityOfRequest (host), crashes, std::move (instances) });
     return update;
 }
 
@@ -110,7 +110,7 @@
     runner.connections[0]->reset();
     ASSERT_TRUE (waitUntil ([&] { return checked == "i-1"; }));
     EXPECT_TRUE (other.connections.empty());
-    proxy.suspects.onFate ("i-1", quarantine::RunnerFate::kAlive);
+    proxy.suspects.onProbeResult ("i-1", quarantine::RunnerProbeResult::kAlive);
     proxy.server.onSuspectsChanged();
     ASSERT_TRUE (other.waitForRequest());
 }
@@ -131,13 +131,13 @@
 TEST_F (ExchangeTest, CopyAfterBrokenAnswerWaitsForProbeResult)
 {
     proxy.addRunner ("i-1", runner);
-    proxy.suspects.onBrokenOff (identityOfRequest ("app.test"), "gone", proxy.clock.now(),
-                                proxy.clock.now());
+    proxy.suspects.onAnswerInterrupted (identityOfRequest ("app.test"), "gone", proxy.clock.now(),
+                                        proxy.clock.now());
     RawCaller caller (proxy.listening);
     caller.write (ProxyFixture::request ("app.test"));
     runFor (std::chrono::milliseconds (40));
     EXPECT_TRUE (runner.connections.empty());
-    proxy.suspects.onFate ("gone", quarantine::RunnerFate::kAlive);
+    proxy.suspects.onProbeResult ("gone", quarantine::RunnerProbeResult::kAlive);
     proxy.server.onSuspectsChanged();
     ASSERT_TRUE (runner.waitForRequest());
 }
@@ -145,8 +145,8 @@
 TEST_F (ExchangeTest, CopyAfterBrokenAnswerStopsWaitingWithoutController)
 {
     proxy.addRunner ("i-1", runner);
-    proxy.suspects.onBrokenOff (identityOfRequest ("app.test"), "gone", proxy.clock.now(),
-                                proxy.clock.now());
+    proxy.suspects.onAnswerInterrupted (identityOfRequest ("app.test"), "gone", proxy.clock.now(),
+                                        proxy.clock.now());
     RawCaller caller (proxy.listening);
     caller.write (ProxyFixture::request ("app.test"));
     ASSERT_TRUE (runner.waitForRequest());
@@ -212,8 +212,7 @@
     ASSERT_TRUE (caller.waitFor ("hello"));
     const auto report = proxy.suspects.takeReport (proxy.clock.now());
     ASSERT_TRUE (report);
-    EXPECT_EQ (report->acquitted,
-               std::vector<std::string>{ identityOfRequest ("app.test").digest });
+    EXPECT_EQ (report->cleared, std::vector<std::string>{ identityOfRequest ("app.test").digest });
 }
 
 TEST_F (ExchangeTest, EndOfDrainingRunnerIsNoEvidence)
--- a/src/proxy/InstanceDirectory.cpp
+++ b/src/proxy/InstanceDirectory.cpp
@@ -5,7 +5,7 @@
 #include <functional>
 #include <utility>
 
-#include "base/HashShare.h"
+#include "base/HashToUnitInterval.h"
 
 namespace fernlift::proxy
 {
@@ -45,9 +45,9 @@
 /// Processing the tokens again at another runner also delays all requests that wait there.
 constexpr double kCachedPrefixWeight = 2;
 
-double hashShare (const std::string& id, const std::string& affinity)
+double hashToUnitInterval (const std::string& id, const std::string& affinity)
 {
-    return base::hashShare (id + '\n' + affinity);
+    return base::hashToUnitInterval (id + '\n' + affinity);
 }
 
 std::string incarnationNameOf (const cell::RoutableInstance& row)
@@ -64,7 +64,7 @@
 double shareOf (std::uint32_t percent)
 {
     return static_cast<double> (std::clamp (percent, cell::kMinPercent, cell::kMaxPercent))
-           / cell::kUsualPercent;
+           / cell::kNominalPercent;
 }
 
 /// Whether the models include MODEL/ADAPTER, or MODEL/ for the model without an adapter.
@@ -166,7 +166,7 @@
         if (found == m_views.end())
             continue;
         View& view = found->second;
-        view.others = usedByOthers (view, { load.inFlight, load.unreadTokens }, now);
+        view.others = usedByOthers (view, { load.inFlight, load.pendingPrefillTokens }, now);
         view.speed = shareOf (load.speedPercent);
         setSlowdown (view, load.slowdownPercent,
                      now - base::milliseconds (load.slowdownAgeMilliseconds));
@@ -182,7 +182,8 @@
         if (found == m_views.end())
             continue;
         View& view = found->second;
-        view.reportedBefore = std::exchange (view.reported, { use.inFlight, use.unreadTokens });
+        view.reportedBefore =
+            std::exchange (view.reported, { use.inFlight, use.pendingPrefillTokens });
         view.reportedAt = now;
     }
 }
@@ -202,7 +203,8 @@
     const Use& reported =
         now - view.reportedAt < kReportRoundTrip ? view.reportedBefore : view.reported;
     return { all.inFlight - std::min (all.inFlight, reported.inFlight),
-             all.unreadTokens - std::min (all.unreadTokens, reported.unreadTokens) };
+             all.pendingPrefillTokens
+                 - std::min (all.pendingPrefillTokens, reported.pendingPrefillTokens) };
 }
 
 double InstanceDirectory::weightOfOthers (base::TimePoint now) const
@@ -331,7 +333,7 @@
 {
     RunnerState state;
     state.requests = view.own.inFlight;
-    state.unreadTokens = static_cast<double> (view.own.unreadTokens);
+    state.pendingPrefillTokens = static_cast<double> (view.own.pendingPrefillTokens);
     state.slots = view.row.instance.slots;
     state.speed = view.speed;
     state.slowdown = decayedSlowdown (view.slowdown, millisecondsOf (now - view.slowdownAt));
@@ -340,7 +342,8 @@
     if (others > 0)
     {
         state.requests += others * view.others.inFlight;
-        state.unreadTokens += others * static_cast<double> (view.others.unreadTokens);
+        state.pendingPrefillTokens +=
+            others * static_cast<double> (view.others.pendingPrefillTokens);
         state.needsConnection = query.hasConnection && ! query.hasConnection (view.address);
     }
     else if (now - view.loadStatedAt < kLoadLifetime)
@@ -404,7 +407,7 @@
     {
         if (! canServe (*view, query, now))
             continue;
-        const double share = hashShare (id, query.affinity);
+        const double share = hashToUnitInterval (id, query.affinity);
         if (share <= highest)
             continue;
         highest = share;
@@ -439,7 +442,7 @@
             continue;
         const bool isLastResort = id == query.avoidedInstance;
         const int penalty = (mayHaveFailed (*view, now) ? 1 : 0) + (isLastResort ? 2 : 0);
-        const std::pair<int, double> rank (-penalty, hashShare (id, query.isolationKey));
+        const std::pair<int, double> rank (-penalty, hashToUnitInterval (id, query.isolationKey));
         if (choice.reason == NoRunnerReason::kNone && rank <= best)
             continue;
         best = rank;
@@ -582,7 +585,7 @@
     if (found->second.own.inFlight == 0)
         found->second.lastBytesAt = now;
     ++found->second.own.inFlight;
-    found->second.own.unreadTokens += promptTokens;
+    found->second.own.pendingPrefillTokens += promptTokens;
 }
 
 void InstanceDirectory::onAnswerBegun (const std::string& id, std::uint64_t promptTokens)
@@ -590,8 +593,8 @@
     const auto found = m_views.find (id);
     if (found == m_views.end())
         return;
-    std::uint64_t& unread = found->second.own.unreadTokens;
-    unread -= std::min (unread, promptTokens);
+    std::uint64_t& pendingTokens = found->second.own.pendingPrefillTokens;
+    pendingTokens -= std::min (pendingTokens, promptTokens);
 }
 
 void InstanceDirectory::onAttemptEnd (const std::string& id, AttemptEnd end, base::TimePoint now)
@@ -648,7 +651,7 @@
         // A runner that is slower than others also states its permanent slowdown, which `speed`
         // already covers.
         const double share = shareOf (*load.slowdownPercent) * view.speed;
-        setSlowdown (view, static_cast<std::uint32_t> (std::lround (share * cell::kUsualPercent)),
+        setSlowdown (view, static_cast<std::uint32_t> (std::lround (share * cell::kNominalPercent)),
                      now);
     }
 }
--- a/src/proxy/InstanceDirectory.h
+++ b/src/proxy/InstanceDirectory.h
@@ -179,7 +179,8 @@
     struct Use
     {
         std::uint32_t inFlight = 0;
-        std::uint64_t unreadTokens = 0;  ///< Prompt tokens of requests whose answer has not begun.
+        std::uint64_t pendingPrefillTokens =
+            0;  ///< Prompt tokens of requests whose answer has not begun.
     };
 
     struct View
--- a/src/proxy/InstanceLoadReporter.cpp
+++ b/src/proxy/InstanceLoadReporter.cpp
@@ -31,14 +31,14 @@
 {
     Use& use = m_runners[instance].use;
     ++use.inFlight;
-    use.unreadTokens += promptTokens;
+    use.pendingPrefillTokens += promptTokens;
     m_changed.insert (instance);
 }
 
 void InstanceLoadReporter::onAnswerBegun (const std::string& instance, std::uint64_t promptTokens)
 {
     Use& use = m_runners[instance].use;
-    use.unreadTokens -= std::min (use.unreadTokens, promptTokens);
+    use.pendingPrefillTokens -= std::min (use.pendingPrefillTokens, promptTokens);
     m_changed.insert (instance);
 }
 
@@ -47,7 +47,7 @@
     Use& use = m_runners[instance].use;
     use.inFlight -= std::min (use.inFlight, 1U);
     if (use.inFlight == 0)
-        use.unreadTokens = 0;
+        use.pendingPrefillTokens = 0;
     m_changed.insert (instance);
 }
 
@@ -61,7 +61,7 @@
         const Slowdown& stated = *runner->second.slowdown;
         if (now - stated.statedAt > kSlowdownLifetime)
             return;
-        slowdown = static_cast<double> (std::max (stated.percent, 1U)) / cell::kUsualPercent;
+        slowdown = static_cast<double> (std::max (stated.percent, 1U)) / cell::kNominalPercent;
     }
     Pace& pace = m_paces[{ instance, model }];
     pace.pauses += events;
@@ -101,7 +101,7 @@
 {
     const Use use = m_isShared ? runner.use : Use{};
     if (use != runner.reported)
-        report.uses.push_back ({ instance, use.inFlight, use.unreadTokens });
+        report.uses.push_back ({ instance, use.inFlight, use.pendingPrefillTokens });
     runner.reported = use;
     if (! m_isShared || ! runner.slowdown || std::exchange (runner.slowdown->isReported, true))
         return;
--- a/src/proxy/InstanceLoadReporter.h
+++ b/src/proxy/InstanceLoadReporter.h
@@ -57,7 +57,7 @@
     struct Use
     {
         std::uint32_t inFlight = 0;
-        std::uint64_t unreadTokens = 0;  ///< 0 while nothing is in flight.
+        std::uint64_t pendingPrefillTokens = 0;  ///< 0 while nothing is in flight.
 
         bool operator== (const Use&) const = default;
     };
--- a/src/proxy/InstanceLoadReporterTest.cpp
+++ b/src/proxy/InstanceLoadReporterTest.cpp
@@ -195,7 +195,7 @@
             if (attempt.instance != instance)
                 continue;
             ++truth.inFlight;
-            truth.unreadTokens += attempt.isBegun ? 0 : attempt.tokens;
+            truth.pendingPrefillTokens += attempt.isBegun ? 0 : attempt.tokens;
         }
         const auto found = reported.find (instance);
         RC_ASSERT ((found == reported.end() ? cell::InstanceUse{ instance, 0, 0 } : found->second)
--- a/src/proxy/ProxyProcess.cpp
+++ b/src/proxy/ProxyProcess.cpp
@@ -65,7 +65,7 @@
                  m_counters,
                  [this] { m_demandTimer.start (0); },
                  nullptr },
-      m_session (clock.now(), cell::ControllerSession::kQuickAfterLoss),
+      m_session (clock.now(), cell::ControllerSession::kShortLeaderWaitAfterLoss),
       m_link (peersOf (m_settings), m_random.bits() % peersOf (m_settings).size(),
               { [this]
                 {
@@ -85,8 +85,8 @@
       m_freshness ({ m_settings.unconfirmedGrace, m_settings.isolatedGrace }),
       m_server (m_context),
       m_readiness (m_names.readinessPath, [this] { return isReady(); }),
-      m_probes ([this] (const std::string& instance, RunnerFate fate)
-                { onRunnerChecked (instance, fate); })
+      m_probes ([this] (const std::string& instance, RunnerProbeResult probeResult)
+                { onRunnerChecked (instance, probeResult); })
 {
     m_context.checkRunner = [this] (const std::string& instance, const base::SocketAddress& address)
     { m_probes.check (instance, address); };
@@ -205,7 +205,7 @@
 
 void ProxyProcess::onControllerMessage (const cell::ControllerToRouter& message)
 {
-    m_session.onHeard (m_clock.now());
+    m_session.onMessageReceived (m_clock.now());
     m_freshness.onContact();
     applyRates (message);
     if (const auto* other = std::get_if<cell::NotLeaderReply> (&message))
@@ -235,7 +235,7 @@
     }
     else if (const auto* suspectReport = std::get_if<cell::SuspectReport> (&message))
     {
-        m_suspects.onTold (*suspectReport, m_clock.now());
+        m_suspects.onForwardedReport (*suspectReport, m_clock.now());
         m_server.onSuspectsChanged();
     }
     else if (const auto* instances = std::get_if<cell::InstanceUpdate> (&message))
@@ -475,11 +475,11 @@
         m_link.send (std::move (*request));
 }
 
-void ProxyProcess::onRunnerChecked (const std::string& instance, RunnerFate fate)
+void ProxyProcess::onRunnerChecked (const std::string& instance, RunnerProbeResult probeResult)
 {
     log::write (log::Event::kRunnerChecked,
-                { { "runner", instance }, { "fate", toString (fate) } });
-    m_suspects.onFate (instance, fate);
+                { { "runner", instance }, { "fate", toString (probeResult) } });
+    m_suspects.onProbeResult (instance, probeResult);
     reportSuspects();
     m_server.onSuspectsChanged();
 }
--- a/src/proxy/ProxyProcess.h
+++ b/src/proxy/ProxyProcess.h
@@ -87,7 +87,7 @@
     void reportRates();
     /// Reports runners that crashed under requests to the controller, if it does not know of them.
     void reportSuspects();
-    void onRunnerChecked (const std::string& instance, RunnerFate fate);
+    void onRunnerChecked (const std::string& instance, RunnerProbeResult probeResult);
     void onTick();
     /// Ends the requests whose deadlines passed while the machine was suspended.
     void handleSuspension();
--- a/src/proxy/RequestIdentity.cpp
+++ b/src/proxy/RequestIdentity.cpp
@@ -37,7 +37,7 @@
 {
     std::string text = headOf (request, caller);
     cell::RequestIdentity identity;
-    identity.outline = base::stableHash (text);
+    identity.fingerprint = base::stableHash (text);
     text.append (request.body);
     identity.digest = base::sha256Hex (text).substr (0, kDigestDigits);
     return identity;
--- a/src/proxy/RequestIdentityTest.cpp
+++ b/src/proxy/RequestIdentityTest.cpp
@@ -27,7 +27,7 @@
     again.headers.add ("Test-Deadline", "10");
     again.headers.add ("Last-Event-Id", "7");
     EXPECT_EQ (identityOf (first, "farm"), identityOf (again, "farm"));
-    EXPECT_EQ (identityOf (first, "farm").outline, fingerprintOf (again, "farm"));
+    EXPECT_EQ (identityOf (first, "farm").fingerprint, fingerprintOf (again, "farm"));
 }
 
 TEST (RequestIdentityTest, IdentityDependsOnCallerMethodHostTargetAndBody)
--- a/src/proxy/RunnerEstimate.cpp
+++ b/src/proxy/RunnerEstimate.cpp
@@ -49,7 +49,8 @@
     double atRunner = 0;
     if (work.isForModel)
     {
-        const double tokens = runner.unreadTokens + static_cast<double> (work.prefillTokens);
+        const double tokens =
+            runner.pendingPrefillTokens + static_cast<double> (work.prefillTokens);
         atRunner = kEngineWork * runner.requests + kPrefillPerToken * tokens;
     }
     else
@@ -66,7 +67,7 @@
 
 double streamDelayMilliseconds (const RunnerState& runner, const RequestWork& work, double gap)
 {
-    const double tokens = runner.unreadTokens + static_cast<double> (work.prefillTokens);
+    const double tokens = runner.pendingPrefillTokens + static_cast<double> (work.prefillTokens);
     const double excess = prefillMilliseconds (runner, tokens) - kPrefillShareOfGap * gap;
     return kStreamShare * runner.requests * std::max (excess, 0.0);
 }
@@ -74,7 +75,7 @@
 double decayedSlowdown (double slowdown, double age)
 {
     const double left = std::clamp (
-        1 - age / static_cast<double> (base::toMilliseconds (cell::kSlowdownLife)), 0.0, 1.0);
+        1 - age / static_cast<double> (base::toMilliseconds (cell::kSlowdownLifetime)), 0.0, 1.0);
     return 1 + (slowdown - 1) * left;
 }
 
--- a/src/proxy/RunnerEstimate.h
+++ b/src/proxy/RunnerEstimate.h
@@ -14,9 +14,9 @@
 /** Load and speed of one runner, over the requests of all routers whose load is known. */
 struct RunnerState
 {
-    double requests = 0;      ///< Requests running or waiting at the runner.
-    double unreadTokens = 0;  ///< Prompt tokens of these requests still to be processed.
-    std::uint32_t slots = 1;  ///< Requests that the runner executes at once.
+    double requests = 0;              ///< Requests running or waiting at the runner.
+    double pendingPrefillTokens = 0;  ///< Prompt tokens of these requests still to be processed.
+    std::uint32_t slots = 1;          ///< Requests that the runner executes at once.
     double speed = 1;  ///< Work per unit of time relative to the mean of the service, which is 1.
     double slowdown = 1;  ///< Current slowdown of the machine; 2: work takes twice as long.
     bool isInOtherZone = false;
--- a/src/proxy/RunnerProbes.cpp
+++ b/src/proxy/RunnerProbes.cpp
@@ -21,22 +21,22 @@
 class RunnerProbes::Probe final : private http::StreamListener
 {
 public:
-    Probe (const base::SocketAddress& address, std::function<void (RunnerFate)> onEnd)
+    Probe (const base::SocketAddress& address, std::function<void (RunnerProbeResult)> onEnd)
         : m_onEnd (std::move (onEnd))
     {
         m_timer.setSingleShot (true);
         QObject::connect (&m_timer, &QTimer::timeout, &m_timer,
-                          [this] { m_onEnd (RunnerFate::kUnknown); });
+                          [this] { m_onEnd (RunnerProbeResult::kUnknown); });
         m_timer.start (kProbeTimeout);
         m_socket.connectTo (address);
     }
 
 private:
-    void onConnected() override { m_onEnd (RunnerFate::kAlive); }
+    void onConnected() override { m_onEnd (RunnerProbeResult::kAlive); }
     void onData (std::string_view /*data*/) override {}
-    void onEnd (http::StreamEnd /*end*/) override { m_onEnd (RunnerFate::kGone); }
+    void onEnd (http::StreamEnd /*end*/) override { m_onEnd (RunnerProbeResult::kGone); }
 
-    std::function<void (RunnerFate)> m_onEnd;
+    std::function<void (RunnerProbeResult)> m_onEnd;
     QTimer m_timer;
     http::StreamSocket m_socket{ this };
 };
@@ -49,11 +49,12 @@
 {
     if (m_open.contains (instance))
         return;
-    m_open[instance] = std::make_unique<Probe> (
-        address, [this, instance] (RunnerFate fate) { finish (instance, fate); });
+    m_open[instance] =
+        std::make_unique<Probe> (address, [this, instance] (RunnerProbeResult probeResult)
+                                 { finish (instance, probeResult); });
 }
 
-void RunnerProbes::finish (const std::string& instance, RunnerFate fate)
+void RunnerProbes::finish (const std::string& instance, RunnerProbeResult probeResult)
 {
     const auto found = m_open.find (instance);
     if (found == m_open.end())
@@ -62,7 +63,7 @@
     const std::shared_ptr<Probe> ended = std::move (found->second);
     m_open.erase (found);
     QTimer::singleShot (0, [ended] {});
-    m_handler (instance, fate);
+    m_handler (instance, probeResult);
 }
 
 }  // namespace fernlift::proxy
--- a/src/proxy/RunnerProbes.h
+++ b/src/proxy/RunnerProbes.h
@@ -14,18 +14,19 @@
 #include <string>
 
 #include "base/SocketAddress.h"
-#include "quarantine/RunnerFate.h"
+#include "quarantine/RunnerProbeResult.h"
 
 namespace fernlift::proxy
 {
 
-using quarantine::RunnerFate;
+using quarantine::RunnerProbeResult;
 
 /** Threading: lives on the thread of the Qt event loop. */
 class RunnerProbes
 {
 public:
-    using Handler = std::function<void (const std::string& instance, RunnerFate fate)>;
+    using Handler =
+        std::function<void (const std::string& instance, RunnerProbeResult probeResult)>;
 
     /** `handler` is called from the event loop with the result of each probe. */
     explicit RunnerProbes (Handler handler);
@@ -39,7 +40,7 @@
 private:
     class Probe;
 
-    void finish (const std::string& instance, RunnerFate fate);
+    void finish (const std::string& instance, RunnerProbeResult probeResult);
 
     Handler m_handler;
     std::map<std::string, std::unique_ptr<Probe>> m_open;  ///< Keyed by instance.
--- a/src/proxy/RunnerProbesTest.cpp
+++ b/src/proxy/RunnerProbesTest.cpp
@@ -15,7 +15,7 @@
 class RunnerProbesTest : public ::testing::Test
 {
 protected:
-    RunnerFate fateOf (const std::string& address)
+    RunnerProbeResult probeResultOf (const std::string& address)
     {
         const auto parsed = base::SocketAddress::tryParse (address);
         m_probes.check ("i-1", *parsed);
@@ -23,15 +23,15 @@
         EXPECT_TRUE (waitUntil ([this] { return m_results > 0; }));
         runFor (std::chrono::milliseconds (20));
         EXPECT_EQ (m_results, 1) << "both requests share one probe";
-        return m_fate;
+        return m_probeResult;
     }
 
-    RunnerFate m_fate = RunnerFate::kUnknown;
+    RunnerProbeResult m_probeResult = RunnerProbeResult::kUnknown;
     int m_results = 0;
-    RunnerProbes m_probes{ [this] (const std::string& instance, RunnerFate fate)
+    RunnerProbes m_probes{ [this] (const std::string& instance, RunnerProbeResult probeResult)
                            {
                                EXPECT_EQ (instance, "i-1");
-                               m_fate = fate;
+                               m_probeResult = probeResult;
                                ++m_results;
                            } };
 };
@@ -39,7 +39,7 @@
 TEST_F (RunnerProbesTest, RunnerThatAcceptsConnectionIsAlive)
 {
     const StubRunner runner;
-    EXPECT_EQ (fateOf (runner.address()), RunnerFate::kAlive);
+    EXPECT_EQ (probeResultOf (runner.address()), RunnerProbeResult::kAlive);
 }
 
 TEST_F (RunnerProbesTest, RunnerWithoutListenerIsGone)
@@ -49,7 +49,7 @@
         const StubRunner runner;
         address = runner.address();
     }
-    EXPECT_EQ (fateOf (address), RunnerFate::kGone);
+    EXPECT_EQ (probeResultOf (address), RunnerProbeResult::kGone);
 }
 
 }  // namespace
--- a/src/proxy/RunnerRates.cpp
+++ b/src/proxy/RunnerRates.cpp
@@ -173,7 +173,7 @@
         limit.nextRequestAt = std::max (limit.nextRequestAt, now + kMinWait);
     if (answer != QuotaAnswer::kPending)
         return count (answer);
-    if (now - claim.askedAt < kGrantTimeout)
+    if (now - claim.requestedAt < kGrantTimeout)
         return answer;
     giveUp (claim);
     limit.nextRequestAt = now + kRetryDelay;
--- a/src/proxy/SharedLoadsTest.cpp
+++ b/src/proxy/SharedLoadsTest.cpp
@@ -49,12 +49,12 @@
 }
 
 cell::InstanceLoad loadOf (const std::string& id, std::uint32_t inFlight,
-                           std::uint64_t unreadTokens, std::uint32_t speedPercent = 100)
+                           std::uint64_t pendingPrefillTokens, std::uint32_t speedPercent = 100)
 {
     cell::InstanceLoad load;
     load.instance = id;
     load.inFlight = inFlight;
-    load.unreadTokens = unreadTokens;
+    load.pendingPrefillTokens = pendingPrefillTokens;
     load.speedPercent = speedPercent;
     return load;
 }
@@ -431,8 +431,8 @@
                         request.isPrefillDone ? 0 : request.countedTokens;
                     ++use.inFlight;
                     ++load.inFlight;
-                    use.unreadTokens += prefillTokensLeft;
-                    load.unreadTokens += prefillTokensLeft;
+                    use.pendingPrefillTokens += prefillTokensLeft;
+                    load.pendingPrefillTokens += prefillTokensLeft;
                 }
                 for (std::size_t router = 0; router < kRouters; ++router)
                 {
--- a/src/proxy/TenantQuotas.cpp
+++ b/src/proxy/TenantQuotas.cpp
@@ -57,7 +57,7 @@
                                base::TimePoint now, base::Random& random)
 {
     const bool isNew = ticket.claim.sequence == 0;
-    ticket.waited = isNew ? base::Duration::zero() : now - ticket.claim.askedAt;
+    ticket.waited = isNew ? base::Duration::zero() : now - ticket.claim.requestedAt;
     switch (m_pool.take (ticket.claim, now))
     {
         case quota::QuotaAnswer::kGranted:
@@ -69,7 +69,7 @@
     }
     if (isNew)
         m_onSendNeeded();
-    const bool isLate = now - ticket.claim.askedAt >= kGrantTimeout;
+    const bool isLate = now - ticket.claim.requestedAt >= kGrantTimeout;
     const bool mayTryFallback = isLate && ! std::exchange (ticket.hasTriedFallbackShare, isLate);
     if (mayTryFallback && m_fallbackShare.admits (tenant, ticket.claim.units, now, random))
     {
@@ -85,7 +85,7 @@
 void TenantQuotas::onGrant (const cell::QuotaGrant& grant, base::TimePoint now)
 {
     m_pool.onGrant (grant);
-    m_fallbackShare.onAssisted (now);
+    m_fallbackShare.onControllerAnswer (now);
 }
 
 base::Duration TenantQuotas::retryAfter (const config::Tenant& tenant) const
--- a/src/proxy/TenantQuotas.h
+++ b/src/proxy/TenantQuotas.h
@@ -13,9 +13,9 @@
 #include "config/Tenants.h"
 #include "proxy/ProtocolNames.h"
 #include "proxy/RequestParser.h"
+#include "quota/FallbackShare.h"
 #include "quota/QuotaPool.h"
 #include "quota/QuotaTolerance.h"
-#include "quota/UnassistedShare.h"
 
 namespace fernlift::proxy
 {
@@ -61,7 +61,7 @@
 
 private:
     quota::QuotaPool m_pool;
-    quota::UnassistedShare m_fallbackShare;
+    quota::FallbackShare m_fallbackShare;
     std::function<void()> m_onSendNeeded;
 };
 
--- a/src/quarantine/RunnerFate.h
+++ b/src/quarantine/RunnerProbeResult.h
@@ -8,7 +8,7 @@
 namespace fernlift::quarantine
 {
 
-enum class RunnerFate : std::uint8_t
+enum class RunnerProbeResult : std::uint8_t
 {
     kGone,     ///< Nothing listens at the runner's address.
     kAlive,    ///< The runner accepts connections.
@@ -16,15 +16,15 @@
 };
 
 /** Returns the text used in logs, for example "gone". */
-[[nodiscard]] constexpr std::string_view toString (RunnerFate fate)
+[[nodiscard]] constexpr std::string_view toString (RunnerProbeResult probeResult)
 {
-    switch (fate)
+    switch (probeResult)
     {
-        case RunnerFate::kGone:
+        case RunnerProbeResult::kGone:
             return "gone";
-        case RunnerFate::kAlive:
+        case RunnerProbeResult::kAlive:
             return "alive";
-        case RunnerFate::kUnknown:
+        case RunnerProbeResult::kUnknown:
             break;
     }
     return "unknown";
--- a/src/quarantine/SuspectRequests.cpp
+++ b/src/quarantine/SuspectRequests.cpp
@@ -33,39 +33,41 @@
 
 }  // namespace
 
-Standing SuspectRequests::standingOf (const cell::RequestIdentity& request) const
+SuspectStatus SuspectRequests::suspectStatusOf (const cell::RequestIdentity& request) const
 {
-    Standing standing;
+    SuspectStatus suspectStatus;
     base::TimePoint countsFrom{};
     const auto row = m_rows.find (request.digest);
     if (row != m_rows.end())
     {
-        standing.ends = row->second.reported.ends;
-        standing.instances = row->second.reported.instances;
+        suspectStatus.crashes = row->second.reported.crashes;
+        suspectStatus.instances = row->second.reported.instances;
         countsFrom = row->second.receivedAt;
     }
-    for (const OwnCrash& end : m_ownCrashes)
+    for (const OwnCrash& crash : m_ownCrashes)
     {
-        if (end.request.digest != request.digest)
+        if (crash.request.digest != request.digest)
             continue;
-        const bool isPending = ! end.isFromOtherRouter && end.proof != Proof::kUnconfirmed;
+        const bool isPending = ! crash.isFromOtherRouter && crash.proof != Proof::kUnconfirmed;
         if (isPending)
-            standing.undecidedSince = std::max (standing.undecidedSince, { end.endedAt });
-        if (end.proof != Proof::kConfirmed)
+            suspectStatus.undecidedSince =
+                std::max (suspectStatus.undecidedSince, { crash.crashedAt });
+        if (crash.proof != Proof::kConfirmed)
             continue;
-        standing.instances.push_back (end.instance);
-        if (standing.ends > 0 && end.sentAt < countsFrom)
+        suspectStatus.instances.push_back (crash.instance);
+        if (suspectStatus.crashes > 0 && crash.sentAt < countsFrom)
             continue;
-        ++standing.ends;
-        countsFrom = end.endedAt;
+        ++suspectStatus.crashes;
+        countsFrom = crash.crashedAt;
     }
-    const auto trial = m_goneIsolationRunners.find (request.digest);
-    const bool isPending = trial != m_goneIsolationRunners.end()
-                           && std::ranges::find (standing.instances, trial->second.instance)
-                                  == standing.instances.end();
+    const auto isolationRunner = m_goneIsolationRunners.find (request.digest);
+    const bool isPending =
+        isolationRunner != m_goneIsolationRunners.end()
+        && std::ranges::find (suspectStatus.instances, isolationRunner->second.instance)
+               == suspectStatus.instances.end();
     if (isPending)
-        standing.trialGoneSince = trial->second.since;
-    return standing;
+        suspectStatus.isolationRunnerGoneSince = isolationRunner->second.since;
+    return suspectStatus;
 }
 
 void SuspectRequests::evictOldest()
@@ -76,32 +78,32 @@
     ++m_evicted;
 }
 
-void SuspectRequests::onBrokenOff (const cell::RequestIdentity& request,
-                                   const std::string& instance, base::TimePoint sentAt,
-                                   base::TimePoint now)
+void SuspectRequests::onAnswerInterrupted (const cell::RequestIdentity& request,
+                                           const std::string& instance, base::TimePoint sentAt,
+                                           base::TimePoint now)
 {
     evictOldest();
     m_ownCrashes.push_back ({ request, instance, sentAt, now, Proof::kProbing, {}, false });
     rebuildIndex();
 }
 
-void SuspectRequests::onTrialUnreachable (const cell::RequestIdentity& request,
-                                          std::string instance, base::TimePoint now)
+void SuspectRequests::onIsolationRunnerUnreachable (const cell::RequestIdentity& request,
+                                                    std::string instance, base::TimePoint now)
 {
-    if (standingOf (request).ends + 1 >= cell::kEndsBeforeQuarantine)
+    if (suspectStatusOf (request).crashes + 1 >= cell::kCrashesBeforeQuarantine)
         m_goneIsolationRunners.try_emplace (request.digest,
                                             GoneIsolationRunner{ std::move (instance), now });
 }
 
-void SuspectRequests::onTold (const cell::SuspectReport& report, base::TimePoint now)
+void SuspectRequests::onForwardedReport (const cell::SuspectReport& report, base::TimePoint now)
 {
-    for (const cell::RunnerEndReport& reported : report.ends)
+    for (const cell::RunnerCrashReport& reported : report.crashes)
     {
         const bool isRecorded =
             std::ranges::any_of (m_ownCrashes,
-                                 [&] (const OwnCrash& end) {
-                                     return end.instance == reported.instance
-                                            && end.request.digest == reported.request.digest;
+                                 [&] (const OwnCrash& crash) {
+                                     return crash.instance == reported.instance
+                                            && crash.request.digest == reported.request.digest;
                                  });
         if (isRecorded)
             continue;
@@ -109,7 +111,7 @@
         m_ownCrashes.push_back ({ reported.request,
                                   reported.instance,
                                   now - base::milliseconds (reported.sentAgoMilliseconds),
-                                  now - base::milliseconds (reported.endedAgoMilliseconds),
+                                  now - base::milliseconds (reported.crashedAgoMilliseconds),
                                   Proof::kConfirmed,
                                   {},
                                   true });
@@ -118,20 +120,21 @@
     rebuildIndex();
 }
 
-bool SuspectRequests::onFate (const std::string& instance, RunnerFate fate)
+bool SuspectRequests::onProbeResult (const std::string& instance, RunnerProbeResult probeResult)
 {
     bool hasConfirmed = false;
-    for (OwnCrash& end : m_ownCrashes)
+    for (OwnCrash& crash : m_ownCrashes)
     {
-        if (end.instance != instance || end.proof != Proof::kProbing)
+        if (crash.instance != instance || crash.proof != Proof::kProbing)
             continue;
-        end.proof = fate == RunnerFate::kGone ? Proof::kConfirmed : Proof::kUnconfirmed;
-        hasConfirmed = hasConfirmed || fate == RunnerFate::kGone;
+        crash.proof =
+            probeResult == RunnerProbeResult::kGone ? Proof::kConfirmed : Proof::kUnconfirmed;
+        hasConfirmed = hasConfirmed || probeResult == RunnerProbeResult::kGone;
     }
-    if (fate == RunnerFate::kAlive)
+    if (probeResult == RunnerProbeResult::kAlive)
     {
-        std::erase_if (m_ownCrashes, [&] (const OwnCrash& end)
-                       { return end.instance == instance && end.proof != Proof::kConfirmed; });
+        std::erase_if (m_ownCrashes, [&] (const OwnCrash& crash)
+                       { return crash.instance == instance && crash.proof != Proof::kConfirmed; });
     }
     rebuildIndex();
     return hasConfirmed;
@@ -139,24 +142,24 @@
 
 void SuspectRequests::onReplaced (const std::string& instance)
 {
-    for (OwnCrash& end : m_ownCrashes)
+    for (OwnCrash& crash : m_ownCrashes)
     {
-        if (end.instance == instance)
-            end.proof = Proof::kConfirmed;
+        if (crash.instance == instance)
+            crash.proof = Proof::kConfirmed;
     }
 }
 
-void SuspectRequests::onWholeAnswer (const cell::RequestIdentity& request)
+void SuspectRequests::onCompleteAnswer (const cell::RequestIdentity& request)
 {
     std::erase_if (m_ownCrashes,
-                   [&] (const OwnCrash& end) { return end.request.digest == request.digest; });
+                   [&] (const OwnCrash& crash) { return crash.request.digest == request.digest; });
     m_goneIsolationRunners.erase (request.digest);
     const auto row = m_rows.find (request.digest);
     if (row != m_rows.end())
     {
         m_clearances.try_emplace (request.digest);
         // The row was not shared, so the cell sends no update when it drops the row.
-        if (row->second.reported.ends < cell::kEndsBeforeSharing)
+        if (row->second.reported.crashes < cell::kCrashesBeforeSharing)
             m_rows.erase (row);
     }
     rebuildIndex();
@@ -202,25 +205,25 @@
     m_goneIsolationRunners.erase (digest);
     // Crashes that were reported go too: the cell has dropped the request since.
     std::erase_if (m_ownCrashes,
-                   [&] (const OwnCrash& end)
+                   [&] (const OwnCrash& crash)
                    {
                        const bool wasReported =
-                           end.isFromOtherRouter || end.reportedAt != base::TimePoint{};
-                       return end.request.digest == digest && wasReported;
+                           crash.isFromOtherRouter || crash.reportedAt != base::TimePoint{};
+                       return crash.request.digest == digest && wasReported;
                    });
 }
 
 void SuspectRequests::dropResolved()
 {
     std::erase_if (m_ownCrashes,
-                   [this] (const OwnCrash& end)
+                   [this] (const OwnCrash& crash)
                    {
-                       const auto row = m_rows.find (end.request.digest);
+                       const auto row = m_rows.find (crash.request.digest);
                        if (row == m_rows.end())
                            return false;
                        const cell::SuspectRow& reported = row->second.reported;
-                       return reported.ends >= cell::kEndsBeforeQuarantine
-                              || std::ranges::find (reported.instances, end.instance)
+                       return reported.crashes >= cell::kCrashesBeforeQuarantine
+                              || std::ranges::find (reported.instances, crash.instance)
                                      != reported.instances.end();
                    });
 }
@@ -228,14 +231,15 @@
 std::optional<cell::SuspectReport> SuspectRequests::takeReport (base::TimePoint now)
 {
     cell::SuspectReport report;
-    for (OwnCrash& end : m_ownCrashes)
+    for (OwnCrash& crash : m_ownCrashes)
     {
-        if (end.isFromOtherRouter || end.proof != Proof::kConfirmed
-            || ! isDue (end.reportedAt, now))
+        if (crash.isFromOtherRouter || crash.proof != Proof::kConfirmed
+            || ! isDue (crash.reportedAt, now))
             continue;
-        end.reportedAt = now;
-        report.ends.push_back ({ end.request, end.instance, base::toMilliseconds (now - end.sentAt),
-                                 base::toMilliseconds (now - end.endedAt) });
+        crash.reportedAt = now;
+        report.crashes.push_back ({ crash.request, crash.instance,
+                                    base::toMilliseconds (now - crash.sentAt),
+                                    base::toMilliseconds (now - crash.crashedAt) });
     }
     for (auto& [digest, clearance] : m_clearances)
     {
@@ -244,17 +248,17 @@
         if (! isDue (clearance.reportedAt, now))
             continue;
         clearance.reportedAt = now;
-        report.acquitted.push_back (digest);
+        report.cleared.push_back (digest);
     }
-    if (report.ends.empty() && report.acquitted.empty())
+    if (report.crashes.empty() && report.cleared.empty())
         return std::nullopt;
     return report;
 }
 
 void SuspectRequests::onLinkLost()
 {
-    for (OwnCrash& end : m_ownCrashes)
-        end.reportedAt = {};
+    for (OwnCrash& crash : m_ownCrashes)
+        crash.reportedAt = {};
     for (auto& [digest, clearance] : m_clearances)
         clearance.reportedAt = {};
 }
@@ -263,11 +267,11 @@
 {
     const std::size_t before = m_ownCrashes.size();
     std::erase_if (m_ownCrashes,
-                   [&] (const OwnCrash& end)
+                   [&] (const OwnCrash& crash)
                    {
                        const base::Duration limit =
-                           end.proof == Proof::kConfirmed ? kReportLifetime : kProofLifetime;
-                       return now - end.endedAt >= limit;
+                           crash.proof == Proof::kConfirmed ? kReportLifetime : kProofLifetime;
+                       return now - crash.crashedAt >= limit;
                    });
     std::erase_if (m_clearances,
                    [&] (const auto& item)
@@ -282,7 +286,8 @@
     std::erase_if (m_rows,
                    [&] (const auto& item)
                    {
-                       const bool isShared = item.second.reported.ends >= cell::kEndsBeforeSharing;
+                       const bool isShared =
+                           item.second.reported.crashes >= cell::kCrashesBeforeSharing;
                        return ! isShared && now - item.second.receivedAt >= kUnsharedLifetime;
                    });
     if (m_ownCrashes.size() != before || m_rows.size() != rowsBefore)
@@ -291,11 +296,11 @@
 
 void SuspectRequests::rebuildIndex()
 {
-    m_outlines.clear();
+    m_fingerprints.clear();
     for (const auto& [digest, row] : m_rows)
-        m_outlines.insert (row.reported.request.outline);
-    for (const OwnCrash& end : m_ownCrashes)
-        m_outlines.insert (end.request.outline);
+        m_fingerprints.insert (row.reported.request.fingerprint);
+    for (const OwnCrash& crash : m_ownCrashes)
+        m_fingerprints.insert (crash.request.fingerprint);
 }
 
 }  // namespace fernlift::quarantine
--- a/src/quarantine/SuspectRequests.h
+++ b/src/quarantine/SuspectRequests.h
@@ -22,15 +22,15 @@
 #include "base/Time.h"
 #include "cell/QuarantineMessages.h"
 #include "cell/QuarantineTable.h"
-#include "quarantine/RunnerFate.h"
+#include "quarantine/RunnerProbeResult.h"
 
 namespace fernlift::quarantine
 {
 
 /** Suspect status of one request. */
-struct Standing
+struct SuspectStatus
 {
-    std::uint32_t ends = 0;  ///< Consecutive crashes of runners that ran the request.
+    std::uint32_t crashes = 0;  ///< Consecutive crashes of runners that ran the request.
     /** Time of the latest interrupted answer whose cause is not confirmed yet, or not reported to
        the other routers yet. Callers wait briefly before they send the request or a copy of it.
     */
@@ -38,12 +38,12 @@
     /** When the isolation runner, to which all copies of the request go, was found gone while one
         more crash would quarantine the request. Another router may have observed that crash.
     */
-    std::optional<base::TimePoint> trialGoneSince;
+    std::optional<base::TimePoint> isolationRunnerGoneSince;
     std::vector<std::string> instances;  ///< Instances that crashed while they ran the request.
 
     [[nodiscard]] bool isUndecided() const { return undecidedSince.has_value(); }
-    [[nodiscard]] bool isSuspect() const { return ends > 0; }
-    [[nodiscard]] bool isInQuarantine() const { return ends >= cell::kEndsBeforeQuarantine; }
+    [[nodiscard]] bool isSuspect() const { return crashes > 0; }
+    [[nodiscard]] bool isInQuarantine() const { return crashes >= cell::kCrashesBeforeQuarantine; }
 };
 
 /** Pure: time is passed in. Not thread-safe; owned by one ProxyProcess. */
@@ -54,30 +54,30 @@
     static constexpr std::size_t kMaxOwnCrashes = 1024;
 
     /** True in the usual case that there are no suspects: requests then need no identity. */
-    [[nodiscard]] bool isEmpty() const { return m_outlines.empty(); }
+    [[nodiscard]] bool isEmpty() const { return m_fingerprints.empty(); }
     /** Whether a request with this fingerprint may be recorded. False positives are possible. */
-    [[nodiscard]] bool mayKnow (std::uint64_t outline) const
+    [[nodiscard]] bool mayContain (std::uint64_t fingerprint) const
     {
-        return m_outlines.contains (outline);
+        return m_fingerprints.contains (fingerprint);
     }
-    [[nodiscard]] Standing standingOf (const cell::RequestIdentity& request) const;
+    [[nodiscard]] SuspectStatus suspectStatusOf (const cell::RequestIdentity& request) const;
 
     /** The answer of a runner was interrupted. */
-    void onBrokenOff (const cell::RequestIdentity& request, const std::string& instance,
-                      base::TimePoint sentAt, base::TimePoint now);
+    void onAnswerInterrupted (const cell::RequestIdentity& request, const std::string& instance,
+                              base::TimePoint sentAt, base::TimePoint now);
     /** Applies the result of probing a runner after an interrupted answer. Returns whether the
         result confirmed a crash.
     */
-    bool onFate (const std::string& instance, RunnerFate fate);
+    bool onProbeResult (const std::string& instance, RunnerProbeResult probeResult);
     /** The runner is no longer registered and had not announced that it would leave. */
     void onReplaced (const std::string& instance);
     /** The isolation runner, to which all copies of the request go, cannot be reached. */
-    void onTrialUnreachable (const cell::RequestIdentity& request, std::string instance,
-                             base::TimePoint now);
+    void onIsolationRunnerUnreachable (const cell::RequestIdentity& request, std::string instance,
+                                       base::TimePoint now);
     /** Records crashes that other routers reported and that the log has not committed yet. */
-    void onTold (const cell::SuspectReport& report, base::TimePoint now);
+    void onForwardedReport (const cell::SuspectReport& report, base::TimePoint now);
     /** A runner has answered the request completely, which clears it. */
-    void onWholeAnswer (const cell::RequestIdentity& request);
+    void onCompleteAnswer (const cell::RequestIdentity& request);
 
     /** Applies an update of the table, unless it is older than the version held. */
     void apply (const cell::SuspectUpdate& update, base::TimePoint now);
@@ -106,7 +106,7 @@
         cell::RequestIdentity request;
         std::string instance;
         base::TimePoint sentAt{};
-        base::TimePoint endedAt{};
+        base::TimePoint crashedAt{};
         Proof proof = Proof::kProbing;
         base::TimePoint reportedAt{};  ///< Last report to the controllers; zero before the first.
         /** True if another router observed the crash; that router reports it. */
@@ -141,7 +141,7 @@
     std::vector<OwnCrash> m_ownCrashes;           ///< Oldest first.
     std::map<std::string, Clearance> m_clearances;
     std::map<std::string, GoneIsolationRunner> m_goneIsolationRunners;  ///< By digest.
-    std::unordered_set<std::uint64_t> m_outlines;  ///< Fingerprints in m_rows and m_ownCrashes.
+    std::unordered_set<std::uint64_t> m_fingerprints;  ///< Fingerprints in m_rows and m_ownCrashes.
     std::uint64_t m_evicted = 0;
 };
 
--- a/src/quota/UnassistedShare.cpp
+++ b/src/quota/FallbackShare.cpp
@@ -1,4 +1,4 @@
-#include "quota/UnassistedShare.h"
+#include "quota/FallbackShare.h"
 
 #include <algorithm>
 #include <chrono>
@@ -14,13 +14,13 @@
 
 }  // namespace
 
-void UnassistedShare::onAssisted (base::TimePoint now)
+void FallbackShare::onControllerAnswer (base::TimePoint now)
 {
-    m_assistedAt = std::max (m_assistedAt, now);
+    m_lastControllerAnswerAt = std::max (m_lastControllerAnswerAt, now);
 }
 
-bool UnassistedShare::admits (const config::Tenant& tenant, std::uint64_t units,
-                              base::TimePoint now, base::Random& random)
+bool FallbackShare::admits (const config::Tenant& tenant, std::uint64_t units, base::TimePoint now,
+                            base::Random& random)
 {
     if (m_routers == 0)
         return false;
@@ -28,8 +28,9 @@
     const double rate = kPart * tenant.quota.ratePerSecond / m_routers;
     Part& part = m_parts[tenant.name];
     const bool isNew = part.filledAt == base::TimePoint{};
-    const std::chrono::duration<double> unassisted = now - std::max (part.filledAt, m_assistedAt);
-    part.level = isNew ? capacity : std::min (part.level + rate * unassisted.count(), capacity);
+    const std::chrono::duration<double> refillTime =
+        now - std::max (part.filledAt, m_lastControllerAnswerAt);
+    part.level = isNew ? capacity : std::min (part.level + rate * refillTime.count(), capacity);
     part.filledAt = now;
     const auto wanted = static_cast<double> (units);
     if (part.level >= wanted)
--- a/src/quota/UnassistedShare.h
+++ b/src/quota/FallbackShare.h
@@ -22,10 +22,10 @@
 {
 
 /** Pure: time and randomness are passed in. Not thread-safe; owned by one router. */
-class UnassistedShare
+class FallbackShare
 {
 public:
-    explicit UnassistedShare (const QuotaTolerance& tolerance) : m_tolerance (tolerance) {}
+    explicit FallbackShare (const QuotaTolerance& tolerance) : m_tolerance (tolerance) {}
 
     /** Sets the number of routers of the cell. While it is 0 (unknown), nothing is admitted. */
     void setRouters (std::uint32_t routers) { m_routers = routers; }
@@ -35,7 +35,7 @@
        are late: in a cell with nine controllers and one in twenty messages late, a window held up
        to 1.15 of the bound in 100 of 100 seeds.
     */
-    void onAssisted (base::TimePoint now);
+    void onControllerAnswer (base::TimePoint now);
     /** Whether a request of so many units is admitted. */
     [[nodiscard]] bool admits (const config::Tenant& tenant, std::uint64_t units,
                                base::TimePoint now, base::Random& random);
@@ -49,7 +49,7 @@
 
     QuotaTolerance m_tolerance;
     std::uint32_t m_routers = 0;
-    base::TimePoint m_assistedAt{};
+    base::TimePoint m_lastControllerAnswerAt{};
     std::map<std::string, Part> m_parts;
 };
 
--- a/src/quota/UnassistedShareTest.cpp
+++ b/src/quota/FallbackShareTest.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "quota/UnassistedShare.h"
+#include "quota/FallbackShare.h"
 
 namespace fernlift::quota
 {
@@ -24,15 +24,15 @@
     return tolerance;
 }
 
-TEST (UnassistedShareTest, NothingIsAdmittedBeforeTheNumberOfRoutersIsKnown)
+TEST (FallbackShareTest, NothingIsAdmittedBeforeTheNumberOfRoutersIsKnown)
 {
-    UnassistedShare share (tolerance());
+    FallbackShare share (tolerance());
     base::Random random (1);
     EXPECT_FALSE (share.admits (tenant(), 1, kStart, random));
 }
 
 /// Controllers that do not lead continue to grant the other half.
-TEST (UnassistedShareTest, AllRoutersTogetherStayWithinHalfOfTheLimit)
+TEST (FallbackShareTest, AllRoutersTogetherStayWithinHalfOfTheLimit)
 {
     constexpr int kRouters = 80;
     constexpr std::uint64_t kUnits = 9000;
@@ -40,7 +40,7 @@
     double admitted = 0;
     for (int router = 0; router < kRouters; ++router)
     {
-        UnassistedShare share (tolerance());
+        FallbackShare share (tolerance());
         share.setRouters (kRouters);
         // The routers request four times the limit for one window.
         for (int i = 0; i < 28; ++i)
@@ -56,21 +56,21 @@
     EXPECT_GE (admitted, kMinUse * quota.ratePerSecond * 8 / 2);
 }
 
-TEST (UnassistedShareTest, NothingGrowsWhileAControllerGrants)
+TEST (FallbackShareTest, NothingGrowsWhileAControllerGrants)
 {
-    UnassistedShare share (tolerance());
+    FallbackShare share (tolerance());
     share.setRouters (1);
     base::Random random (1);
     // The first draw spends the whole initial share.
     [[maybe_unused]] const bool first = share.admits (tenant(), 1'000'000'000, kStart, random);
-    share.onAssisted (kStart + base::seconds (5));
+    share.onControllerAnswer (kStart + base::seconds (5));
     EXPECT_FALSE (share.admits (tenant(), 9000, kStart + base::seconds (5), random));
     EXPECT_TRUE (share.admits (tenant(), 9000, kStart + base::seconds (6), random));
 }
 
-TEST (UnassistedShareTest, SmallRequestsPassWithoutADraw)
+TEST (FallbackShareTest, SmallRequestsPassWithoutADraw)
 {
-    UnassistedShare share (tolerance());
+    FallbackShare share (tolerance());
     share.setRouters (80);
     base::Random random (1);
     EXPECT_TRUE (share.admits (tenant(), 200, kStart, random));
--- a/src/quota/QuotaPool.cpp
+++ b/src/quota/QuotaPool.cpp
@@ -71,7 +71,7 @@
     }
     if (! isPending)
     {
-        claim.askedAt = now;
+        claim.requestedAt = now;
         enqueue (account, claim);
         claim.sequence = m_nextSequence;
         return QuotaAnswer::kPending;
--- a/src/quota/QuotaPool.h
+++ b/src/quota/QuotaPool.h
@@ -28,7 +28,7 @@
     std::string account;  ///< Tenant, or other owner of a limit.
     std::uint64_t units = 0;
     std::uint64_t sequence = 0;  ///< Request whose answer resolves the claim; 0: not requested.
-    base::TimePoint askedAt{};
+    base::TimePoint requestedAt{};
     base::TimePoint until{};  ///< Expiry of the granted units.
 };
 
--- a/src/router/RouterAdmission.cpp
+++ b/src/router/RouterAdmission.cpp
@@ -136,7 +136,7 @@
 void RouterCore::Implementation::requeue (RouterRequest& request)
 {
     request.state = RequestState::kQueued;
-    m_queues.pushAgain (request.head.target, request.urgency, queueEntry (request));
+    m_queues.requeue (request.head.target, request.urgency, queueEntry (request));
     setTimer (request);
     m_mustServe = true;
 }
--- a/src/router/RouterCore.cpp
+++ b/src/router/RouterCore.cpp
@@ -60,7 +60,7 @@
         m_configuration.version(), m_configuration.digest(), m_table.term(), m_table.version() });
     for (const auto& [runner, incarnation] : m_table.leaving())
     {
-        sendToController (cell::RunnerLeavingSeen{ runner, incarnation });
+        sendToController (cell::RunnerLeavingReport{ runner, incarnation });
     }
     settle();
 }
@@ -288,7 +288,10 @@
 {
     return m_implementation->onRequest (head);
 }
-void RouterCore::onCallerGone (RequestTicket ticket) { m_implementation->onCallerGone (ticket); }
+void RouterCore::onCallerDisconnected (RequestTicket ticket)
+{
+    m_implementation->onCallerDisconnected (ticket);
+}
 void RouterCore::onAttemptEvent (AttemptId attempt, const AttemptEvent& event)
 {
     m_implementation->onAttemptEvent (attempt, event);
--- a/src/router/RouterCore.h
+++ b/src/router/RouterCore.h
@@ -190,13 +190,13 @@
                             AnswerHeaders, AnswerData, AnswerEnd, AnswerError>;
 
 /// Counters for /metrics and for the leak check:
-/// admitted = answered + refused + callersGone + open.
+/// admitted = answered + refused + callersDisconnected + open.
 struct RouterCounters
 {
     std::uint64_t admitted = 0;
     std::uint64_t answered = 0;
     std::uint64_t refused = 0;
-    std::uint64_t callersGone = 0;
+    std::uint64_t callersDisconnected = 0;
     std::uint64_t open = 0;
     std::uint64_t attempts = 0;
     std::uint64_t retries = 0;
@@ -223,9 +223,9 @@
     void onControllerMessage (const cell::ControllerToRouter& message);
 
     /// A complete request arrived. It ends with exactly one AnswerEnd or AnswerError, unless
-    /// onCallerGone() is called first.
+    /// onCallerDisconnected() is called first.
     RequestTicket onRequest (const RequestHead& head);
-    void onCallerGone (RequestTicket ticket);
+    void onCallerDisconnected (RequestTicket ticket);
     /// The caller has stopped (or resumed) reading its answer, and with it the adapter the answers
     /// of the attempts. Attempts do not time out while paused.
     void onCallerPaused (RequestTicket ticket, bool isPaused);
--- a/src/router/RouterCoreImplementation.h
+++ b/src/router/RouterCoreImplementation.h
@@ -42,7 +42,7 @@
     void onControllerLost();
     void onControllerMessage (const cell::ControllerToRouter& message);
     RequestTicket onRequest (const RequestHead& head);
-    void onCallerGone (RequestTicket ticket);
+    void onCallerDisconnected (RequestTicket ticket);
     void onCallerPaused (RequestTicket ticket, bool isPaused);
     void onAttemptEvent (AttemptId attempt, const AttemptEvent& event);
     std::uint64_t onCacheEvents (const base::RunnerId& runner, base::Incarnation incarnation,
--- a/src/router/RouterDispatch.cpp
+++ b/src/router/RouterDispatch.cpp
@@ -374,7 +374,7 @@
     // Without a connection, onControllerConnected() reports it later.
     if (! m_session.isConnected())
         return;
-    sendToController (cell::RunnerLeavingSeen{ replica.runner, replica.incarnation });
+    sendToController (cell::RunnerLeavingReport{ replica.runner, replica.incarnation });
 }
 
 void RouterCore::Implementation::dropAttempt (RouterRequest& request, AttemptId id, bool cancel)
@@ -415,16 +415,16 @@
         forget (request);
         return;
     }
-    dispatch::RetryQuestion question;
-    question.failure = failure;
-    question.isRepeatable =
+    dispatch::RetryContext context;
+    context.failure = failure;
+    context.isRepeatable =
         request.isRepeatable || m_options.plantedFault == PlantedFault::kRetrySentUnrepeatable;
-    question.hasReachedCaller = request.hasReachedCaller;
-    question.canResume = request.isTokenStream() && request.answerStatus == kOk;
-    question.attemptsMade = request.attemptsMade;
-    question.maximumAttempts = m_options.maximumAttempts;
+    context.hasReachedCaller = request.hasReachedCaller;
+    context.canResume = request.isTokenStream() && request.answerStatus == kOk;
+    context.attemptsMade = request.attemptsMade;
+    context.maximumAttempts = m_options.maximumAttempts;
     const bool isTooLate = ! request.hasReachedCaller && m_now >= request.deadline;
-    const auto decision = dispatch::decideRetry (question);
+    const auto decision = dispatch::decideRetry (context);
     if (decision == dispatch::RetryDecision::kFail || isTooLate)
     {
         failAfterAttempt (request, failure, retryAfter);
--- a/src/router/RouterEnds.cpp
+++ b/src/router/RouterEnds.cpp
@@ -89,13 +89,13 @@
     setTimer (request);
 }
 
-void RouterCore::Implementation::onCallerGone (RequestTicket ticket)
+void RouterCore::Implementation::onCallerDisconnected (RequestTicket ticket)
 {
     const auto entry = m_requests.find (ticket);
     if (entry == m_requests.end() || entry->second.isDetached)
         return;
     RouterRequest& request = entry->second;
-    m_counters.callersGone += 1;
+    m_counters.callersDisconnected += 1;
     trace (request, "caller left");
     if (! request.isRepeatable && request.state == RequestState::kDispatched)
     {
--- a/src/router/RouterMetrics.cpp
+++ b/src/router/RouterMetrics.cpp
@@ -26,7 +26,8 @@
     appendMetric (text, "fernlift_router_requests_admitted_total", "counter", current.admitted);
     appendMetric (text, "fernlift_router_requests_answered_total", "counter", current.answered);
     appendMetric (text, "fernlift_router_requests_refused_total", "counter", current.refused);
-    appendMetric (text, "fernlift_router_callers_gone_total", "counter", current.callersGone);
+    appendMetric (text, "fernlift_router_callers_gone_total", "counter",
+                  current.callersDisconnected);
     appendMetric (text, "fernlift_router_requests_open", "gauge", current.open);
     appendMetric (text, "fernlift_router_requests_waiting", "gauge", m_queues.size());
     appendMetric (text, "fernlift_router_waiting_bytes", "gauge", m_queues.bytes());
--- a/src/router/RouterModelChecksTest.cpp
+++ b/src/router/RouterModelChecksTest.cpp
@@ -100,9 +100,10 @@
 void RouterModel::checkAll() const
 {
     const RouterCounters counters = m_core.counters();
-    require (counters.admitted
-                 == counters.answered + counters.refused + counters.callersGone + counters.open,
-             "every request is counted once");
+    require (
+        counters.admitted
+            == counters.answered + counters.refused + counters.callersDisconnected + counters.open,
+        "every request is counted once");
     std::uint64_t open = 0;
     for (const auto& [ticket, request] : m_requests)
     {
--- a/src/router/RouterModelInputsTest.cpp
+++ b/src/router/RouterModelInputsTest.cpp
@@ -118,7 +118,7 @@
     auto& [ticket, request] = *std::next (m_requests.begin(), static_cast<std::ptrdiff_t> (chosen));
     if (request.isOpen())
         request.isGone = true;
-    m_core.onCallerGone (ticket);
+    m_core.onCallerDisconnected (ticket);
     takeEffects();
 }
 
--- a/src/router/RouterProcess.cpp
+++ b/src/router/RouterProcess.cpp
@@ -54,7 +54,7 @@
       m_callers (
           static_cast<std::size_t> (m_settings.callerBufferBytes), m_clock, m_metrics,
           { [this] (RequestTicket ticket)
-            { feed ([&] (RouterCore& core) { core.onCallerGone (ticket); }); },
+            { feed ([&] (RouterCore& core) { core.onCallerDisconnected (ticket); }); },
             [this] (RequestTicket ticket, bool isPaused) { setCallerPaused (ticket, isPaused); } }),
       m_cacheEvents (m_client,
                      [this] (const base::RunnerId& runner, base::Incarnation incarnation,
--- a/src/router/RouterProcessTestSupport.h
+++ b/src/router/RouterProcessTestSupport.h
@@ -55,7 +55,7 @@
     }
 
     std::vector<cell::OutcomeRecord> outcomes;
-    std::vector<cell::RunnerLeavingSeen> leavingSeen;
+    std::vector<cell::RunnerLeavingReport> leavingSeen;
 
 private:
     void accept()
@@ -106,13 +106,13 @@
     void handle (const cell::EngineDemandReport& /*report*/) {}
     void handle (const cell::MemberJoinRequest& /*request*/) {}
     void handle (const cell::InstanceUnreachable& /*report*/) {}
-    void handle (const cell::InstanceSightings& /*sightings*/) {}
+    void handle (const cell::RelayedHeartbeats& /*sightings*/) {}
     void handle (const cell::QuotaRequest& /*request*/) {}
     void handle (const cell::SuspectReport& /*report*/) {}
     void handle (const cell::InstanceLoadReport& /*report*/) {}
     void handle (const cell::InstanceRateReport& /*report*/) {}
     void handle (const cell::InstancePermitRequest& /*request*/) {}
-    void handle (const cell::RunnerLeavingSeen& seen) { leavingSeen.push_back (seen); }
+    void handle (const cell::RunnerLeavingReport& seen) { leavingSeen.push_back (seen); }
 
     std::vector<cell::RoutableReplica> m_replicas;
     QTcpServer m_server;
--- a/src/router/RouterRetryTest.cpp
+++ b/src/router/RouterRetryTest.cpp
@@ -283,7 +283,7 @@
     router.disconnectCaller (first);
     EXPECT_TRUE (router.isCancelled (router.starts[0].attempt));
     EXPECT_EQ (router.attemptsOf (second).size(), 1U);
-    EXPECT_EQ (router.core().counters().callersGone, 1U);
+    EXPECT_EQ (router.core().counters().callersDisconnected, 1U);
     EXPECT_TRUE (router.isLeakFree());
 }
 
--- a/src/router/RouterTestHarness.h
+++ b/src/router/RouterTestHarness.h
@@ -212,7 +212,7 @@
     }
     void disconnectCaller (RequestTicket ticket)
     {
-        m_core.onCallerGone (ticket);
+        m_core.onCallerDisconnected (ticket);
         collect();
     }
     void event (AttemptId attempt, const AttemptEvent& event)
@@ -247,7 +247,8 @@
     {
         const RouterCounters counters = m_core.counters();
         return counters.admitted
-               == counters.answered + counters.refused + counters.callersGone + counters.open;
+               == counters.answered + counters.refused + counters.callersDisconnected
+                      + counters.open;
     }
 
     bool grantsLeases = true;
@@ -261,7 +262,7 @@
     std::vector<cell::ClaimRequest> claimRequests;
     std::vector<cell::OutcomeRecord> outcomes;
     std::vector<cell::DemandReport> demands;
-    std::vector<cell::RunnerLeavingSeen> leavingSeen;
+    std::vector<cell::RunnerLeavingReport> leavingSeen;
 
     /// Collects the effects of the core by kind.
     void collect()
@@ -296,7 +297,7 @@
     void takeMessage (const cell::EngineDemandReport& /*report*/) {}
     void takeMessage (const cell::MemberJoinRequest& /*request*/) {}
     void takeMessage (const cell::InstanceUnreachable& /*report*/) {}
-    void takeMessage (const cell::InstanceSightings& /*sightings*/) {}
+    void takeMessage (const cell::RelayedHeartbeats& /*sightings*/) {}
     void takeMessage (const cell::QuotaRequest& /*request*/) {}
     void takeMessage (const cell::SuspectReport& /*report*/) {}
     void takeMessage (const cell::InstanceLoadReport& /*report*/) {}
@@ -309,7 +310,7 @@
     {
         outcomes.insert (outcomes.end(), report.outcomes.begin(), report.outcomes.end());
     }
-    void takeMessage (const cell::RunnerLeavingSeen& seen) { leavingSeen.push_back (seen); }
+    void takeMessage (const cell::RunnerLeavingReport& seen) { leavingSeen.push_back (seen); }
 
     base::TimePoint m_now{ base::seconds (1000) };
     std::uint64_t m_tableVersion = 0;
--- a/src/sim/Callers.cpp
+++ b/src/sim/Callers.cpp
@@ -125,7 +125,8 @@
                          {
                              if (request->isOver())
                                  return;
-                             node->postTo (life, [node, request] { node->onCallerGone (request); });
+                             node->postTo (
+                                 life, [node, request] { node->onCallerDisconnected (request); });
                          });
 }
 
@@ -265,7 +266,8 @@
         if (! router->isAlive() || router->isFrozen())
             continue;
         const router::RouterCounters counters = router->core()->counters();
-        const std::uint64_t ended = counters.answered + counters.refused + counters.callersGone;
+        const std::uint64_t ended =
+            counters.answered + counters.refused + counters.callersDisconnected;
         if (counters.open != 0 || counters.admitted != ended || ! router->core()->isIdle())
         {
             m_world.violations.add ("nothing is left in any queue",
--- a/src/sim/ControllerNode.cpp
+++ b/src/sim/ControllerNode.cpp
@@ -193,7 +193,7 @@
 {
     const controller::RouterConnection number = ++m_lastConnection;
     connection->onEnded (Side::kAcceptor, [this, number, life = life()]
-                         { postTo (life, [this, number] { onRouterGone (number); }); });
+                         { postTo (life, [this, number] { onRouterDisconnected (number); }); });
     m_routers[number] = { &router, std::move (connection) };
     return number;
 }
@@ -206,11 +206,11 @@
     feed ([&] (controller::ControllerCore& core) { core.onRouterMessage (connection, message); });
 }
 
-void ControllerNode::onRouterGone (controller::RouterConnection connection)
+void ControllerNode::onRouterDisconnected (controller::RouterConnection connection)
 {
     if (m_routers.erase (connection) == 0)
         return;
-    feed ([&] (controller::ControllerCore& core) { core.onRouterGone (connection); });
+    feed ([&] (controller::ControllerCore& core) { core.onRouterDisconnected (connection); });
 }
 
 void ControllerNode::admin (const controller::AdminRequest& request,
--- a/src/sim/ControllerNode.h
+++ b/src/sim/ControllerNode.h
@@ -39,7 +39,7 @@
     controller::RouterConnection accept (RouterNode& router, ConnectionPointer connection);
     void onRouterMessage (controller::RouterConnection connection,
                           const cell::RouterToController& message);
-    void onRouterGone (controller::RouterConnection connection);
+    void onRouterDisconnected (controller::RouterConnection connection);
 
     /// Handles an operator's request; `onAnswer` runs here.
     void admin (const controller::AdminRequest& request,
@@ -81,7 +81,7 @@
     void apply (const controller::ConnectToLeader& /*connect*/) {}
     void apply (const controller::SendToLeader& /*send*/) {}
     void apply (const placement::EngineOrderDone& /*done*/) {}
-    void apply (const controller::ConfigurationNews& /*news*/) {}
+    void apply (const controller::ConfigurationEvent& /*news*/) {}
     void apply (const controller::RequestQuarantined& /*quarantined*/) {}
     void apply (const controller::RunnerMessageUnusable& /*unusable*/) {}
     void apply (const placement::SendEngineOrder& /*effect*/) {}
--- a/src/sim/RouterNode.cpp
+++ b/src/sim/RouterNode.cpp
@@ -42,7 +42,7 @@
     sum.admitted += counters.admitted;
     sum.answered += counters.answered;
     sum.refused += counters.refused;
-    sum.callersGone += counters.callersGone;
+    sum.callersDisconnected += counters.callersDisconnected;
     sum.open += counters.open;
     sum.attempts += counters.attempts;
     sum.retries += counters.retries;
@@ -178,7 +178,7 @@
     feed ([] (router::RouterCore&) {});
 }
 
-void RouterNode::onCallerGone (const CallerRequestPointer& request)
+void RouterNode::onCallerDisconnected (const CallerRequestPointer& request)
 {
     for (const auto& [ticket, open] : m_requests)
     {
@@ -187,7 +187,7 @@
         request->hasCallerLeft = true;
         const router::RequestTicket gone = ticket;
         endAnswer (gone);
-        feed ([gone] (router::RouterCore& core) { core.onCallerGone (gone); });
+        feed ([gone] (router::RouterCore& core) { core.onCallerDisconnected (gone); });
         return;
     }
 }
--- a/src/sim/RouterNode.h
+++ b/src/sim/RouterNode.h
@@ -27,7 +27,7 @@
 
     /// A caller's whole request has arrived.
     void onRequest (const CallerRequestPointer& request);
-    void onCallerGone (const CallerRequestPointer& request);
+    void onCallerDisconnected (const CallerRequestPointer& request);
     void onControllerMessage (const ConnectionPointer& connection,
                               const cell::ControllerToRouter& message);
     void onAttemptEvent (router::AttemptId attempt, const router::AttemptEvent& event);
--- a/src/sim/SimulatedDisk.cpp
+++ b/src/sim/SimulatedDisk.cpp
@@ -3,7 +3,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "consensus/Durable.h"
+#include "consensus/ConsensusCodec.h"
 #include "storage/Record.h"
 #include "wire/Codec.h"
 
@@ -13,7 +13,7 @@
 {
 
 using storage::RecordKind;
-using storage::RecordVerdict;
+using storage::RecordStatus;
 
 constexpr consensus::Term kBootstrapTerm = 1;
 
@@ -123,14 +123,14 @@
     while (true)
     {
         const storage::ReadRecord record = storage::readRecord (m_segment, offset);
-        if (record.verdict == RecordVerdict::kEnd)
+        if (record.status == RecordStatus::kEnd)
             break;
-        if (record.verdict == RecordVerdict::kTorn)
+        if (record.status == RecordStatus::kTorn)
         {
             m_segment.resize (offset);
             break;
         }
-        if (record.verdict != RecordVerdict::kWhole)
+        if (record.status != RecordStatus::kComplete)
             throw std::logic_error ("disk: damaged record");
         offset = record.nextOffset;
         must<bool> ("recovery",
--- a/src/storage/FileStorageRecovery.cpp
+++ b/src/storage/FileStorageRecovery.cpp
@@ -32,11 +32,11 @@
                                               RecordKind kind)
 {
     const ReadRecord record = readRecord (bytes, 0);
-    if (record.verdict == RecordVerdict::kFormatUnknown)
+    if (record.status == RecordStatus::kFormatUnknown)
     {
         return formatUnknown (path, record.formatVersion);
     }
-    if (record.verdict != RecordVerdict::kWhole || record.kind != kind)
+    if (record.status != RecordStatus::kComplete || record.kind != kind)
     {
         return corrupt (path, "its first record is damaged or of the wrong type");
     }
@@ -102,7 +102,7 @@
     BOOST_LEAF_AUTO (bytes, m_files.readFile (pathOf (first)));
     const ReadRecord header = readRecord (bytes, 0);
     const bool hasRecords =
-        header.verdict == RecordVerdict::kWhole && header.nextOffset < bytes.size();
+        header.status == RecordStatus::kComplete && header.nextOffset < bytes.size();
     if (hasRecords)
         return corrupt (m_folder, "it holds a log but no identity");
     return {};
@@ -184,15 +184,15 @@
     {
         const ReadRecord record = readRecord (bytes, m_segmentSize);
         const std::string place = " at offset " + std::to_string (m_segmentSize);
-        if (record.verdict == RecordVerdict::kEnd)
+        if (record.status == RecordStatus::kEnd)
             return std::uint64_t{ 0 };
-        if (record.verdict == RecordVerdict::kFormatUnknown)
+        if (record.status == RecordStatus::kFormatUnknown)
         {
             return formatUnknown (path, record.formatVersion);
         }
-        if (record.verdict == RecordVerdict::kTorn && isLast)
+        if (record.status == RecordStatus::kTorn && isLast)
             return bytes.size() - m_segmentSize;
-        if (record.verdict != RecordVerdict::kWhole || record.kind != RecordKind::kBatches)
+        if (record.status != RecordStatus::kComplete || record.kind != RecordKind::kBatches)
         {
             return corrupt (path, "damaged record" + place);
         }
--- a/src/storage/Record.cpp
+++ b/src/storage/Record.cpp
@@ -124,7 +124,7 @@
     const auto header = readHeader (bytes, offset);
     if (header && header->formatVersion != kFormatVersion)
     {
-        record.verdict = RecordVerdict::kFormatUnknown;
+        record.status = RecordStatus::kFormatUnknown;
         record.formatVersion = header->formatVersion;
         return record;
     }
@@ -133,10 +133,10 @@
     {
         const bool isTorn =
             isPartMissing (bytes, offset, header) && ! hasWholeRecordAfter (bytes, offset);
-        record.verdict = isTorn ? RecordVerdict::kTorn : RecordVerdict::kDamaged;
+        record.status = isTorn ? RecordStatus::kTorn : RecordStatus::kDamaged;
         return record;
     }
-    record.verdict = RecordVerdict::kWhole;
+    record.status = RecordStatus::kComplete;
     record.kind = static_cast<RecordKind> (header->kind);
     record.payload = *payload;
     record.nextOffset = offset + kRecordHeaderBytes + payload->size();
--- a/src/storage/Record.h
+++ b/src/storage/Record.h
@@ -31,21 +31,21 @@
 [[nodiscard]] std::string encodeRecord (RecordKind kind, std::string_view payload,
                                         std::uint32_t formatVersion = kFormatVersion);
 
-enum class RecordVerdict : std::uint8_t
+enum class RecordStatus : std::uint8_t
 {
-    kWhole,    ///< Complete, with valid checksums.
-    kEnd,      ///< No bytes are left.
-    kTorn,     ///< The last record, a part of which was never written.
-    kDamaged,  ///< Corrupted after it was complete: a valid record follows, or no part is missing.
+    kComplete,  ///< Complete, with valid checksums.
+    kEnd,       ///< No bytes are left.
+    kTorn,      ///< The last record, a part of which was never written.
+    kDamaged,   ///< Corrupted after it was complete: a valid record follows, or no part is missing.
     kFormatUnknown,  ///< A valid header of another format version.
 };
 
 struct ReadRecord
 {
-    RecordVerdict verdict = RecordVerdict::kEnd;
+    RecordStatus status = RecordStatus::kEnd;
     RecordKind kind = RecordKind::kBatches;
     std::string_view payload;
-    std::size_t nextOffset = 0;  ///< Offset after the record; set for kWhole only.
+    std::size_t nextOffset = 0;  ///< Offset after the record; set for kComplete only.
     std::uint32_t formatVersion = 0;
 };
 
--- a/src/wire/Frame.cpp
+++ b/src/wire/Frame.cpp
@@ -96,7 +96,7 @@
 std::string encodeFrame (Channel channel, std::string_view payload)
 {
     std::string compressed;
-    if (payload.size() >= base::kWorthCompressing)
+    if (payload.size() >= base::kCompressionThreshold)
         compressed = base::compress (payload);
     const bool isSmaller = ! compressed.empty() && compressed.size() < payload.size();
     if (isSmaller)
--- a/src/wire/FrameConnection.cpp
+++ b/src/wire/FrameConnection.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 #include <vector>
 
-#include "base/SilentPeers.h"
+#include "base/DeadPeerDetection.h"
 
 namespace fernlift::wire
 {
@@ -65,8 +65,8 @@
 void FrameConnection::configureSocket()
 {
     m_socket->setSocketOption (QAbstractSocket::LowDelayOption, 1);
-    base::endWhenSilent (static_cast<int> (m_socket->socketDescriptor()),
-                         m_options.unacknowledgedTimeout);
+    base::enableDeadPeerDetection (static_cast<int> (m_socket->socketDescriptor()),
+                                   m_options.unacknowledgedTimeout);
     if (m_options.idleTimeout > base::Duration::zero())
     {
         runLater (m_options.idleTimeout, &FrameConnection::closeWhenIdle);
