--- a/src/cell/ReleasedMessagesTestSupport.h
+++ b/src/cell/ReleasedMessagesTestSupport.h
@@ -55,8 +55,8 @@
     relayed.models.emplace_back();
     relayed.inMemory.emplace_back ("m1");
     relayed.first.emplace_back();
-    RunnerCrashReport end;
-    end.instance = "i-1@5";
+    RunnerCrashReport crash;
+    crash.instance = "i-1@5";
     const auto encode = [] (const RouterToController& message)
     { return wire::encodeMessage (message); };
     return {
@@ -71,7 +71,7 @@
         { "InstanceUnreachable", encode (InstanceUnreachable{ "i-1" }) },
         { "InstanceSightings", encode (RelayedHeartbeats{ { relayed } }) },
         { "QuotaRequest", encode (QuotaRequest{ 6, { { "farm", { 9000, 12 } } } }) },
-        { "SuspectReport", encode (SuspectReport{ { end }, { "digest" } }) },
+        { "SuspectReport", encode (SuspectReport{ { crash }, { "digest" } }) },
         { "InstanceLoadReport",
           encode (InstanceLoadReport{
               { { "i-1", 3, 900 } }, { { "i-1", "m1", 4, 50 } }, { { "i-1", 120, 8 } } }) },
--- a/src/controller/ControllerCore.h
+++ b/src/controller/ControllerCore.h
@@ -66,7 +66,7 @@
     /// Time without heartbeats after which routers are sent a registered runner as silent.
     base::Duration instanceSilence = base::milliseconds (3500);
     /// Clock that measures work limited to a share of the processor time. Without one, the work is
-    /// paced as if it took no time.
+    /// throttled as if it took no time.
     std::function<base::TimePoint()> workClock{};
     cell::PlantedFault plantedFault = cell::PlantedFault::kNone;  ///< Fault injected by tests.
 };
--- a/src/controller/ControllerInstances.cpp
+++ b/src/controller/ControllerInstances.cpp
@@ -331,9 +331,9 @@
             { instances.onReplicatedChange (drained.instance); },
             [&] (const cell::RemoveInstance& removed)
             { instances.onReplicatedChange (removed.instance); },
-            [&] (const cell::RecordHeldModels& noted)
+            [&] (const cell::RecordHeldModels& recorded)
             {
-                for (const cell::InstanceHeldModels& heldModels : noted.heldModels)
+                for (const cell::InstanceHeldModels& heldModels : recorded.heldModels)
                     instances.onReplicatedChange (heldModels.instance);
             },
             [] (const auto& /*other*/) {},
