--- a/src/config/CatalogueChecks.cpp
+++ b/src/config/CatalogueChecks.cpp
@@ -17,7 +17,7 @@
     return std::string (array) + "[" + std::to_string (index) + "]";
 }
 
-/// Names that must differ from each other, each with the key that gave it.
+/// A set of names that must be unique, each with the key that defined it.
 class NameRegister
 {
 public:
@@ -189,7 +189,7 @@
     ProblemList& m_problems;
     NameRegister m_zones;
     NameRegister m_classes;
-    /// Models, adapters and applications share one space of names.
+    /// Models, adapters and applications share one namespace.
     NameRegister m_targets;
     std::unordered_map<std::string, const Model*> m_models;
 };
--- a/src/config/CatalogueChecks.h
+++ b/src/config/CatalogueChecks.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Checks of a catalogue as a whole, after each of its values has been read.
+/// Consistency checks over a whole catalogue, run after each of its values has been read.
 
 #include "config/Catalogue.h"
 #include "config/TableReader.h"
@@ -8,9 +8,8 @@
 namespace fernlift::config
 {
 
-/// Reports dangling and duplicate names, replica bounds that contradict each other, memory that
-/// fits on no runner and shares that add up to too much. Empty names were reported before and are
-/// skipped.
+/// Reports dangling and duplicate names, contradictory replica bounds, memory that fits on no
+/// runner and reserved shares with too large a sum. Skips empty names: the reader reports those.
 void checkCatalogue (const Catalogue& catalogue, ProblemList& problems);
 
 }  // namespace fernlift::config
--- a/src/config/CataloguePageTest.cpp
+++ b/src/config/CataloguePageTest.cpp
@@ -15,10 +15,10 @@
 namespace
 {
 
-/// Keys by table; "" is the file itself.
+/// Keys by table; "" is the top level of the file.
 using Keys = std::map<std::string, std::set<std::string>>;
 
-/// The parser itself tells which keys a table may have when it meets one that it does not know.
+/// Gives the parser an unknown key in each table; its error messages list the allowed keys.
 Keys keysOfParser()
 {
     const std::string file =
@@ -40,7 +40,8 @@
     return keys;
 }
 
-/// The page has one section `## [[table]]` (or `## File`) each, with rows "| `key` | ...".
+/// Reads the keys from the page, which has a section `## [[table]]` for each table (`## File` for
+/// the top level) with rows "| `key` | ...".
 Keys keysOfPage()
 {
     const char* const folder = std::getenv ("FERNLIFT_SOURCE_DIR");
@@ -66,7 +67,7 @@
     return keys;
 }
 
-TEST (CataloguePageTest, NamesExactlyTheKeysOfTheParser)
+TEST (CataloguePageTest, ListsExactlyTheKeysOfTheParser)
 {
     const Keys parser = keysOfParser();
     EXPECT_EQ (parser.size(), 7U);
--- a/src/config/CatalogueParser.cpp
+++ b/src/config/CatalogueParser.cpp
@@ -122,7 +122,7 @@
     return items;
 }
 
-/// Reads the table [key] with `readOne` when it is there.
+/// Reads the table [key] with `readOne`; a missing table is read as an empty one.
 template <class ReadOne>
 auto readSection (TableReader& file, std::string_view key, ProblemList& problems, ReadOne readOne)
 {
--- a/src/config/CatalogueTest.cpp
+++ b/src/config/CatalogueTest.cpp
@@ -33,7 +33,7 @@
     return text;
 }
 
-/// A valid file; `addition` goes to its end.
+/// A valid file with `addition` appended.
 std::string fileWith (const std::string& addition)
 {
     return R"(cell = "c"
@@ -79,7 +79,7 @@
 {
 };
 
-TEST_P (CatalogueExampleTest, IsValidAndOfItsSize)
+TEST_P (CatalogueExampleTest, IsValidAndHasTheExpectedSize)
 {
     const ExampleSizes& sizes = GetParam();
     const CatalogueOutcome outcome = parseCatalogue (readExample (sizes.file));
@@ -125,7 +125,7 @@
     EXPECT_EQ (catalogue.findModel (base::ModelName ("absent")), nullptr);
 }
 
-TEST (CatalogueTest, NamesEachKindOfFaultWithItsPlace)
+TEST (CatalogueTest, ReportsEachKindOfErrorWithLineAndKey)
 {
     ASSERT_TRUE (parseCatalogue (fileWith ("")).catalogue);
     const int line = kLinesOfFile;
@@ -156,7 +156,7 @@
                 "weight_store.concurrent_loads", "found '6'");
 }
 
-TEST (CatalogueTest, AdapterNameMayNotBeAModelName)
+TEST (CatalogueTest, RejectsAdapterWithTheNameOfAModel)
 {
     expectOnly (
         fileWith ("[[adapter]]\nname = \"m\"\nbase = \"m\"\nmemory_mb = 1\nmax_replicas = 1\n"
@@ -164,7 +164,7 @@
         kLinesOfFile + 2, "adapter[0].name", "which model[0].name has already");
 }
 
-TEST (CatalogueTest, MemoryMustFitTheLargestRunner)
+TEST (CatalogueTest, RejectsMemoryAboveTheLargestRunner)
 {
     const std::string adapter =
         "[[adapter]]\nname = \"a\"\nbase = \"m\"\nmax_replicas = 1\nclass = \"urgent\"\nmemory_mb "
@@ -174,7 +174,7 @@
                 "found 1001 together with its base 'm'");
 }
 
-TEST (CatalogueTest, ReservedSharesAddUpToNineTenthsAtMost)
+TEST (CatalogueTest, ReservedSharesSumToAtMostNineTenths)
 {
     const std::string second =
         "[[class]]\nname = \"other\"\nurgency = 1\ndeadline_ms = 1\nreserved_slot_share = ";
@@ -184,7 +184,7 @@
     EXPECT_EQ (outcome.problems[0].key, "class");
 }
 
-TEST (CatalogueTest, ReportsAllFaultsAtOnceInOrderOfTheirLines)
+TEST (CatalogueTest, ReportsAllErrorsAtOnceSortedByLine)
 {
     const CatalogueOutcome outcome = parseCatalogue (
         "cell = \"-\"\nversion = 0\nzones = [\"z\", \"z\"]\nextra = 1\n[[model]]\nname = 4\n"
@@ -210,7 +210,7 @@
                                  { return left.line < right.line; }));
 }
 
-TEST (CatalogueTest, LimitsAreKept)
+TEST (CatalogueTest, EnforcesSizeLimits)
 {
     std::string models;
     for (std::size_t index = 0; index < kMaximumModels; ++index)
@@ -232,7 +232,7 @@
                1U);
 }
 
-TEST (CatalogueTest, ProblemsAreCutOffWithANote)
+TEST (CatalogueTest, TruncatesTheListOfProblems)
 {
     std::string unknown;
     for (std::size_t index = 0; index < 2 * kMaximumProblems; ++index)
@@ -243,13 +243,13 @@
     EXPECT_EQ (outcome.problems.size(), kMaximumProblems + 1);
 }
 
-TEST (CatalogueTest, BrokenTomlIsNamedWithItsLine)
+TEST (CatalogueTest, ReportsInvalidTomlWithItsLine)
 {
     expectOnly ("cell = \"c\"\nversion = \n", 2, "", "not valid TOML");
     expectOnly ("cell = \"\xff\"\n", 1, "", "not valid TOML");
 }
 
-TEST (CatalogueTest, ZonesAllowOnlyThoseNamedAndAnyWhenEmpty)
+TEST (CatalogueTest, AllowsListedZonesOnlyAndAnyZoneForAnEmptyList)
 {
     const base::ZoneName first{ "z1" };
     const base::ZoneName second{ "z2" };
@@ -260,7 +260,7 @@
     EXPECT_FALSE (allowsZone ({ first, second }, third));
 }
 
-/// Applies `count` random edits to a file: bytes changed, dropped or doubled, lines moved.
+/// Applies `count` random edits to a file: bytes replaced or inserted, ranges erased or duplicated.
 std::string mutate (std::string text, int count)
 {
     static const std::string kPieces = "[]{}=\"'#.\n-0129ezmtrue\\\xc3";
@@ -286,7 +286,7 @@
     return text;
 }
 
-RC_GTEST_PROP (CatalogueTest, MutatedFileParsesOrNamesAProblem, ())
+RC_GTEST_PROP (CatalogueTest, MutatedFileParsesOrReportsAProblem, ())
 {
     static const std::string kOriginal = readExample ("demo.toml");
     const std::string text = mutate (kOriginal, *rc::gen::inRange (1, 6));
--- a/src/config/CommandLine.cpp
+++ b/src/config/CommandLine.cpp
@@ -22,14 +22,14 @@
 
 using Setting = SettingsSchema::Setting;
 
-/// Names the settings file when the command line does not.
+/// Environment variable with the path of the settings file, used when the command line gives none.
 constexpr const char* kSettingsVariable = "FERNLIFT_CONFIG";
 constexpr int kHelpOption = 1;
 constexpr int kVersionOption = 2;
 constexpr int kCheckConfigOption = 3;
 constexpr int kSettingsOption = 4;
 constexpr int kReferenceOption = 5;
-/// The options of setting number `i` have the values kFirstSetting + 2 i and one more for `--no-`.
+/// Setting `i` has the option value kFirstSetting + 2 i, and its `--no-` form that value plus one.
 constexpr int kFirstSetting = 16;
 
 /// A value given by a flag.
@@ -39,7 +39,7 @@
     std::string text;
 };
 
-/// The command line before the settings file is read.
+/// Parsed command line, before the settings file is read.
 struct Arguments
 {
     bool wantsHelp = false;
@@ -75,7 +75,7 @@
     return text + "]";
 }
 
-/// The option table of popt. Owns the texts that the table points to.
+/// Option table for popt; owns the strings that the table points to.
 class OptionTable
 {
 public:
@@ -129,7 +129,7 @@
     std::vector<poptOption> m_options;
 };
 
-/// popt's context; freed at the end of the scope.
+/// Owning pointer to a popt context.
 using Context = std::unique_ptr<poptContext_s, poptContext (*) (poptContext)>;
 
 std::string takeOptionArgument (poptContext context)
@@ -205,7 +205,7 @@
     return arguments;
 }
 
-/// Fills the schema's variables and collects every fault.
+/// Assigns values to the schema's variables and collects all errors.
 class Assigner
 {
 public:
@@ -286,7 +286,7 @@
     std::fflush (stdout);
 }
 
-/// The section of one program in the reference page of settings.
+/// Prints the section of one program for the settings reference page.
 void printReference (const SettingsSchema& schema)
 {
     std::cout << "## " << schema.program() << "\n\n| key | value | default | meaning |\n"
--- a/src/config/ServiceCatalogue.cpp
+++ b/src/config/ServiceCatalogue.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-// Callers give up a stream after a pause of the longest of these.
+// Callers abandon a stream after a gap of the longest of these.
 constexpr base::Duration kShortestPatience = base::seconds (2);
-constexpr int kPatienceInTargets = 4;
-constexpr int kPatienceInGaps = 8;
+constexpr int kWaitLimitInTargets = 4;
+constexpr int kWaitLimitInGaps = 8;
 
 template <class Item>
 const Item* findNamed (const std::vector<Item>& items, std::string_view name)
@@ -32,7 +32,7 @@
                 m_problems.emplace_back ("a service has no name");
             if (! m_serviceNames.insert (service.name).second)
             {
-                m_problems.push_back ("service '" + service.name + "' stands twice");
+                m_problems.push_back ("service '" + service.name + "' is defined twice");
             }
         }
     }
@@ -97,7 +97,7 @@
 base::Duration Route::patience() const
 {
     return std::max<base::Duration> (
-        { kShortestPatience, targetLatency * kPatienceInTargets, gapTarget * kPatienceInGaps });
+        { kShortestPatience, targetLatency * kWaitLimitInTargets, gapTarget * kWaitLimitInGaps });
 }
 
 const EngineModel* EngineSpec::findModel (std::string_view name) const
--- a/src/config/ServiceCatalogueTest.cpp
+++ b/src/config/ServiceCatalogueTest.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-Route soundRoute (const std::string& name, const std::string& prefix)
+Route validRoute (const std::string& name, const std::string& prefix)
 {
     Route route;
     route.name = name;
@@ -18,27 +18,27 @@
     return route;
 }
 
-ServiceCatalogue soundCatalogue()
+ServiceCatalogue validCatalogue()
 {
     ServiceCatalogue catalogue;
     catalogue.services.push_back ({ "service", "/health", 10, std::nullopt });
-    catalogue.routes = { soundRoute ("one", "/one/"), soundRoute ("two", "/two/") };
+    catalogue.routes = { validRoute ("one", "/one/"), validRoute ("two", "/two/") };
     return catalogue;
 }
 
 std::size_t problemsWith (void (*change) (ServiceCatalogue&))
 {
-    ServiceCatalogue catalogue = soundCatalogue();
+    ServiceCatalogue catalogue = validCatalogue();
     change (catalogue);
     return findServiceProblems (catalogue).size();
 }
 
-TEST (ServiceCatalogueTest, ASoundCatalogueHasNoProblems)
+TEST (ServiceCatalogueTest, ValidCatalogueHasNoProblems)
 {
-    EXPECT_TRUE (findServiceProblems (soundCatalogue()).empty());
+    EXPECT_TRUE (findServiceProblems (validCatalogue()).empty());
 }
 
-TEST (ServiceCatalogueTest, EachFaultIsFound)
+TEST (ServiceCatalogueTest, ReportsEachProblem)
 {
     EXPECT_EQ (
         problemsWith ([] (auto& catalogue) { catalogue.routes[0].backends[0].service = "x"; }), 1U);
@@ -55,7 +55,7 @@
                1U);
 }
 
-TEST (ServiceCatalogueTest, AWeightOfZeroBesideAnotherIsSound)
+TEST (ServiceCatalogueTest, AcceptsAWeightOfZeroBesideAnother)
 {
     EXPECT_EQ (problemsWith (
                    [] (auto& catalogue) {
@@ -64,9 +64,9 @@
                0U);
 }
 
-TEST (ServiceCatalogueTest, OnlyRepeatableAndResumableRoutesMayRunAgain)
+TEST (ServiceCatalogueTest, OnlyRepeatableAndResumableRoutesAreRepeatable)
 {
-    Route route = soundRoute ("one", "/one/");
+    Route route = validRoute ("one", "/one/");
     EXPECT_FALSE (route.isRepeatable());
     route.kind = RouteKind::kRepeatable;
     EXPECT_TRUE (route.isRepeatable());
--- a/src/config/Settings.cpp
+++ b/src/config/Settings.cpp
@@ -19,7 +19,7 @@
     return "found '" + found + "', allowed: " + allowed;
 }
 
-/// Parses the whole of `text` as a number.
+/// Parses all of `text` as a number; nothing if any character is left over.
 template <class Number>
 std::optional<Number> parseNumber (const std::string& text)
 {
--- a/src/config/Settings.h
+++ b/src/config/Settings.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Settings of one program: each key can stand in the TOML settings file and as a flag.
+/// Settings of one program; each key can be given in the TOML settings file and as a flag.
 
 #include <cstdint>
 #include <functional>
@@ -16,7 +16,7 @@
 namespace fernlift::config
 {
 
-/// Form of a value in the settings file. Flags give every value as text.
+/// TOML type of a value in the settings file. Flags give every value as text.
 enum class ValueForm : std::uint8_t
 {
     kString,
@@ -27,7 +27,7 @@
 
 /// Declares the settings of a program and binds each to a variable that holds its default.
 /// The variables must outlive the schema. A key `http_address` is the flag `--http-address`.
-/// A list takes its flag several times; a boolean `verbose` is `--verbose` or `--no-verbose`.
+/// The flag of a list may be repeated; a boolean `verbose` is `--verbose` or `--no-verbose`.
 class SettingsSchema
 {
 public:
@@ -47,14 +47,14 @@
     SettingsSchema& addAddress (std::string key, base::SocketAddress* target, std::string help);
     SettingsSchema& addAddressList (std::string key, std::vector<base::SocketAddress>* target,
                                     std::string help);
-    /// One of `choices`.
+    /// Adds a setting whose value is one of `choices`.
     SettingsSchema& addChoice (std::string key, std::string* target,
                                std::vector<std::string> choices, std::string help);
-    /// Start fails unless the last added key is set by file or flag.
+    /// Makes the last added key required: parsing fails unless the file or a flag sets it.
     SettingsSchema& required();
-    /// A check over all settings together, run after parsing; returns a message for each clash.
+    /// Adds a check over all settings, run after parsing; it returns one message per problem.
     SettingsSchema& addCheck (std::function<std::vector<std::string>()> check);
-    /// Names of the positional arguments, for the usage line; for example "COMMAND [FILE]".
+    /// Sets the positional arguments as shown in the usage line, for example "COMMAND [FILE]".
     SettingsSchema& setPositionals (std::string usage);
 
     struct Setting;
@@ -78,7 +78,7 @@
     std::vector<std::function<std::vector<std::string>()>> m_checks;
 };
 
-/// One declared key.
+/// Declaration of one key.
 struct SettingsSchema::Setting
 {
     std::string key;
@@ -88,8 +88,8 @@
     bool isList = false;
     ValueForm form = ValueForm::kString;
     std::string defaultText;
-    /// Takes one value as text (each value in turn for a list); on failure a
-    /// message that says what was found and what is allowed.
+    /// Assigns one value given as text (for a list, called once per value). On failure returns a
+    /// message with the value found and the values allowed.
     std::function<std::optional<std::string> (const std::string& text)> assign;
     std::function<void()> clear;  ///< Empties a list before a later source replaces it.
 };
@@ -101,27 +101,27 @@
     base::SocketAddress address;
 };
 
-/// Messages for each pair of addresses that one machine cannot listen on together. Port 0 (any free
-/// port) clashes with nothing; 0.0.0.0 clashes with every host.
+/// Returns a message for each pair of addresses that one machine cannot listen on at the same time.
+/// Port 0 (any free port) conflicts with nothing; 0.0.0.0 conflicts with every host.
 [[nodiscard]] std::vector<std::string> findAddressClashes (
     const std::vector<NamedAddress>& addresses);
 
 /// Adds `log_format` and `log_level`, which every program has.
 void addLoggingSettings (SettingsSchema& schema, log::Options* target);
 
-/// What the command line asks the program to do.
+/// Result of parsing the command line and the settings file.
 struct CommandLineOutcome
 {
-    /// Set when the program should end at once with this code (--help, --version, --check-config or
-    /// an error; the text was already printed).
+    /// Set when the program must exit at once with this code (--help, --version, --check-config or
+    /// an error); the text has been printed by then.
     std::optional<int> exitCode;
     std::vector<std::string> positionals;
-    std::string settingsFile;  ///< The file that was read; empty: none.
+    std::string settingsFile;  ///< Path of the file that was read; empty: none.
 };
 
-/// Reads `--settings FILE` (TOML), or else the file that the variable FERNLIFT_CONFIG names, and
-/// then the flags, which go before the file. Prints help, version or every error (with file, line,
-/// key, what was found, what is allowed) as needed.
+/// Reads the TOML file given by `--settings FILE` or else by the variable FERNLIFT_CONFIG, and then
+/// the flags, which override the file. Prints help, version or all errors (with file, line, key,
+/// value found and values allowed) as needed.
 [[nodiscard]] CommandLineOutcome parseCommandLine (int argc, char** argv, SettingsSchema& schema);
 
 }  // namespace fernlift::config
--- a/src/config/SettingsFile.cpp
+++ b/src/config/SettingsFile.cpp
@@ -36,7 +36,7 @@
     return node.is_boolean();
 }
 
-/// The value as the text that a flag would give.
+/// The value as text, in the form that a flag takes.
 std::string flagTextOf (const toml::node& node)
 {
     if (const auto* text = node.as_string())
--- a/src/config/SettingsFile.h
+++ b/src/config/SettingsFile.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Reading of a settings file into values of its schema's keys.
+/// Reads a settings file and assigns its values to the settings of a schema.
 
 #include <set>
 #include <string>
@@ -11,15 +11,15 @@
 namespace fernlift::config
 {
 
-/// One fault of a settings file.
+/// One error in a settings file.
 struct SettingsProblem
 {
-    int line = 0;         ///< 1-based; 0 when the fault has no single place.
-    std::string key;      ///< Empty when the fault belongs to no key.
-    std::string message;  ///< What was found and what is allowed.
+    int line = 0;         ///< 1-based; 0 when the error belongs to no single line.
+    std::string key;      ///< Empty when the error belongs to no key.
+    std::string message;  ///< Value found and values allowed.
 };
 
-/// Keys that the file names, whether or not their values are valid, and all faults found.
+/// Keys set in the file, whether or not their values are valid, and all errors found.
 struct SettingsFileOutcome
 {
     std::set<std::string> keys;
--- a/src/config/SettingsTest.cpp
+++ b/src/config/SettingsTest.cpp
@@ -50,7 +50,7 @@
     }
 };
 
-/// What a run of the command line printed and decided.
+/// Outcome and printed text of one run of the command line parser.
 struct Invocation
 {
     CommandLineOutcome outcome;
@@ -126,7 +126,7 @@
     EXPECT_EQ (m_example.logging.minimumSeverity, log::Severity::kWarning);
 }
 
-TEST_F (SettingsTest, FlagsGoBeforeTheFile)
+TEST_F (SettingsTest, FlagsOverrideTheFile)
 {
     const std::string path = writeFile (
         "workers = 3\nis_strict = true\nzones = [\"z2\"]\nhttp_address = \"127.0.0.1:1\"\n");
@@ -139,7 +139,7 @@
     EXPECT_EQ (m_example.http.port, 2);
 }
 
-TEST_F (SettingsTest, ReportsEveryFaultAtOnceWithItsPlace)
+TEST_F (SettingsTest, ReportsAllErrorsAtOnceWithLineAndKey)
 {
     const std::string path = writeFile (
         "workers = 10\nshare = \"half\"\nunknown = 1\nmode = \"odd\"\npeers = \"127.0.0.1:1\"\n"
@@ -164,14 +164,14 @@
     }
 }
 
-TEST_F (SettingsTest, MissingKeyIsNamed)
+TEST_F (SettingsTest, ReportsMissingKey)
 {
     const Invocation result = run ({});
     EXPECT_EQ (result.outcome.exitCode, kInvalidCode);
     EXPECT_NE (result.errors.find ("http_address: missing"), std::string::npos) << result.errors;
 }
 
-TEST_F (SettingsTest, ClashingAddressesAreNamed)
+TEST_F (SettingsTest, ReportsConflictingAddresses)
 {
     const Invocation result =
         run ({ "--http-address", "127.0.0.1:80", "--admin-address", "0.0.0.0:80", "--workers=0" });
@@ -182,7 +182,7 @@
     EXPECT_NE (result.errors.find ("--workers: found '0'"), std::string::npos) << result.errors;
 }
 
-TEST_F (SettingsTest, PortZeroClashesWithNothing)
+TEST_F (SettingsTest, PortZeroConflictsWithNothing)
 {
     const Invocation result =
         run ({ "--http-address", "127.0.0.1:0", "--admin-address", "127.0.0.1:0" });
@@ -197,12 +197,12 @@
     EXPECT_NE (result.errors.find ("--odd"), std::string::npos);
 }
 
-TEST_F (SettingsTest, FlagWithoutItsValueIsAUsageError)
+TEST_F (SettingsTest, FlagWithoutValueIsAUsageError)
 {
     EXPECT_EQ (run ({ "--http-address" }).outcome.exitCode, kUsageCode);
 }
 
-TEST_F (SettingsTest, BrokenFileIsNamedWithItsLine)
+TEST_F (SettingsTest, ReportsInvalidFileWithItsLine)
 {
     const std::string path = writeFile ("workers = 1\nworkers = 2\n");
     const Invocation result = run ({ "--settings", path });
@@ -211,14 +211,14 @@
         << result.errors;
 }
 
-TEST_F (SettingsTest, MissingFileIsNamed)
+TEST_F (SettingsTest, ReportsMissingFile)
 {
     const Invocation result = run ({ "--settings", "/nonexistent.toml" });
     EXPECT_EQ (result.outcome.exitCode, kInvalidCode);
     EXPECT_NE (result.errors.find ("/nonexistent.toml: cannot be read"), std::string::npos);
 }
 
-TEST_F (SettingsTest, CheckConfigEndsWithoutAnError)
+TEST_F (SettingsTest, CheckConfigExitsWithoutError)
 {
     const Invocation result = run ({ "--check-config", "--http-address", "127.0.0.1:80" });
     EXPECT_EQ (result.outcome.exitCode, 0);
@@ -226,7 +226,7 @@
     EXPECT_EQ (run ({ "--check-config", "--workers=x" }).outcome.exitCode, kInvalidCode);
 }
 
-TEST_F (SettingsTest, HelpNamesEveryFlagWithTypeAndDefault)
+TEST_F (SettingsTest, HelpListsFlagsWithTypeAndDefault)
 {
     const Invocation result = run ({ "--help" });
     EXPECT_EQ (result.outcome.exitCode, 0);
@@ -238,7 +238,7 @@
     }
 }
 
-TEST_F (SettingsTest, VersionNamesTheProgram)
+TEST_F (SettingsTest, VersionPrintsTheProgramName)
 {
     const Invocation result = run ({ "--version" });
     EXPECT_EQ (result.outcome.exitCode, 0);
--- a/src/config/TableReader.cpp
+++ b/src/config/TableReader.cpp
@@ -75,7 +75,7 @@
     if (m_problems.size() > kMaximumProblems)
         return;
     if (m_problems.size() == kMaximumProblems)
-        message = "there are more problems than are shown";
+        message = "further problems are omitted";
     m_problems.push_back (CatalogueProblem{ line, key, std::move (message) });
 }
 
@@ -97,7 +97,7 @@
     : m_table (table), m_path (std::move (path)), m_problems (problems)
 {
     if (! m_path.empty())
-        m_problems.rememberLine (m_path, lineOf (m_table));
+        m_problems.recordLine (m_path, lineOf (m_table));
 }
 
 std::string TableReader::pathOf (std::string_view key) const
@@ -120,7 +120,7 @@
     const std::string path = pathOf (key);
     if (node != nullptr)
     {
-        m_problems.rememberLine (path, lineOf (*node));
+        m_problems.recordLine (path, lineOf (*node));
     }
     else if (presence == Presence::kRequired)
     {
@@ -167,7 +167,7 @@
     {
         const toml::node& element = *array->get (index);
         const std::string elementPath = elementOf (path, index);
-        m_problems.rememberLine (elementPath, lineOf (element));
+        m_problems.recordLine (elementPath, lineOf (element));
         names.push_back (checkName (elementPath, element));
     }
     return names;
--- a/src/config/TableReader.h
+++ b/src/config/TableReader.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Typed reading of one TOML table, with every fault collected instead of ending at the first.
+/// Typed reading of one TOML table that collects all errors instead of stopping at the first.
 
 #include <toml++/toml.h>
 
@@ -16,15 +16,15 @@
 namespace fernlift::config
 {
 
-/// Faults found so far, and the line of every key that was read.
+/// Errors found so far, and the line of every key that was read.
 class ProblemList
 {
 public:
     void report (int line, const std::string& key, std::string message);
-    /// Reports a fault of a key that was read before.
+    /// Reports an error at the line of a key that was read before.
     void reportAt (const std::string& key, std::string message);
-    void rememberLine (const std::string& key, int line) { m_lines.emplace (key, line); }
-    /// All faults in the order of their lines.
+    void recordLine (const std::string& key, int line) { m_lines.emplace (key, line); }
+    /// Removes and returns all errors, sorted by line.
     [[nodiscard]] std::vector<CatalogueProblem> takeSorted();
 
 private:
@@ -50,14 +50,14 @@
     double maximum = 0;
 };
 
-/// Reads the keys of one table. A faulty or missing value is reported and read as its fallback.
+/// Reads the keys of one table. Reports an invalid or missing value and returns its fallback.
 class TableReader
 {
 public:
-    /// `path` stands before the keys in reports, for example "model[3]"; empty for the whole file.
+    /// `path` precedes the keys in reports, for example "model[3]"; empty for the top level.
     TableReader (const toml::table& table, std::string path, ProblemList& problems);
 
-    /// A name: letters, digits and "._-:", the first a letter or digit.
+    /// Reads a name: letters, digits and "._-:", the first a letter or digit.
     std::string readName (std::string_view key);
     std::vector<std::string> readNames (std::string_view key, std::size_t maximumCount,
                                         Presence presence);
@@ -65,11 +65,11 @@
                               std::int64_t fallback);
     double readReal (std::string_view key, RealRange range, double fallback);
     bool readBoolean (std::string_view key, bool fallback);
-    /// The tables of an array of tables [[key]], in order.
+    /// Reads the elements of an array of tables [[key]], in order.
     std::vector<const toml::table*> readTables (std::string_view key, std::size_t maximumCount);
-    /// The table [key], or null.
+    /// Reads the table [key]; null if there is none.
     const toml::table* readTable (std::string_view key);
-    /// Reports every key that no read asked for.
+    /// Reports every key of the table that was never read.
     void reportUnknownKeys();
 
     [[nodiscard]] std::string pathOf (std::string_view key) const;
--- a/src/config/Tenants.cpp
+++ b/src/config/Tenants.cpp
@@ -16,7 +16,7 @@
         if (tenant.name.empty())
             m_problems.emplace_back ("a tenant has no name");
         if (! m_names.insert (tenant.name).second)
-            m_problems.push_back ("tenant '" + tenant.name + "' stands twice");
+            m_problems.push_back ("tenant '" + tenant.name + "' is defined twice");
         if (tenant.quota.ratePerSecond < 0 || tenant.quota.burst < 0)
             m_problems.push_back ("tenant '" + tenant.name + "' has a limit below 0");
         for (const std::string& key : tenant.keys)
@@ -39,7 +39,7 @@
     }
 
     std::set<std::string_view> m_names;
-    std::map<std::string_view, std::string_view> m_holders;  ///< Tenant by key.
+    std::map<std::string_view, std::string_view> m_holders;  ///< Name of the tenant by key.
     std::vector<std::string> m_problems;
 };
 
--- a/src/config/Tenants.h
+++ b/src/config/Tenants.h
@@ -1,10 +1,9 @@
 #pragma once
 
 /**
- * Tenants: who may call, with which keys, how urgently and how much.
+ * Tenants of a cell: their API keys, priorities and quotas.
  *
- * The part of a configuration that says which API keys exist. Keys are secrets: no problem, log
- * line or metric ever holds one.
+ * Keys are secrets: no reported problem, log line or metric ever contains one.
  */
 
 #include <cstdint>
@@ -16,19 +15,19 @@
 namespace fernlift::config
 {
 
-/** What a tenant's limit counts. */
+/** Unit that a tenant's quota counts. */
 enum class QuotaUnit : std::uint8_t
 {
     kRequests,
-    kTokens,  ///< Of prompt and answer, as the request states them.
+    kTokens,  ///< Tokens of prompt and answer, as stated by the request.
 };
 
-/** How much a tenant may ask for, over all routers of the cell together. */
+/** Rate limit of a tenant, over all routers of the cell together. */
 struct TenantQuota
 {
     QuotaUnit unit = QuotaUnit::kRequests;
-    double ratePerSecond = 0;       ///< Units a second; 0: no limit.
-    double burst = 0;               ///< Units on top of the rate, after a rest.
+    double ratePerSecond = 0;       ///< Units per second; 0: unlimited.
+    double burst = 0;               ///< Units allowed at once after an idle time.
     std::uint64_t plainTokens = 1;  ///< Counted for a request that states no tokens.
 
     bool operator== (const TenantQuota&) const = default;
@@ -38,16 +37,16 @@
 /** One customer of the cell. */
 struct Tenant
 {
-    std::string name;               ///< As runners are told it.
-    std::vector<std::string> keys;  ///< Secrets. None: nobody can call as this tenant.
-    std::optional<int> priority;    ///< Goes before that of the route; 0 is the most urgent.
+    std::string name;               ///< Name as sent to runners.
+    std::vector<std::string> keys;  ///< API keys (secret). Without any, the tenant is unusable.
+    std::optional<int> priority;    ///< Overrides the route's priority; 0 is the most urgent.
     TenantQuota quota;
 
     bool operator== (const Tenant&) const = default;
 };
 
-/** What keeps tenants from being put in force: one without name, two of one name, an empty key, a
-    key that two tenants share, a negative limit. Names tenants, never keys.
+/** Problems for which tenants are rejected: a missing or duplicate name, an empty key, a key shared
+    by two tenants, a negative limit. Messages contain names of tenants, never keys.
 */
 [[nodiscard]] std::vector<std::string> findTenantProblems (const std::vector<Tenant>& tenants);
 
--- a/src/config/TenantsTest.cpp
+++ b/src/config/TenantsTest.cpp
@@ -16,13 +16,13 @@
     return tenant;
 }
 
-TEST (TenantsTest, SoundTenantsHaveNoProblems)
+TEST (TenantsTest, ValidTenantsHaveNoProblems)
 {
     EXPECT_TRUE (
         findTenantProblems ({ tenant ("farm", { "k1", "k2" }), tenant ("port", {}) }).empty());
 }
 
-TEST (TenantsTest, AKeyOfTwoTenantsIsAProblemThatDoesNotTellTheKey)
+TEST (TenantsTest, ReportsASharedKeyWithoutDisclosingIt)
 {
     const auto problems =
         findTenantProblems ({ tenant ("farm", { "secret" }), tenant ("port", { "secret" }) });
@@ -31,7 +31,7 @@
     EXPECT_EQ (problems[0].find ("secret"), std::string::npos);
 }
 
-TEST (TenantsTest, NamesAndLimitsAreChecked)
+TEST (TenantsTest, ChecksNamesAndLimits)
 {
     EXPECT_EQ (findTenantProblems ({ tenant ("", { "k" }) }).size(), 1U);
     EXPECT_EQ (findTenantProblems ({ tenant ("farm", {}), tenant ("farm", {}) }).size(), 1U);
@@ -41,7 +41,7 @@
     EXPECT_EQ (findTenantProblems ({ negative }).size(), 1U);
 }
 
-TEST (TenantsTest, ACatalogueOfServicesNamesTheProblemsOfItsTenants)
+TEST (TenantsTest, ServiceCatalogueReportsProblemsOfItsTenants)
 {
     ServiceCatalogue catalogue;
     catalogue.tenants = { tenant ("farm", { "k" }), tenant ("port", { "k" }) };
