--- a/src/http/AnswerParser.h
+++ b/src/http/AnswerParser.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Incremental parser of one HTTP/1.1 answer, on Boost.Beast's parser. It hands on the body as it
-/// comes and never takes an answer for whole that was cut.
+/// Incremental parser of one HTTP/1.1 answer, based on Boost.Beast's parser. It delivers the body
+/// as it arrives and never reports a truncated answer as complete.
 
 #include <cstddef>
 #include <cstdint>
@@ -21,10 +21,10 @@
 {
     int status = 0;
     Headers headers;
-    bool hasLength = false;     ///< The body's length is stated.
-    std::uint64_t length = 0;   ///< When stated.
-    bool endsByClose = false;   ///< Neither length nor chunks: the body ends with the connection.
-    bool isPersistent = false;  ///< The connection may be used again.
+    bool hasLength = false;     ///< Has a Content-Length.
+    std::uint64_t length = 0;   ///< Value of Content-Length.
+    bool endsByClose = false;   ///< Neither length nor chunks: the body ends at the close.
+    bool isPersistent = false;  ///< The connection may be reused.
 };
 
 class AnswerParser
@@ -42,10 +42,10 @@
     AnswerParser (const AnswerParser&) = delete;
     AnswerParser& operator= (const AnswerParser&) = delete;
 
-    /// Takes bytes off the front of `buffer`; stops at the end of the answer. Fails with
-    /// kMessageInvalid on bytes that are no answer.
+    /// Consumes bytes from the front of `buffer`; stops at the end of the answer. Fails with
+    /// kMessageInvalid on bytes that are not an HTTP answer.
     base::Result<void> parse (std::string& buffer);
-    /// The connection was closed in good order. Returns whether the answer is whole by that.
+    /// Handles an orderly close of the connection; returns whether the answer is complete with it.
     [[nodiscard]] bool finishByClose();
     [[nodiscard]] bool isDone() const;
 
--- a/src/http/AnswerParserTest.cpp
+++ b/src/http/AnswerParserTest.cpp
@@ -9,14 +9,14 @@
 namespace
 {
 
-/// Feeds an answer in two parts and notes what comes out.
+/// Result of parsing an answer that arrives in two parts.
 struct Reading
 {
     std::optional<AnswerHead> head;
     std::string body;
     bool isDone = false;
-    bool isSound = true;
-    bool isWholeByClose = false;
+    bool isValid = true;
+    bool isCompleteByClose = false;
     std::string left;
 };
 
@@ -37,11 +37,11 @@
                 BOOST_LEAF_CHECK (parser.parse (buffer));
                 return {};
             },
-            [&] (const base::Error&) { reading.isSound = false; });
+            [&] (const base::Error&) { reading.isValid = false; });
     }
     reading.isDone = parser.isDone();
-    if (closes && reading.isSound)
-        reading.isWholeByClose = parser.finishByClose();
+    if (closes && reading.isValid)
+        reading.isCompleteByClose = parser.finishByClose();
     reading.left = buffer;
     return reading;
 }
@@ -50,54 +50,54 @@
 constexpr const char* kChunked =
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n";
 
-TEST (AnswerParserTest, AnAnswerIsTheSameWhereverItIsCut)
+TEST (AnswerParserTest, ParsesAnAnswerSplitAtAnyPosition)
 {
     for (const std::string bytes : { kWithLength, kChunked })
     {
         for (std::size_t cut = 0; cut <= bytes.size(); ++cut)
         {
             const Reading reading = read (bytes, cut);
-            ASSERT_TRUE (reading.isSound && reading.isDone) << cut;
+            ASSERT_TRUE (reading.isValid && reading.isDone) << cut;
             EXPECT_EQ (reading.body, "hello");
             EXPECT_EQ (reading.head->status, 200);
         }
     }
 }
 
-TEST (AnswerParserTest, NoBeginOfAnAnswerIsWhole)
+TEST (AnswerParserTest, TruncatedAnswerIsNeverComplete)
 {
     for (const std::string bytes : { kWithLength, kChunked })
     {
         for (std::size_t length = 0; length < bytes.size(); ++length)
         {
             const Reading reading = read (bytes.substr (0, length), 0, true);
-            EXPECT_FALSE (reading.isDone || reading.isWholeByClose) << length;
+            EXPECT_FALSE (reading.isDone || reading.isCompleteByClose) << length;
         }
     }
 }
 
-TEST (AnswerParserTest, WithoutLengthOnlyTheCloseEndsIt)
+TEST (AnswerParserTest, AnswerWithoutLengthEndsAtTheClose)
 {
     const Reading reading = read ("HTTP/1.1 200 OK\r\n\r\nhello", 3, true);
     EXPECT_FALSE (reading.isDone);
-    EXPECT_TRUE (reading.isWholeByClose);
+    EXPECT_TRUE (reading.isCompleteByClose);
     EXPECT_TRUE (reading.head->endsByClose);
     EXPECT_FALSE (reading.head->isPersistent);
 }
 
-TEST (AnswerParserTest, SurplusBytesAreLeft)
+TEST (AnswerParserTest, LeavesBytesAfterTheAnswer)
 {
     const Reading reading = read (std::string (kWithLength) + "surplus", 0);
     EXPECT_TRUE (reading.isDone);
     EXPECT_EQ (reading.left, "surplus");
 }
 
-TEST (AnswerParserTest, BytesThatAreNoAnswerFail)
+TEST (AnswerParserTest, RejectsBytesThatAreNotAnAnswer)
 {
-    EXPECT_FALSE (read ("garbage\r\n\r\n", 0).isSound);
+    EXPECT_FALSE (read ("garbage\r\n\r\n", 0).isValid);
     EXPECT_FALSE (
         read ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", 0)
-            .isSound);
+            .isValid);
 }
 
 }  // namespace
--- a/src/http/BackEndConnection.cpp
+++ b/src/http/BackEndConnection.cpp
@@ -10,12 +10,13 @@
 namespace
 {
 
-/// A connection to a runner that does not say how long it keeps one is used again only soon.
+/// Keep-alive time assumed for a runner that does not state one.
 constexpr base::Duration kDefaultKeepAlive = base::seconds (2);
-/// The runner closes a resting connection at the end of its time; requests in flight then are lost.
+/// Connections are not reused this long before the end of their keep-alive time: the runner closes
+/// them at its end, and requests in flight at that moment are lost.
 constexpr base::Duration kKeepAliveMargin = base::milliseconds (700);
 
-/// The seconds in "timeout=5, max=100"; none when there are none.
+/// Parses the seconds in "timeout=5, max=100"; nothing if there are none.
 std::optional<base::Duration> keepAliveOf (const std::string& value)
 {
     constexpr std::string_view kTimeout = "timeout=";
@@ -82,12 +83,12 @@
 void BackEndConnection::beginAnswer()
 {
     m_isHeadRead = false;
-    m_isSurplus = false;
+    m_isStale = false;
     AnswerParser::Handlers handlers;
     handlers.onHead = [this] (AnswerHead head) { onHead (std::move (head)); };
     handlers.onBody = [this] (std::string_view data)
     {
-        if (! m_isSurplus && m_listener != nullptr)
+        if (! m_isStale && m_listener != nullptr)
             m_listener->onBody (data);
     };
     m_parser = std::make_unique<AnswerParser> (m_call.answerHasBody, std::move (handlers));
@@ -98,7 +99,7 @@
     const auto self = shared_from_this();
     if (! m_isActive)
     {
-        // Bytes that nobody asked for: they belong to no request.
+        // Unsolicited bytes belong to no request; the connection must not be reused.
         m_isPersistent = false;
         return;
     }
@@ -110,23 +111,23 @@
 {
     while (m_isActive && ! m_buffer.empty())
     {
-        const bool isSound = base::handleErrors (
+        const bool isValid = base::handleErrors (
             [&]() -> base::Result<bool>
             {
                 BOOST_LEAF_CHECK (m_parser->parse (m_buffer));
                 return true;
             },
             [] (const base::Error&) { return false; });
-        if (! isSound)
+        if (! isValid)
         {
-            fail (BackEndFailure::kNotAnAnswer);
+            fail (BackEndFailure::kInvalidAnswer);
             return;
         }
         if (! m_parser->isDone())
             return;
-        if (m_isSurplus)
+        if (m_isStale)
         {
-            beginAnswer();  // The answer that is due comes after it.
+            beginAnswer();  // The answer to this call follows.
             continue;
         }
         finish();
@@ -140,8 +141,8 @@
     const bool isInterim = head.status < kFirstFinalStatus;
     const std::string id = head.headers.value (m_call.requestIdHeader);
     const bool isOther = ! m_call.requestIdHeader.empty() && ! id.empty() && id != m_call.requestId;
-    m_isSurplus = isInterim || isOther;
-    if (m_isSurplus)
+    m_isStale = isInterim || isOther;
+    if (m_isStale)
         return;
     m_isHeadRead = true;
     m_isPersistent = head.isPersistent;
@@ -163,7 +164,7 @@
         return;
     }
     const bool isWhole =
-        end == StreamEnd::kOrderly && m_isHeadRead && ! m_isSurplus && m_parser->finishByClose();
+        end == StreamEnd::kOrderly && m_isHeadRead && ! m_isStale && m_parser->finishByClose();
     if (isWhole)
     {
         finish();
@@ -177,7 +178,8 @@
 void BackEndConnection::finish()
 {
     m_isActive = false;
-    // Surplus bytes belong to no request, and a body that is not sent yet would run into the next.
+    // Surplus bytes belong to no request, and an unsent rest of the request body would run into the
+    // next request.
     if (! m_buffer.empty() || m_socket.bytesToWrite() > 0)
         m_isPersistent = false;
     if (m_listener != nullptr)
@@ -204,13 +206,13 @@
 
 bool BackEndConnection::isReusable (base::TimePoint now) const
 {
-    const bool isSound =
+    const bool isValid =
         ! m_isActive && ! m_isClosed && m_isPersistent && m_buffer.empty() && m_socket.isOpen();
-    return isSound
-           && (m_restsSince == base::TimePoint{}
-               || now - m_restsSince < m_keepAlive - kKeepAliveMargin);
+    return isValid
+           && (m_idleSince == base::TimePoint{}
+               || now - m_idleSince < m_keepAlive - kKeepAliveMargin);
 }
 
-void BackEndConnection::rest (base::TimePoint now) { m_restsSince = now; }
+void BackEndConnection::markIdle (base::TimePoint now) { m_idleSince = now; }
 
 }  // namespace fernlift::http
--- a/src/http/BackEndConnection.h
+++ b/src/http/BackEndConnection.h
@@ -14,15 +14,15 @@
 namespace fernlift::http
 {
 
-/// What became of the connection.
+/// Reason why a request got no complete answer.
 enum class BackEndFailure : std::uint8_t
 {
-    kNotConnected,  ///< Nothing was sent.
-    kClosed,        ///< It closed before the answer was whole.
-    kNotAnAnswer,   ///< What came is no answer to the request.
+    kNotConnected,   ///< No connection was opened; nothing was sent.
+    kClosed,         ///< The connection closed before the answer was complete.
+    kInvalidAnswer,  ///< The received bytes are not a valid HTTP answer.
 };
 
-/// Takes the answer to one request. May drop the connection from within every call.
+/// Receives the answer to one request. May release the connection from within any call.
 class AnswerListener
 {
 public:
@@ -39,18 +39,18 @@
     virtual void onFailed (BackEndFailure failure) = 0;
 };
 
-/// Sends a request and hands on its answer. An answer with another request's id belongs to an
-/// earlier request and is dropped.
+/// Sends a request and delivers its answer. An answer with another request's id belongs to an
+/// earlier request and is discarded.
 class BackEndConnection final : public std::enable_shared_from_this<BackEndConnection>,
                                 private StreamListener
 {
 public:
-    /// A request as bytes, and what identifies its answer.
+    /// A serialized request, and the id by which its answer is recognized.
     struct Call
     {
         std::string bytes;
         bool answerHasBody = true;    ///< False for HEAD.
-        std::string requestIdHeader;  ///< Field in which the runner repeats the request's id.
+        std::string requestIdHeader;  ///< Answer field in which the runner returns the id.
         std::string requestId;
     };
 
@@ -59,15 +59,15 @@
     BackEndConnection (const BackEndConnection&) = delete;
     BackEndConnection& operator= (const BackEndConnection&) = delete;
 
-    /// `listener` must outlive the call or detach itself.
+    /// `listener` must stay valid until the answer has ended or detach() is called.
     void send (Call call, AnswerListener* listener);
-    /// Calls the listener no more; the connection must be dropped unless its answer was whole.
+    /// Stops calls to the listener; the connection is reusable only if its answer was complete.
     void detach();
-    /// Whether another request may be sent: the last answer was whole, in good order, and nothing
-    /// came after it.
+    /// Whether another request may be sent: the last answer was complete, the connection is still
+    /// open and persistent, no surplus bytes followed, and its keep-alive time has not passed.
     [[nodiscard]] bool isReusable (base::TimePoint now) const;
-    /// Notes that the connection rests from now on.
-    void rest (base::TimePoint now);
+    /// Records that the connection is idle since `now`.
+    void markIdle (base::TimePoint now);
     [[nodiscard]] const base::SocketAddress& address() const { return m_address; }
     [[nodiscard]] bool wasUsedBefore() const { return m_callsSent > 1; }
 
@@ -89,14 +89,14 @@
     AnswerListener* m_listener = nullptr;
     std::unique_ptr<AnswerParser> m_parser;
     std::string m_buffer;
-    bool m_isActive = false;   ///< A call waits for its answer.
-    bool m_isSurplus = false;  ///< The answer being read belongs to an earlier request.
+    bool m_isActive = false;  ///< A call is waiting for its answer.
+    bool m_isStale = false;   ///< The answer being read is interim or of an earlier request.
     bool m_isClosed = false;
     bool m_isPersistent = false;
     bool m_isHeadRead = false;
     std::size_t m_callsSent = 0;
-    base::Duration m_keepAlive{};  ///< As stated by the runner.
-    base::TimePoint m_restsSince{};
+    base::Duration m_keepAlive{};  ///< Idle time that the runner allows.
+    base::TimePoint m_idleSince{};
     std::unique_ptr<QTimer> m_connectTimer;
 };
 
--- a/src/http/BackEndPool.cpp
+++ b/src/http/BackEndPool.cpp
@@ -9,12 +9,12 @@
 std::shared_ptr<BackEndConnection> BackEndPool::acquire (const base::SocketAddress& address,
                                                          base::TimePoint now)
 {
-    Resting& resting = m_resting[address];
-    while (! resting.empty())
+    IdleConnections& idle = m_idle[address];
+    while (! idle.empty())
     {
-        // The one used last: the others may age and go.
-        std::shared_ptr<BackEndConnection> connection = std::move (resting.back());
-        resting.pop_back();
+        // Takes the most recently used one, so that surplus connections expire.
+        std::shared_ptr<BackEndConnection> connection = std::move (idle.back());
+        idle.pop_back();
         if (connection->isReusable (now))
             return connection;
     }
@@ -24,28 +24,28 @@
 
 bool BackEndPool::hasResting (const base::SocketAddress& address, base::TimePoint now) const
 {
-    const auto resting = m_resting.find (address);
-    return resting != m_resting.end()
-           && std::ranges::any_of (resting->second, [&] (const auto& connection)
-                                   { return connection->isReusable (now); });
+    const auto idle = m_idle.find (address);
+    return idle != m_idle.end()
+           && std::ranges::any_of (
+               idle->second, [&] (const auto& connection) { return connection->isReusable (now); });
 }
 
 void BackEndPool::release (std::shared_ptr<BackEndConnection> connection, base::TimePoint now)
 {
     connection->detach();
-    connection->rest (now);
+    connection->markIdle (now);
     if (! connection->isReusable (now))
         return;
-    m_resting[connection->address()].push_back (std::move (connection));
+    m_idle[connection->address()].push_back (std::move (connection));
 }
 
 void BackEndPool::expire (base::TimePoint now)
 {
-    for (auto item = m_resting.begin(); item != m_resting.end();)
+    for (auto item = m_idle.begin(); item != m_idle.end();)
     {
         std::erase_if (item->second,
                        [&] (const auto& connection) { return ! connection->isReusable (now); });
-        item = item->second.empty() ? m_resting.erase (item) : std::next (item);
+        item = item->second.empty() ? m_idle.erase (item) : std::next (item);
     }
 }
 
--- a/src/http/BackEndPool.h
+++ b/src/http/BackEndPool.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Open connections to runners that rest between requests.
+/// Pool of idle open connections to runners.
 
 #include <cstdint>
 #include <map>
@@ -17,28 +17,28 @@
 class BackEndPool
 {
 public:
-    /// A connection that cannot be opened within `connectTimeout` counts as unreachable.
+    /// A runner counts as unreachable if a connection does not open within `connectTimeout`.
     explicit BackEndPool (base::Duration connectTimeout) : m_connectTimeout (connectTimeout) {}
 
-    /// A connection to `address`: one that rests, or a new one. Requests that must not run twice
-    /// get a new one where a resting one may be about to be closed by the runner.
+    /// Returns a connection to `address`: an idle one, or a new one if none is reusable. An idle
+    /// one that the runner may be about to close is not reused, as its request would be lost.
     [[nodiscard]] std::shared_ptr<BackEndConnection> acquire (const base::SocketAddress& address,
                                                               base::TimePoint now);
-    /// Whether acquire() would find one that rests.
+    /// Whether acquire() would return an idle connection.
     [[nodiscard]] bool hasResting (const base::SocketAddress& address, base::TimePoint now) const;
-    /// Takes a connection back. It is kept when it can be used again.
+    /// Returns a connection to the pool, which keeps it only if it is reusable.
     void release (std::shared_ptr<BackEndConnection> connection, base::TimePoint now);
-    /// Drops the connections to `address` that rest: one that was used like them has gone silent.
-    void forget (const base::SocketAddress& address) { m_resting.erase (address); }
-    /// Drops the connections that rested for too long.
+    /// Drops the idle connections to `address`, after another connection to it stopped responding.
+    void forget (const base::SocketAddress& address) { m_idle.erase (address); }
+    /// Drops the idle connections that are no longer reusable.
     void expire (base::TimePoint now);
     [[nodiscard]] std::uint64_t opened() const { return m_opened; }
 
 private:
-    using Resting = std::vector<std::shared_ptr<BackEndConnection>>;
+    using IdleConnections = std::vector<std::shared_ptr<BackEndConnection>>;
 
     base::Duration m_connectTimeout;
-    std::map<base::SocketAddress, Resting> m_resting;
+    std::map<base::SocketAddress, IdleConnections> m_idle;
     std::uint64_t m_opened = 0;
 };
 
--- a/src/http/BodySource.h
+++ b/src/http/BodySource.h
@@ -14,12 +14,12 @@
 public:
     explicit BodySource (std::string body);
 
-    /// Whether any byte was taken.
+    /// Whether any byte has been read.
     [[nodiscard]] bool wasRead() const { return m_position > 0; }
     [[nodiscard]] bool isSequential() const override { return true; }
     [[nodiscard]] qint64 bytesAvailable() const override;
     [[nodiscard]] bool atEnd() const override { return bytesAvailable() == 0; }
-    /// Always refused. Qt asks for it when a connection closes without an answer.
+    /// Always fails. Qt calls it to resend the body when a connection closes without an answer.
     bool seek (qint64 /*position*/) override { return false; }
 
 protected:
--- a/src/http/Client.cpp
+++ b/src/http/Client.cpp
@@ -15,9 +15,8 @@
 namespace
 {
 
-/// Names the proxy of the whole program, of which there is none. With QNetworkProxy::NoProxy Qt
-/// would open sockets without a buffer and read the header of each answer byte by byte from the
-/// system.
+/// Selects the application proxy, which is set to none. With QNetworkProxy::NoProxy here, Qt would
+/// open unbuffered sockets and read the header of each answer with one system call per byte.
 class DirectConnections final : public QNetworkProxyFactory
 {
 public:
@@ -82,7 +81,7 @@
     base::SystemClock m_clock;
     QNetworkAccessManager m_manager;
     std::map<base::SocketAddress, ConnectionSlots> m_slots;
-    /// Exchanges on their way; they live on without a handle.
+    /// Exchanges in progress, kept alive here even if their handles are dropped.
     std::unordered_map<std::uint64_t, std::shared_ptr<ClientExchange>> m_exchanges;
     std::uint64_t m_nextKey = 0;
 };
--- a/src/http/Client.h
+++ b/src/http/Client.h
@@ -23,12 +23,13 @@
     std::string path = "/";  ///< Percent-encoded, with the query if any.
     Headers headers;
     std::string body;
-    base::Duration connectTimeout = base::seconds (2);   ///< Until the request is on its way.
-    base::Duration headersTimeout = base::seconds (10);  ///< Until the headers of the answer.
+    base::Duration connectTimeout = base::seconds (2);   ///< Until the request has been sent.
+    base::Duration headersTimeout = base::seconds (10);  ///< Until the answer's headers arrive.
     base::Duration idleTimeout = base::seconds (30);     ///< Between two parts of the answer.
-    /// Unread bytes of the answer held in memory; more stay in the network.
+    /// Maximum unread bytes of the answer in memory; TCP flow control holds back the rest.
     std::size_t readBufferBytes = 256UL * 1024;
-    /// Never reuses a connection, so that the back end's closing of an idle one cannot lose it.
+    /// Never reuses a connection, so that the request cannot be lost to the back end closing an
+    /// idle one.
     bool needsFreshConnection = false;
 };
 
@@ -51,8 +52,8 @@
     std::string message;
 };
 
-/// Called on the client's thread, never from within send(). Exactly one of onEnd and onError comes
-/// last, unless the exchange is cancelled: then nothing comes any more.
+/// Called on the client's thread, never from within send(). The last call is exactly one of onEnd
+/// and onError; after a cancellation there are no more calls.
 struct ClientCallbacks
 {
     std::function<void (const ClientResponse&)> onHeaders;
@@ -61,7 +62,7 @@
     std::function<void (const ClientError&)> onError;
 };
 
-/// A request on its way. Dropping the handle does not cancel it.
+/// Handle of a request in progress. Dropping the handle does not cancel the request.
 class Exchange
 {
 public:
@@ -70,13 +71,13 @@
     Exchange (const Exchange&) = delete;
     Exchange& operator= (const Exchange&) = delete;
 
-    /// Closes the connection if the answer is not whole. No callback runs afterwards.
+    /// Closes the connection unless the answer is complete. No callback runs afterwards.
     virtual void cancel() = 0;
-    /// Stops and restarts the delivery of data; while paused, the idle timeout does not run.
+    /// Pauses or resumes the delivery of data; the timeouts do not run while it is paused.
     virtual void setPaused (bool isPaused) = 0;
 };
 
-/// A whole answer of a small request.
+/// A complete answer, collected in memory.
 struct WholeResponse
 {
     int status = 0;
@@ -94,7 +95,7 @@
 
     /// Sends the request once.
     std::shared_ptr<Exchange> send (ClientRequest request, ClientCallbacks callbacks);
-    /// Sends the request once and collects the whole answer.
+    /// Sends the request once and collects the complete answer.
     std::shared_ptr<Exchange> fetch (ClientRequest request,
                                      std::function<void (const WholeResponse&)> onResponse,
                                      std::function<void (const ClientError&)> onError);
--- a/src/http/ClientExchange.cpp
+++ b/src/http/ClientExchange.cpp
@@ -20,13 +20,14 @@
            || equalsIgnoringCase (name, "Transfer-Encoding") || equalsIgnoringCase (name, "Host");
 }
 
-/// Methods that a back end may see twice without harm, so that they may go without a body.
+/// Methods that may be sent without a body source: Qt may send them a second time, which is
+/// harmless for these.
 bool isSafeMethod (std::string_view method)
 {
     return method == "GET" || method == "HEAD" || method == "OPTIONS";
 }
 
-/// Errors that Qt derives from the status code of a whole answer.
+/// Whether Qt derived the error from the status code of a complete answer.
 bool comesFromStatus (QNetworkReply::NetworkError error)
 {
     const bool isContentError = error >= QNetworkReply::ContentAccessDenied
@@ -34,7 +35,7 @@
                                 && error != QNetworkReply::ContentReSendError;
     const bool isServerError =
         error >= QNetworkReply::InternalServerError && error <= QNetworkReply::UnknownServerError;
-    // Qt files 400, 418 and 407 under errors of the protocol and of a proxy.
+    // Qt reports 400 and 418 as protocol errors and 407 as a proxy error.
     const bool isOtherStatusError = error == QNetworkReply::ProtocolInvalidOperationError
                                     || error == QNetworkReply::ProxyAuthenticationRequiredError;
     return error == QNetworkReply::NoError || isContentError || isServerError || isOtherStatusError;
@@ -93,7 +94,7 @@
     const QNetworkRequest request = buildRequest (slotName);
     const QByteArray verb = QByteArray::fromStdString (m_request.method);
     startTimer (m_request.connectTimeout);
-    // As a custom method Qt would wait for a body that never comes.
+    // With HEAD as a custom method, Qt would wait for a body that never arrives.
     const bool isHead = verb == "HEAD" && ! m_hasBody;
     m_reply = isHead ? manager.head (request)
                      : manager.sendCustomRequest (request, verb, m_hasBody ? &m_body : nullptr);
@@ -106,7 +107,7 @@
 void ClientExchange::onRequestSent()
 {
     m_wasSent = true;
-    // Qt passes the size on to its network thread only once that has taken up the request.
+    // Qt forwards the size to its network thread only after that thread has started the request.
     m_reply->setReadBufferSize (static_cast<qint64> (m_request.readBufferBytes));
     if (! m_hasHeaders)
         startTimer (m_request.headersTimeout);
@@ -162,7 +163,7 @@
         return;
     }
     startTimer (m_hasHeaders ? m_request.idleTimeout : m_request.headersTimeout);
-    // Not from within the caller's own call.
+    // Deferred to the event loop, so that no callback runs from within setPaused().
     QTimer::singleShot (0, this,
                         [this]
                         {
@@ -214,7 +215,7 @@
     const ClientErrorKind kind =
         isRefused && nothingSent ? ClientErrorKind::kNotSent : ClientErrorKind::kBroken;
     const std::string message = m_reply->error() == QNetworkReply::NoError
-                                    ? "the answer ended before its Content-Length"
+                                    ? "answer truncated: length differs from its Content-Length"
                                     : m_reply->errorString().toStdString();
     return ClientError{ kind, message };
 }
@@ -223,8 +224,9 @@
 {
     if (m_isDone)
         return;
-    failWith (ClientError{ ClientErrorKind::kTimeout,
-                           m_hasHeaders ? "the answer stalled" : "no answer in time" });
+    failWith (ClientError{ ClientErrorKind::kTimeout, m_hasHeaders
+                                                          ? "answer stalled: idle timeout exceeded"
+                                                          : "no answer within the timeout" });
 }
 
 void ClientExchange::failWith (const ClientError& error)
--- a/src/http/ClientExchange.h
+++ b/src/http/ClientExchange.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One request of the client and its answer.
+/// One request of the client and its answer, on a QNetworkReply.
 
 #include <QNetworkAccessManager>
 #include <QNetworkReply>
@@ -19,8 +19,8 @@
 class ClientExchange final : public QObject, public Exchange
 {
 public:
-    /// `onDone` runs once, after the last callback; `isReusable` tells whether the exchange left a
-    /// connection in a known state, `isOpen` whether that connection stays open.
+    /// `onDone` runs once, after the last callback; `isReusable` is true if the exchange left its
+    /// connection in a known state, `isOpen` if that connection stays open.
     using DoneCallback = std::function<void (bool isReusable, bool isOpen)>;
 
     ClientExchange (ClientRequest request, ClientCallbacks callbacks, DoneCallback onDone);
--- a/src/http/ClientTest.cpp
+++ b/src/http/ClientTest.cpp
@@ -30,7 +30,7 @@
         });
 }
 
-/// What came of one exchange.
+/// Result of one exchange.
 struct Outcome
 {
     std::optional<WholeResponse> response;
@@ -55,7 +55,7 @@
     return request;
 }
 
-/// A back end that speaks raw bytes: it counts requests and lets a function answer each.
+/// A back end on raw sockets that counts requests and answers each with a callback.
 class RawBackEnd
 {
 public:
@@ -159,7 +159,7 @@
     }
 }
 
-TEST (Client, TakesTheAnswerToAHeadRequestWithoutABody)
+TEST (Client, HeadAnswerHasNoBody)
 {
     Server server;
     std::string method;
@@ -197,9 +197,9 @@
     EXPECT_EQ (backEnd.requests(), 1);
 }
 
-TEST (Client, ConnectionsThatRestAreNotUsedOnceOneOfThemWentSilent)
+TEST (Client, DropsIdleConnectionsAfterATimeout)
 {
-    std::vector<QTcpSocket*> silent;  // From their first answer on.
+    std::vector<QTcpSocket*> silent;  // Sockets that stop answering after their first answer.
     RawBackEnd backEnd (
         [&] (QTcpSocket& socket, int)
         {
@@ -294,7 +294,7 @@
     }
 }
 
-TEST (Client, SaysNotSentOnlyWhenTheConnectionIsRefused)
+TEST (Client, ReportsNotSentWhenTheConnectionIsRefused)
 {
     QTcpServer closed;
     closed.listen (QHostAddress::LocalHost, 0);
@@ -308,7 +308,7 @@
     EXPECT_EQ (outcome.error->kind, ClientErrorKind::kNotSent);
 }
 
-TEST (Client, DoesNotSayNotSentWhenTheBackEndDiesAfterReading)
+TEST (Client, ReportsBrokenWhenTheBackEndDiesAfterReading)
 {
     auto backEnd = std::make_unique<QTcpServer>();
     backEnd->listen (QHostAddress::LocalHost, 0);
@@ -409,7 +409,7 @@
     EXPECT_EQ (outcome.error->kind, ClientErrorKind::kTimeout);
 }
 
-TEST (Client, CancelClosesTheConnectionAndSilencesTheCallbacks)
+TEST (Client, CancelClosesTheConnectionAndStopsCallbacks)
 {
     Server server;
     int closed = 0;
@@ -436,7 +436,7 @@
     EXPECT_FALSE (isFinished);
 }
 
-TEST (Client, PausingHoldsBackTheBackEnd)
+TEST (Client, PausingAppliesBackPressure)
 {
     constexpr std::size_t kTotal = 64UL * 1024 * 1024;
     Server server;
@@ -463,7 +463,7 @@
         });
     Client client;
     std::size_t received = 0;
-    bool isWhole = false;
+    bool isComplete = false;
     std::shared_ptr<Exchange> exchange;
     ClientCallbacks callbacks;
     callbacks.onData = [&] (std::string_view data)
@@ -472,7 +472,7 @@
             exchange->setPaused (true);
         received += data.size();
     };
-    callbacks.onEnd = [&] { isWhole = true; };
+    callbacks.onEnd = [&] { isComplete = true; };
     exchange = client.send (post (listenOnLoopback (server), "x"), callbacks);
     ASSERT_TRUE (waitUntil ([&] { return received > 0; }));
     const std::size_t receivedBefore = received;
@@ -480,7 +480,7 @@
     EXPECT_EQ (received, receivedBefore);
     EXPECT_LT (written, kTotal / 4) << "the back end was not held back";
     exchange->setPaused (false);
-    ASSERT_TRUE (waitUntil ([&] { return isWhole; }));
+    ASSERT_TRUE (waitUntil ([&] { return isComplete; }));
     EXPECT_EQ (received, kTotal);
 }
 
--- a/src/http/Connection.cpp
+++ b/src/http/Connection.cpp
@@ -16,14 +16,15 @@
 namespace
 {
 
-/// Received bytes held per connection beside the request being read; more stay in the kernel.
+/// Maximum received bytes buffered per connection, apart from the request being read; TCP flow
+/// control holds back the rest.
 constexpr qint64 kReadBufferBytes = 64LL * 1024;
-/// onDrained callbacks run when no more than this is left to write.
+/// Low-water mark: onDrained callbacks run when at most this many bytes are unsent.
 constexpr qint64 kLowWaterBytes = 16LL * 1024;
-/// After the last answer, what the caller still sends is read and dropped up to these bounds, so
-/// that the answer isn't destroyed by a reset.
+/// After the last answer, input is read and discarded up to this time and kLingerBytes: closing a
+/// socket with unread input sends a reset, which can destroy the answer before it is read.
 constexpr base::Duration kLingerTime = base::seconds (2);
-/// During a planned stop, a caller that has connected may still send its first request this long.
+/// Time during a planned stop in which a new connection may still send its first request.
 constexpr base::Duration kFirstRequestGrace = base::milliseconds (250);
 constexpr std::size_t kLingerBytes = 4UL * 1024 * 1024;
 constexpr int kHexadecimal = 16;
@@ -195,8 +196,8 @@
     if (! m_isAnswering)
         return;
     m_hasKnownLength = hasKnownLength;
-    m_hidesBody = ! bodyIsAllowed (status);
-    m_isChunked = ! hasKnownLength && ! m_hidesBody && ! m_reader.isVersion10();
+    m_omitsBody = ! bodyIsAllowed (status);
+    m_isChunked = ! hasKnownLength && ! m_omitsBody && ! m_reader.isVersion10();
     const std::string length = headers.value ("Content-Length");
     m_remainingLength = 0;
     std::from_chars (length.data(), length.data() + length.size(), m_remainingLength);
@@ -217,7 +218,7 @@
 
 void Connection::writeAnswer (std::string_view data)
 {
-    if (! m_isAnswering || m_hidesBody || data.empty())
+    if (! m_isAnswering || m_omitsBody || data.empty())
         return;
     if (m_isChunked)
     {
@@ -239,7 +240,7 @@
 {
     if (! m_isAnswering)
         return;
-    const bool isTooShort = m_hasKnownLength && ! m_hidesBody && m_remainingLength > 0;
+    const bool isTooShort = m_hasKnownLength && ! m_omitsBody && m_remainingLength > 0;
     if (isTooShort)
     {
         abortAnswer();
--- a/src/http/Connection.h
+++ b/src/http/Connection.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One connection of a caller: reads checked requests one at a time and writes their answers.
+/// Server side of one connection: reads validated requests one at a time and writes their answers.
 
 #include <QObject>
 #include <QPointer>
@@ -20,26 +20,26 @@
 
 class ConnectionResponder;
 
-/// Owns the caller's socket. The next request is read only once the answer to the one before has
-/// been handed over, so answers never interleave.
+/// Owns the caller's socket. The next request is read only after the previous answer has ended, so
+/// answers never interleave.
 class Connection final : public QObject
 {
 public:
     Connection (const ServerLimits& limits, Handler& handler, ServerCounters& counters);
     ~Connection() override;
 
-    /// Takes over an accepted socket; false when the system refuses.
+    /// Takes ownership of an accepted socket; returns false if the system rejects it.
     bool open (qintptr descriptor);
-    /// Answers with an error before any request was read, and closes.
+    /// Answers with an error instead of calling the handler, and closes the connection.
     void reject (const base::Error& error);
     [[nodiscard]] FeedSocket* feedSocket() { return &m_feed; }
-    /// Qt's HTTP server has parsed the request that was delivered.
+    /// Called when Qt's HTTP server has parsed the delivered request; passes it to the handler.
     void onParsed (const std::string& body);
-    /// Closes after the answer in progress; when idle, closes now, or a moment later if no request
-    /// was read yet: it may be on its way.
+    /// Closes after the answer in progress. An idle connection is closed at once, or after a short
+    /// delay if it has served no request yet: its first request may be in transit.
     void closeWhenIdle();
     [[nodiscard]] bool isAnswering() const { return m_isAnswering || m_socket.bytesToWrite() > 0; }
-    /// `callback` runs once when the connection is closed and may be deleted.
+    /// `callback` runs once, when the connection has closed and may be deleted.
     void onFinished (std::function<void()> callback) { m_finished = std::move (callback); }
 
     // Used by the responder.
@@ -83,19 +83,19 @@
     FeedSocket m_feed;
     QTimer m_timer;
     RequestReader m_reader;
-    std::string m_unread;  ///< Received bytes that belong to later requests.
+    std::string m_unread;  ///< Received bytes not consumed by the reader yet.
     std::function<void()> m_finished;
     std::weak_ptr<ConnectionResponder> m_responder;
 
     Phase m_phase = Phase::kIdle;
     bool m_isProcessing = false;
     bool m_isAnswering = false;
-    bool m_hasServed = false;  ///< At least one whole request was read.
+    bool m_hasServed = false;  ///< At least one complete request was read.
     bool m_wasParsed = false;
     bool m_headersDone = false;  ///< The header block of the request being read is complete.
     bool m_closesAfterAnswer = false;
     bool m_isChunked = false;  ///< Framing of the answer in progress.
-    bool m_hidesBody = false;  ///< The answer may not have a body (HEAD, 204, 304).
+    bool m_omitsBody = false;  ///< The answer must not have a body (HEAD, 204, 304).
     bool m_hasKnownLength = false;
     std::size_t m_remainingLength = 0;
     std::size_t m_discarded = 0;
--- a/src/http/ConnectionResponder.h
+++ b/src/http/ConnectionResponder.h
@@ -12,7 +12,7 @@
 namespace fernlift::http
 {
 
-/// Survives its connection: every call after the connection has closed does nothing.
+/// May outlive its connection: calls after the connection has closed have no effect.
 class ConnectionResponder final : public Responder
 {
 public:
@@ -29,7 +29,7 @@
     void onClosed (std::function<void()> callback) override { m_closed = std::move (callback); }
     void onDrained (std::function<void()> callback) override { m_drained = std::move (callback); }
 
-    /// The connection closed before the answer was finished.
+    /// Called when the connection closes before the answer has ended.
     void notifyClosed();
     void notifyDrained();
 
--- a/src/http/ConnectionSlots.cpp
+++ b/src/http/ConnectionSlots.cpp
@@ -5,7 +5,7 @@
 namespace
 {
 
-/// Connections idle for longer may be closed by the back end at any moment and are not reused.
+/// Connections idle for longer are not reused, as the back end may close them at any moment.
 constexpr base::Duration kMaximumIdle = base::seconds (15);
 
 }  // namespace
--- a/src/http/ConnectionSlots.h
+++ b/src/http/ConnectionSlots.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Names of connections to one back end, so that each exchange has a connection of its own.
+/// Connection names for one back end, so that each exchange uses a connection of its own.
 
 #include <cstdint>
 #include <string>
@@ -11,31 +11,33 @@
 namespace fernlift::http
 {
 
-/// Qt's network access keeps at most six connections for each peer name; with one name for each
-/// slot and one exchange for each slot at a time, there is no such limit and no queueing.
+/// Qt's network access opens at most six connections per peer name and queues further requests.
+/// With one name per slot and one exchange per slot at a time, neither the limit nor the queue
+/// applies.
 class ConnectionSlots
 {
 public:
     struct Slot
     {
         std::uint64_t number = 0;
-        bool isOpen = false;  ///< Its connection was open when last used.
+        bool isOpen = false;  ///< The connection stayed open after its last use.
         base::TimePoint lastUsed;
 
         [[nodiscard]] std::string name() const { return "slot-" + std::to_string (number); }
     };
 
-    /// A slot whose connection was used a moment ago if there is one, else one without a
-    /// connection.
+    /// Returns the slot with the most recently used open connection, or a slot without a connection
+    /// if there is none or a fresh connection is needed.
     Slot acquire (base::TimePoint now, bool needsFreshConnection);
-    /// Gives a slot back. Slots of broken or cancelled exchanges are not given back.
+    /// Returns a slot for reuse. Slots of broken or cancelled exchanges must not be returned.
     void release (Slot slot, bool isOpen, base::TimePoint now);
-    /// Uses none of the open connections again: one that was used like them has gone silent.
+    /// Stops the reuse of all open connections, after another one to this back end stopped
+    /// responding.
     void forgetOpen() { m_open.clear(); }
 
 private:
-    std::vector<Slot> m_open;    ///< The most recently used one last.
-    std::vector<Slot> m_closed;  ///< Their connections were closed by the back end's own wish.
+    std::vector<Slot> m_open;    ///< Slots by last use, the most recent last.
+    std::vector<Slot> m_closed;  ///< Slots whose connection ended with `Connection: close`.
     std::uint64_t m_next = 0;
 };
 
--- a/src/http/ErrorResponse.cpp
+++ b/src/http/ErrorResponse.cpp
@@ -18,7 +18,7 @@
     return QString::fromUtf8 (text.data(), static_cast<qsizetype> (text.size()));
 }
 
-std::int64_t wholeSecondsAbove (base::Duration duration)
+std::int64_t roundUpToSeconds (base::Duration duration)
 {
     const auto seconds = std::chrono::ceil<std::chrono::seconds> (duration).count();
     return std::max<std::int64_t> (seconds, 1);
@@ -58,7 +58,7 @@
         response.headers.add ("X-Request-Id", requestId);
     if (retryAfter)
     {
-        response.headers.add ("Retry-After", std::to_string (wholeSecondsAbove (*retryAfter)));
+        response.headers.add ("Retry-After", std::to_string (roundUpToSeconds (*retryAfter)));
     }
     return response;
 }
--- a/src/http/ErrorResponse.h
+++ b/src/http/ErrorResponse.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The one form of an error answer.
+/// Error answers in their common JSON form.
 
 #include <optional>
 #include <string>
@@ -12,7 +12,7 @@
 namespace fernlift::http
 {
 
-/// A whole answer, ready for Responder::send.
+/// A complete answer, ready for Responder::send.
 struct Response
 {
     int status = 200;
@@ -27,11 +27,12 @@
 [[nodiscard]] std::string errorJson (const base::Error& error, base::Execution execution,
                                      const std::string& requestId,
                                      std::optional<base::Duration> retryAfter);
-/// The answer with that object, the status of the error's kind, and Retry-After in whole seconds.
+/// The answer with errorJson() as body, the HTTP status of the error's kind, and Retry-After in
+/// whole seconds.
 [[nodiscard]] Response errorResponse (const base::Error& error, base::Execution execution,
                                       const std::string& requestId = {},
                                       std::optional<base::Duration> retryAfter = std::nullopt);
-/// The same with the execution of the error's kind.
+/// As above, with the default execution of the error's kind.
 [[nodiscard]] Response errorResponse (const base::Error& error);
 /// An answer with a JSON body.
 [[nodiscard]] Response jsonResponse (int status, std::string json);
--- a/src/http/FeedSocket.cpp
+++ b/src/http/FeedSocket.cpp
@@ -10,7 +10,7 @@
 FeedSocket::FeedSocket (Connection* connection) : m_connection (connection)
 {
     setOpenMode (QIODevice::ReadWrite);
-    // The HTTP server deletes sockets that aren't connected.
+    // The HTTP server deletes sockets that are not connected.
     setSocketState (QAbstractSocket::ConnectedState);
 }
 
@@ -29,7 +29,7 @@
 
 qint64 FeedSocket::bytesAvailable() const
 {
-    // The socket base class would ask its native socket, which this one has not.
+    // The base class would query a native socket, which does not exist here.
     // NOLINTNEXTLINE(bugprone-parent-virtual-call)
     return QIODevice::bytesAvailable() + static_cast<qint64> (m_pending.size() - m_position);
 }
--- a/src/http/FeedSocket.h
+++ b/src/http/FeedSocket.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The socket that Qt's HTTP server sees: it yields whole, checked requests and nothing else.
+/// In-memory socket through which Qt's HTTP server reads complete, validated requests only.
 
 #include <QTcpSocket>
 #include <string>
@@ -10,7 +10,7 @@
 
 class Connection;
 
-/// A socket without a network connection. The bytes it yields are those given to deliver().
+/// A socket without a network connection; reading from it returns the bytes passed to deliver().
 class FeedSocket final : public QTcpSocket
 {
 public:
@@ -21,9 +21,9 @@
 
     [[nodiscard]] Connection* connection() const { return m_connection; }
     void setPeer (const QHostAddress& address, quint16 port);
-    /// Lets the HTTP server read `bytes`; it has done so when this returns.
+    /// Makes `bytes` readable; the HTTP server has read them when this returns.
     void deliver (std::string bytes);
-    /// Whether the HTTP server refused what it read.
+    /// Whether the HTTP server has rejected the delivered bytes.
     [[nodiscard]] bool wasRefused() const { return m_wasRefused; }
 
     [[nodiscard]] qint64 bytesAvailable() const override;
--- a/src/http/FileWatcher.h
+++ b/src/http/FileWatcher.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Notices by time that a file has changed; needs no support of the file system for it.
+/// Detects changes of a file by polling, and so works on any file system.
 
 #include <QDateTime>
 #include <QTimer>
@@ -15,24 +15,24 @@
 class FileWatcher
 {
 public:
-    /// `onChanged` runs on the event loop when time or size of the file differ from those seen
-    /// last.
+    /// `onChanged` runs on the event loop when modification time or size of the file have changed.
+    /// A missing file is not a change.
     FileWatcher (std::string path, base::milliseconds interval, std::function<void()> onChanged);
 
 private:
-    struct Seen
+    struct FileState
     {
         QDateTime modified;
         qint64 size = -1;
 
-        bool operator== (const Seen&) const = default;
+        bool operator== (const FileState&) const = default;
     };
 
-    [[nodiscard]] Seen look() const;
+    [[nodiscard]] FileState readState() const;
 
     std::string m_path;
     std::function<void()> m_onChanged;
-    Seen m_seen;
+    FileState m_lastState;
     QTimer m_timer;
 };
 
--- a/src/http/FileWatcherTest.cpp
+++ b/src/http/FileWatcherTest.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-TEST (FileWatcherTest, AChangeIsNoticedOnceAndAFileThatIsGoneIsNone)
+TEST (FileWatcherTest, ReportsAChangeOnceAndIgnoresRemoval)
 {
     test::application();
     const QTemporaryDir folder;
--- a/src/http/HttpTestSupport.h
+++ b/src/http/HttpTestSupport.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Helpers of the tests: an event loop with a guard, and a caller that speaks raw bytes.
+/// Test helpers: running the event loop with a time limit, and a caller on a raw socket.
 
 #include <QCoreApplication>
 #include <QHostAddress>
@@ -15,7 +15,7 @@
 namespace fernlift::http::test
 {
 
-/// The one application object of a test binary.
+/// The single application object of a test program.
 inline QCoreApplication& application()
 {
     static int argumentCount = 1;
@@ -28,7 +28,7 @@
 /// Created before any test, as Qt's network classes need it.
 inline const QCoreApplication& globalApplication = application();
 
-/// Runs the event loop until `condition` holds; false if it doesn't within the guard time.
+/// Runs the event loop until `condition` holds; returns false if it does not within `guard`.
 inline bool waitUntil (const std::function<bool()>& condition,
                        std::chrono::seconds guard = std::chrono::seconds (20))
 {
@@ -43,7 +43,7 @@
     return true;
 }
 
-/// Runs the event loop for a while, to see that something does not happen.
+/// Runs the event loop for `duration`, to check that something does not happen.
 inline void runFor (std::chrono::milliseconds duration)
 {
     const auto limit = std::chrono::steady_clock::now() + duration;
@@ -79,7 +79,7 @@
         m_socket.write (bytes.data(), static_cast<qint64> (bytes.size()));
         m_socket.flush();
     }
-    /// Stops reading, so that the sender feels back-pressure.
+    /// Stops reading, which puts back-pressure on the sender.
     void stopReading (qint64 bufferBytes)
     {
         m_isReading = false;
--- a/src/http/Message.h
+++ b/src/http/Message.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Parts of HTTP messages that servers and clients share.
+/// HTTP message types shared by servers and clients.
 
 #include <QByteArray>
 #include <string>
@@ -12,7 +12,7 @@
 namespace fernlift::http
 {
 
-/// One header field. Names compare without regard to case.
+/// One header field. Names are case-insensitive.
 struct Header
 {
     std::string name;
@@ -30,11 +30,11 @@
 
     /// Adds a field and keeps earlier ones of the same name.
     void add (std::string name, std::string value);
-    /// Replaces all fields of that name by this one.
+    /// Replaces all fields with this name by one field.
     void set (std::string name, std::string value);
     void remove (std::string_view name);
     [[nodiscard]] bool contains (std::string_view name) const;
-    /// Value of the first field of that name; empty when there is none.
+    /// Value of the first field with this name; empty when there is none.
     [[nodiscard]] std::string value (std::string_view name) const;
     [[nodiscard]] std::size_t count (std::string_view name) const;
     [[nodiscard]] const std::vector<Header>& fields() const { return m_fields; }
@@ -43,7 +43,7 @@
     std::vector<Header> m_fields;
 };
 
-/// A whole request as a server received it.
+/// A complete request as received by a server.
 struct Request
 {
     std::string method;  ///< For example "POST".
@@ -53,15 +53,15 @@
     std::string body;
     base::SocketAddress peer;
 
-    /// Decoded value of the first query item of that name; empty when there is none.
+    /// Decoded value of the first query item with this name; empty when there is none.
     [[nodiscard]] std::string queryValue (std::string_view name) const;
 };
 
-/// Whether two header names or tokens are equal without regard to case (ASCII).
+/// Case-insensitive (ASCII) comparison of two header names or tokens.
 [[nodiscard]] bool equalsIgnoringCase (std::string_view left, std::string_view right);
 /// Reason phrase of a status code, for example "Not Found".
 [[nodiscard]] std::string_view reasonPhrase (int status);
-/// The bytes as a QByteArray that shares them; valid only as long as `bytes`.
+/// A QByteArray that refers to `bytes` without a copy; valid only as long as `bytes`.
 [[nodiscard]] inline QByteArray byteView (std::string_view bytes)
 {
     return QByteArray::fromRawData (bytes.data(), static_cast<qsizetype> (bytes.size()));
--- a/src/http/Metrics.cpp
+++ b/src/http/Metrics.cpp
@@ -41,7 +41,7 @@
     return escaped;
 }
 
-/// The labels as written between braces, without the braces.
+/// Labels in the text format, without the braces.
 std::string formatLabels (const Labels& labels)
 {
     std::string text;
--- a/src/http/Metrics.h
+++ b/src/http/Metrics.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Counters, gauges and histograms, written in the Prometheus text format.
+/// Counters, gauges and histograms, exported in the Prometheus text format.
 
 #include <cstdint>
 #include <functional>
@@ -35,14 +35,14 @@
     double m_value = 0;
 };
 
-/// Counts of observations at most as large as each bound.
+/// Counts observations in buckets with the given upper bounds.
 class Histogram
 {
 public:
     explicit Histogram (std::vector<double> bounds);
     void observe (double value);
     [[nodiscard]] const std::vector<double>& bounds() const { return m_bounds; }
-    /// Observations in each bucket alone; the last is beyond all bounds.
+    /// Observations per bucket, not cumulative; the last bucket is above all bounds.
     [[nodiscard]] const std::vector<std::uint64_t>& counts() const { return m_counts; }
     [[nodiscard]] double sum() const { return m_sum; }
 
@@ -52,10 +52,11 @@
     double m_sum = 0;
 };
 
-/// Upper bounds in seconds from 0.5 ms to 60 s, for latencies.
+/// Bucket bounds for latencies, in seconds, from 0.5 ms to 60 s.
 [[nodiscard]] std::vector<double> latencyBounds();
 
-/// The metrics of one process. References stay valid for the registry's life. Not thread-safe.
+/// Registry of the metrics of one process. Returned references stay valid as long as the registry.
+/// Not thread-safe.
 class Metrics
 {
 public:
@@ -64,11 +65,11 @@
     Gauge& gauge (const std::string& name, const std::string& help, const Labels& labels = {});
     Histogram& histogram (const std::string& name, const std::string& help,
                           const std::vector<double>& bounds, const Labels& labels = {});
-    /// `update` runs before each writing, to set gauges from elsewhere.
+    /// `update` runs before each export, to refresh gauges.
     void addUpdate (std::function<void()> update);
-    /// Appends ready text (whole families in the same format) at each writing.
+    /// Appends preformatted text (complete families in the same format) to each export.
     void addText (std::function<std::string()> text);
-    /// Adds processor time, resident memory and start time of this process.
+    /// Adds CPU time, resident memory and start time of this process.
     void addProcessMetrics();
 
     [[nodiscard]] std::string text();
@@ -79,7 +80,7 @@
     {
         std::string help;
         std::string type;
-        std::map<std::string, std::shared_ptr<Series>> series;  ///< Keyed by the written labels.
+        std::map<std::string, std::shared_ptr<Series>> series;  ///< Keyed by the formatted labels.
     };
     Series& seriesOf (const std::string& name, const std::string& help, const std::string& type,
                       const Labels& labels);
--- a/src/http/ProcessEndpoints.h
+++ b/src/http/ProcessEndpoints.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The endpoints every process has: /healthz, /readyz and /metrics.
+/// HTTP endpoints common to all processes: /healthz, /readyz and /metrics.
 
 #include <functional>
 #include <memory>
@@ -11,7 +11,7 @@
 namespace fernlift::http
 {
 
-/// Wraps `next` in a handler that answers GET /healthz (200 while the process lives), GET /readyz
+/// Wraps `next` in a handler that answers GET /healthz (200 while the process runs), GET /readyz
 /// (200 or 503 by `isReady`) and GET /metrics itself. `metrics` must outlive the handler.
 [[nodiscard]] Handler addProcessEndpoints (Handler next, std::function<bool()> isReady,
                                            Metrics& metrics);
--- a/src/http/RequestReader.cpp
+++ b/src/http/RequestReader.cpp
@@ -48,7 +48,7 @@
     return text.substr (first, text.find_last_not_of (" \t") - first + 1);
 }
 
-/// The whole of `text` as a number; nothing on any other character or on overflow.
+/// Parses all of `text` as a number; nothing on any other character or on overflow.
 std::optional<std::size_t> parseNumber (std::string_view text, int numberBase)
 {
     std::size_t number = 0;
@@ -59,7 +59,7 @@
     return number;
 }
 
-/// Whether a comma-separated list of tokens names `token`.
+/// Whether a comma-separated list of tokens contains `token`.
 bool listContains (std::string_view list, std::string_view token)
 {
     while (! list.empty())
@@ -72,7 +72,7 @@
     return false;
 }
 
-/// Fields that are not passed on because the reader has dealt with them.
+/// Fields that the reader handles itself and leaves out of the canonical form.
 bool isFramingField (std::string_view name)
 {
     return equalsIgnoringCase (name, "Transfer-Encoding")
@@ -248,7 +248,8 @@
                            && equalsIgnoringCase (m_headers.value ("Transfer-Encoding"), "chunked");
     if (! isChunked || m_isVersion10)
     {
-        fail (ErrorKind::kUnsupportedFraming, "the only transfer coding understood is chunked");
+        fail (ErrorKind::kUnsupportedFraming,
+              "unsupported transfer coding: only chunked is supported");
         return;
     }
     m_bodyPart = BodyPart::kChunkSize;
--- a/src/http/RequestReader.h
+++ b/src/http/RequestReader.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Incremental check of the framing of HTTP/1.1 requests. Pure: bytes in, whole requests out.
+/// Incremental reader of HTTP/1.1 requests that validates their framing. Does no I/O of its own.
 
 #include <cstddef>
 #include <cstdint>
@@ -13,16 +13,16 @@
 namespace fernlift::http
 {
 
-/// Bounds on one request.
+/// Size limits of one request.
 struct ReaderLimits
 {
     std::size_t headerBytes = 0;
     std::size_t bodyBytes = 0;
 };
 
-/// Reads one request at a time and holds at most its limits in memory. Anything that two parsers
-/// could understand differently is refused: bare line feeds, folded lines, more than one
-/// Content-Length, both Content-Length and Transfer-Encoding, codings other than chunked.
+/// Reads one request at a time and buffers no more than its limits. Rejects every request that two
+/// parsers could interpret differently (request smuggling): bare line feeds, folded lines, more
+/// than one Content-Length, both Content-Length and Transfer-Encoding, codings other than chunked.
 class RequestReader
 {
 public:
@@ -37,10 +37,10 @@
 
     explicit RequestReader (ReaderLimits limits) : m_limits (limits) {}
 
-    /// Consumes bytes up to the end of the current request and returns how many.
+    /// Consumes bytes up to the end of the current request and returns their number.
     std::size_t feed (std::string_view bytes);
     [[nodiscard]] State state() const { return m_state; }
-    /// What was wrong; valid in kFailed.
+    /// The reason of the failure; valid in kFailed.
     [[nodiscard]] const base::Error& error() const { return m_error; }
 
     // Valid from kBody on.
@@ -51,10 +51,10 @@
     [[nodiscard]] bool wantsClose() const;
     [[nodiscard]] bool expectsContinue() const;
 
-    /// The complete request in one plain form: with Content-Length, without Transfer-Encoding,
-    /// Upgrade and Expect. Leaves the body empty.
+    /// Serializes the complete request in canonical form: with Content-Length, without
+    /// Transfer-Encoding, Connection, Upgrade and Expect. Moves the body out.
     [[nodiscard]] std::string takeCanonicalBytes();
-    /// Starts over with the next request.
+    /// Resets the state to read the next request.
     void reset();
 
 private:
@@ -91,8 +91,8 @@
     bool m_isVersion10 = false;
     std::string m_body;
     BodyPart m_bodyPart = BodyPart::kPlain;
-    std::size_t m_remaining = 0;  ///< Bytes of the plain body or of the current chunk to come.
-    std::string m_line;           ///< Unfinished chunk-size or trailer line.
+    std::size_t m_remaining = 0;  ///< Bytes missing of the plain body or current chunk.
+    std::string m_line;           ///< Incomplete chunk-size or trailer line.
     std::size_t m_trailerBytes = 0;
 };
 
--- a/src/http/Server.cpp
+++ b/src/http/Server.cpp
@@ -17,7 +17,7 @@
 
 constexpr int kListenBacklog = 1024;
 
-/// Accepts connections and hands each descriptor to a function.
+/// Accepts connections and passes each descriptor to a callback.
 class Listener final : public QTcpServer
 {
 public:
@@ -38,8 +38,8 @@
     std::function<QTcpSocket*(qintptr)> m_accept;
 };
 
-/// Accepts what the system has accepted already: closing the listener would reset those.
-void takeWaitingConnections (QTcpServer& listener)
+/// Accepts the connections in the listen backlog, which would be reset by closing the listener.
+void acceptPendingConnections (QTcpServer& listener)
 {
     constexpr int kNoWait = 0;
     for (int count = 0; count < kListenBacklog; ++count)
@@ -49,7 +49,7 @@
     }
 }
 
-/// Qt's HTTP server over feed sockets.
+/// Qt's HTTP server, reading from feed sockets.
 class ParsingServer final : public QAbstractHttpServer
 {
 protected:
@@ -132,7 +132,7 @@
 {
     for (QTcpServer* const listener : m_server.servers())
     {
-        takeWaitingConnections (*listener);
+        acceptPendingConnections (*listener);
         listener->close();
     }
     const std::vector<Connection*> connections (m_connections.begin(), m_connections.end());
--- a/src/http/ServerLimitsTest.cpp
+++ b/src/http/ServerLimitsTest.cpp
@@ -18,7 +18,7 @@
 
 constexpr base::Duration kShort = milliseconds (50);
 
-/// A server that answers every whole request with "ok" and counts them.
+/// A server that answers every request with "ok" and counts the requests.
 class LimitedServer
 {
 public:
@@ -80,7 +80,7 @@
     EXPECT_EQ (limited.handled, 0);
 }
 
-TEST (ServerLimits, TakesABodyOfExactlyTheLimit)
+TEST (ServerLimits, AcceptsABodyOfExactlyTheLimit)
 {
     LimitedServer limited (ServerLimits{ .bodyBytes = 1000 });
     RawCaller caller (limited.address);
@@ -131,7 +131,7 @@
     {
         LimitedServer limited ({});
         RawCaller caller (limited.address);
-        // What a reader of the other framing would take for a second request.
+        // A parser that applies the other framing would read this as a second request.
         caller.write (post (fields) + "0\r\n\r\nGET /second HTTP/1.1\r\nHost: t\r\n\r\n");
         ASSERT_TRUE (caller.waitForClose()) << fields;
         EXPECT_TRUE (caller.received().starts_with ("HTTP/1.1 400")) << fields << caller.received();
@@ -157,7 +157,7 @@
     EXPECT_EQ (limited.handled, 0);
 }
 
-TEST (ServerLimits, RefusesASlowBodyThoughItKeepsMoving)
+TEST (ServerLimits, RefusesASlowBodyDespiteProgress)
 {
     LimitedServer limited (ServerLimits{ .requestTimeout = 2 * kShort });
     RawCaller caller (limited.address);
@@ -174,7 +174,7 @@
     EXPECT_EQ (limited.handled, 0);
 }
 
-TEST (ServerLimits, TellsWhenASlowCallerHasCaughtUpOrIsCutOff)
+TEST (ServerLimits, NotifiesWhenASlowCallerDrainsOrTimesOut)
 {
     constexpr std::size_t kLarge = 64UL * 1024 * 1024;
     for (const bool resumes : { true, false })
--- a/src/http/ServerTest.cpp
+++ b/src/http/ServerTest.cpp
@@ -43,7 +43,7 @@
     return count;
 }
 
-TEST (Server, HandsOverTheWholeRequest)
+TEST (Server, PassesTheCompleteRequestToTheHandler)
 {
     Server server;
     Request seen;
@@ -68,7 +68,7 @@
     EXPECT_TRUE (caller.received().starts_with ("HTTP/1.1 201 Created\r\nX-Answer: yes\r\n"));
 }
 
-TEST (Server, AnswersPipelinedRequestsWholeAndInOrder)
+TEST (Server, AnswersPipelinedRequestsInOrder)
 {
     Server server;
     std::vector<std::shared_ptr<Responder>> responders;
@@ -115,7 +115,7 @@
     EXPECT_NE (caller.received().find ("<abc0123456789>"), std::string::npos);
 }
 
-TEST (Server, TellsWhenTheCallerLeaves)
+TEST (Server, NotifiesWhenTheCallerDisconnects)
 {
     Server server;
     std::shared_ptr<Responder> kept;
@@ -176,7 +176,7 @@
     EXPECT_EQ (server.openResponses(), 0U);
 }
 
-TEST (Server, PlannedStopAnswersACallerThatHadJustConnected)
+TEST (Server, PlannedStopAnswersANewConnection)
 {
     Server server;
     server.setHandler ([] (const Request&, const std::shared_ptr<Responder>& responder)
@@ -190,13 +190,13 @@
     EXPECT_NE (caller.received().find ("done"), std::string::npos);
 }
 
-TEST (Server, PlannedStopAnswersConnectionsThatTheSystemHadAccepted)
+TEST (Server, PlannedStopAnswersConnectionsInTheBacklog)
 {
     Server server;
     server.setHandler ([] (const Request&, const std::shared_ptr<Responder>& responder)
                        { responder->send (200, {}, "done"); });
     const base::SocketAddress address = listenOnLoopback (server);
-    // Blocking calls, so that the server cannot take the connection before it stops.
+    // Blocking calls, so that the server cannot accept the connection before it stops.
     QTcpSocket caller;
     caller.connectToHost (QHostAddress (QString::fromStdString (address.host)), address.port);
     ASSERT_TRUE (caller.waitForConnected());
--- a/src/http/SignalWatcher.cpp
+++ b/src/http/SignalWatcher.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-// The write end of the pipe; a signal handler can only reach it through a global variable.
+// Write end of the self-pipe; a signal handler can access it only through a global variable.
 volatile std::sig_atomic_t signalPipe = -1;
 
 extern "C" void writeToSignalPipe (int signal)
--- a/src/http/SignalWatcher.h
+++ b/src/http/SignalWatcher.h
@@ -14,7 +14,7 @@
 {
 public:
     /// `onStop` runs on the event loop at each SIGTERM or SIGINT, `onReload` at each SIGHUP;
-    /// without `onReload` a SIGHUP is passed over.
+    /// without `onReload`, SIGHUP is ignored.
     explicit SignalWatcher (std::function<void()> onStop, std::function<void()> onReload = {});
     ~SignalWatcher();
     SignalWatcher (const SignalWatcher&) = delete;
--- a/src/http/StreamSocket.cpp
+++ b/src/http/StreamSocket.cpp
@@ -20,8 +20,8 @@
 {
 
 constexpr std::size_t kReadBytes = 64UL * 1024;
-/// Callers wait 5 s for the most urgent answers, and a lost packet is sent again within 0.2 s, 0.6
-/// s and 1.4 s.
+/// Below the 5 s that callers wait for the most urgent answers, and above the first three
+/// retransmissions of a lost packet, after 0.2 s, 0.6 s and 1.4 s.
 constexpr base::Duration kLongestSilence = base::seconds (4);
 
 void setOptions (int descriptor)
@@ -31,7 +31,7 @@
     base::endWhenSilent (descriptor, kLongestSilence);
 }
 
-/// Drops a notifier that may be in the middle of emitting its signal.
+/// Releases a notifier that may be emitting its signal at the moment.
 void dropLater (std::unique_ptr<QSocketNotifier>& notifier)
 {
     if (! notifier)
@@ -58,7 +58,7 @@
         return;
     }
     setOptions (m_descriptor);
-    // The socket interface wants the general type.
+    // connect() takes the generic address type.
     // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast)
     const auto* const general = reinterpret_cast<const sockaddr*> (&target);
     if (::connect (m_descriptor, general, sizeof target) != 0 && errno != EINPROGRESS)
@@ -116,7 +116,7 @@
         }
         if (errno == EINTR)
             continue;
-        // What the peer sent before may still be read; the end shows there.
+        // Data that the peer sent earlier may still be readable; onReadable() reports the end.
         m_hasWriteFailed = errno != EAGAIN && errno != EWOULDBLOCK;
         break;
     }
@@ -158,19 +158,19 @@
 
 void StreamSocket::finishLater (StreamEnd end)
 {
-    m_lateEnd = std::make_unique<QTimer>();
-    m_lateEnd->setSingleShot (true);
-    QObject::connect (m_lateEnd.get(), &QTimer::timeout, m_lateEnd.get(),
+    m_deferredEnd = std::make_unique<QTimer>();
+    m_deferredEnd->setSingleShot (true);
+    QObject::connect (m_deferredEnd.get(), &QTimer::timeout, m_deferredEnd.get(),
                       [this, end] { finish (end); });
-    m_lateEnd->start (0);
+    m_deferredEnd->start (0);
 }
 
 void StreamSocket::close()
 {
-    if (m_lateEnd)
+    if (m_deferredEnd)
     {
-        m_lateEnd->disconnect();
-        m_lateEnd.release()->deleteLater();
+        m_deferredEnd->disconnect();
+        m_deferredEnd.release()->deleteLater();
     }
     m_state = State::kClosed;
     dropLater (m_readNotifier);
--- a/src/http/StreamSocket.h
+++ b/src/http/StreamSocket.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// A TCP connection on the event loop that tells an orderly end from a reset. QTcpSocket reports
-/// both as a close by the peer, but an answer that ends with its connection is whole only after the
-/// former.
+/// A TCP connection on the event loop that distinguishes an orderly close from a reset. QTcpSocket
+/// reports both as a close by the peer, but an answer that ends with its connection is complete
+/// only after the former.
 
 #include <QSocketNotifier>
 #include <QTimer>
@@ -21,12 +21,12 @@
 /// How a connection ended.
 enum class StreamEnd : std::uint8_t
 {
-    kRefused,  ///< It never opened.
-    kOrderly,  ///< The peer closed it after all that it sent.
-    kBroken,   ///< It was reset, timed out or failed otherwise.
+    kRefused,  ///< The connection was never established.
+    kOrderly,  ///< The peer closed it; everything it sent was received.
+    kBroken,   ///< The connection was reset, timed out or failed otherwise.
 };
 
-/// Takes what happens on a socket. May destroy the socket from within each call.
+/// Receives the events of a socket. May destroy the socket from within any call.
 class StreamListener
 {
 public:
@@ -37,7 +37,7 @@
 
     virtual void onConnected() = 0;
     virtual void onData (std::string_view data) = 0;
-    /// Called at most once; nothing follows.
+    /// Called at most once, as the last call.
     virtual void onEnd (StreamEnd end) = 0;
 };
 
@@ -50,11 +50,11 @@
     StreamSocket (const StreamSocket&) = delete;
     StreamSocket& operator= (const StreamSocket&) = delete;
 
-    /// Begins to connect; onConnected or onEnd follows from the event loop.
+    /// Starts to connect; onConnected or onEnd is called later from the event loop.
     void connectTo (const base::SocketAddress& address);
-    /// Sends now what the system takes, the rest later. Only on an open connection.
+    /// Sends as much as the system accepts and buffers the rest. Ignored unless the socket is open.
     void write (std::string_view data);
-    /// Closes at once; the listener is not called any more.
+    /// Closes at once, without further calls to the listener.
     void close();
 
     [[nodiscard]] bool isOpen() const { return m_state == State::kOpen; }
@@ -83,8 +83,8 @@
     std::string m_unsent;
     std::unique_ptr<QSocketNotifier> m_readNotifier;
     std::unique_ptr<QSocketNotifier> m_writeNotifier;
-    std::unique_ptr<QTimer> m_lateEnd;
-    std::shared_ptr<bool> m_lifetime = std::make_shared<bool> (true);  ///< Ends with the socket.
+    std::unique_ptr<QTimer> m_deferredEnd;
+    std::shared_ptr<bool> m_lifetime = std::make_shared<bool> (true);  ///< Expires with the socket.
 };
 
 }  // namespace fernlift::http
