--- a/src/log/Format.h
+++ b/src/log/Format.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Text and JSON forms of one log record. Pure, so that both can be tested without a sink.
+/// Formats a log record as text or JSON. Pure functions, so that both can be tested without a sink.
 
 #include <span>
 #include <string>
@@ -11,7 +11,7 @@
 namespace fernlift::log
 {
 
-/// Everything that is written of one event.
+/// All data written for one event.
 struct Record
 {
     std::string timestamp;  ///< ISO 8601 in UTC, with microseconds.
@@ -21,12 +21,13 @@
     std::span<const Field> fields;
 };
 
-/// "debug", "info", "warning" or "error".
+/// Returns "debug", "info", "warning" or "error".
 [[nodiscard]] std::string_view nameOf (Severity severity);
-/// One line without its end: fields follow the summary as name=value. A value with spaces, quotes
-/// or control characters is quoted and escaped, so that a record is always exactly one line.
+/// Returns one line without the newline; fields follow the summary as name=value. Values with
+/// spaces, quotes or control characters are quoted and escaped, so that a record is always exactly
+/// one line.
 [[nodiscard]] std::string formatText (const Record& record);
-/// One JSON object on one line without its end; the event's fields are under "fields".
+/// Returns one JSON object on one line, without the newline; the event's fields are under "fields".
 [[nodiscard]] std::string formatJson (const Record& record);
 
 }  // namespace fernlift::log
--- a/src/log/LineOutput.cpp
+++ b/src/log/LineOutput.cpp
@@ -16,7 +16,7 @@
 {
     advance (now);
     const bool isImportant = traits.severity >= Severity::kWarning;
-    const std::uint64_t bound = isImportant ? kImportantLinesASecond : kOrdinaryLinesASecond;
+    const std::uint64_t bound = isImportant ? kImportantLinesPerSecond : kOrdinaryLinesPerSecond;
     Counts& counts = m_counts[static_cast<Event> (traits.number)];
     if (counts.written >= bound)
     {
@@ -55,7 +55,7 @@
 
 bool LineOutput::write (std::string_view line) const
 {
-    // A pipe that is ready takes this much without blocking.
+    // A pipe that polls writable accepts up to PIPE_BUF bytes without blocking.
     std::string whole (line.substr (0, PIPE_BUF - 1));
     whole.push_back ('\n');
     pollfd readiness{ m_descriptor, POLLOUT, 0 };
--- a/src/log/LineOutput.h
+++ b/src/log/LineOutput.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Where log lines go: a bounded flow that never blocks the process.
+/// Rate-limited, non-blocking output of log lines.
 
 #include <cstdint>
 #include <map>
@@ -14,26 +14,26 @@
 namespace fernlift::log
 {
 
-/// Lines that were left out, by event.
+/// Number of omitted lines of one event.
 struct OmittedLines
 {
     Event event = Event::kProcessStarted;
     std::uint64_t count = 0;
 };
 
-/// Bounds the lines of each event in each second. Pure. Events of the severity info or lower have a
-/// bound of their own below that of warnings and errors, so that ordinary lines give way first.
+/// Limits the lines of each event per second. Does no I/O. The limit for severities up to info is
+/// below that for warnings and errors, so that ordinary lines are dropped first.
 class LineBudget
 {
 public:
-    static constexpr std::uint64_t kOrdinaryLinesASecond = 100;
-    static constexpr std::uint64_t kImportantLinesASecond = 400;
+    static constexpr std::uint64_t kOrdinaryLinesPerSecond = 100;
+    static constexpr std::uint64_t kImportantLinesPerSecond = 400;
 
-    /// Whether a line of this event may be written now.
+    /// Whether a line of this event may be written now; counts it as written or omitted.
     bool admit (const EventTraits& traits, base::TimePoint now);
-    /// A line could not be written after all.
+    /// Counts an admitted line that could not be written.
     void noteOmitted (Event event);
-    /// The counts of an ended second in which lines were left out; empty while there are none.
+    /// Removes and returns the omitted lines of past seconds that were not reported yet.
     [[nodiscard]] std::vector<OmittedLines> takeOmitted (base::TimePoint now);
 
 private:
@@ -47,16 +47,16 @@
 
     std::int64_t m_second = 0;
     std::map<Event, Counts> m_counts;
-    std::map<Event, std::uint64_t> m_omitted;  ///< Of ended seconds, not reported yet.
+    std::map<Event, std::uint64_t> m_omitted;  ///< Counts of past seconds, not reported yet.
 };
 
-/// Writes whole lines to a file descriptor, or drops them while its reader does not take any.
+/// Writes complete lines to a file descriptor and drops them while a write would block.
 class LineOutput
 {
 public:
     explicit LineOutput (int descriptor) : m_descriptor (descriptor) {}
 
-    /// False when the line was dropped. Longer lines than a pipe takes at once are cut.
+    /// Returns false if the line was dropped. Lines longer than an atomic pipe write are truncated.
     bool write (std::string_view line) const;
 
 private:
--- a/src/log/Log.cpp
+++ b/src/log/Log.cpp
@@ -64,7 +64,7 @@
     stream << (options.format == Format::kJson ? formatJson (record) : formatText (record));
 }
 
-/// Sink backend that drops lines rather than wait for the reader.
+/// Sink backend that drops lines instead of blocking on the stream.
 class LineBackend final
     : public boostlog::sinks::basic_formatted_sink_backend<
           char, boostlog::sinks::combine_requirements<boostlog::sinks::synchronized_feeding>::type>
@@ -104,7 +104,7 @@
     return sink;
 }
 
-/// The sink of this process.
+/// Process-wide log output: sink, logger and rate limit.
 class Output
 {
 public:
@@ -126,7 +126,7 @@
 
     Logger& logger() { return m_logger; }
 
-    /// Whether a line may be written; `omitted` gets the counts that are due to be told.
+    /// Whether a line may be written; `omitted` receives the counts to report.
     bool admit (const EventTraits& traits, std::vector<OmittedLines>* omitted)
     {
         const std::lock_guard lock (m_budgetMutex);
@@ -149,7 +149,7 @@
     LineBudget m_budget;
 };
 
-/// Lives until the process ends, so that events can be written from any destructor.
+/// Never destroyed, so that events can be written from any destructor.
 Output& output()
 {
     static Output* const instance = []
@@ -180,7 +180,7 @@
         if (traits.number == static_cast<int> (event))
             return traits;
     }
-    std::abort();  // Every enumerator comes from the same list as the table.
+    std::abort();  // Unreachable: enumerators and table are generated from the same list.
 }
 
 void initialize (const Options& options) { output().replaceSink (options); }
--- a/src/log/Log.h
+++ b/src/log/Log.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Structured log of numbered events, written by Boost.Log as JSON lines or text.
+/// Structured log of numbered events, written through Boost.Log as JSON lines or text.
 
 #include <cstdint>
 #include <initializer_list>
@@ -22,21 +22,21 @@
     kError
 };
 
-/// One row of the catalogue of events.
+/// One entry of the event catalogue.
 struct EventTraits
 {
-    int number = 0;         ///< Stable number; thousands tell the module.
+    int number = 0;         ///< Stable number; the thousands digit identifies the module.
     std::string_view name;  ///< For example "RouterStarted"; kRouterStarted in the code.
     Severity severity = Severity::kInfo;
     std::string_view summary;  ///< The message of the event.
-    std::string_view action;   ///< What an operator should make of it.
+    std::string_view action;   ///< What an operator should do about it.
 };
 
-/// The closed list of events. Rows live in log/events/*.def, one file a module:
+/// All events. They are defined in log/events/*.def, one file per module, as
 /// FERNLIFT_EVENT(number, Name, Severity, "summary", "action")
 enum class Event : int
 {
-// An enumerator takes no parentheses.
+// An enumerator name cannot be parenthesized.
 // NOLINTNEXTLINE(bugprone-macro-parentheses)
 #define FERNLIFT_EVENT(number, name, severity, summary, action) k##name = number,
 #include "log/events/AllEvents.def"
@@ -71,7 +71,7 @@
     kJson
 };
 
-/// Standard stream that log lines go to.
+/// Standard stream that log lines are written to.
 enum class Destination : std::uint8_t
 {
     kStandardError,
@@ -87,12 +87,12 @@
     std::string instance;  ///< Identifier of this process, written with each event.
 };
 
-/// Sets up the process-wide sink. Without it, events at kInfo and above are written as text to
-/// standard error.
+/// Configures the process-wide sink. Before this call, events at kInfo and above are written as
+/// text to standard error.
 void initialize (const Options& options);
 
-/// Writes one event. Safe from any thread. Never blocks: lines beyond a bound a second for each
-/// event, and those that the reader of the stream does not take, are left out and counted.
+/// Writes one event. Thread-safe. Never blocks on the stream: lines above the rate limit of their
+/// event, and lines that the stream does not accept, are dropped and counted.
 void write (Event event, std::initializer_list<Field> fields = {});
 
 }  // namespace fernlift::log
--- a/src/log/LogTest.cpp
+++ b/src/log/LogTest.cpp
@@ -44,7 +44,7 @@
     }
 }
 
-TEST (LogTest, TextCarriesProgramInstanceNumberNameAndFields)
+TEST (LogTest, TextContainsProgramInstanceNumberNameAndFields)
 {
     const std::vector<Field> fields{ { "address", "127.0.0.1:80" }, { "attempt", 3 } };
     EXPECT_EQ (
@@ -53,7 +53,7 @@
         "not listen on an address address=127.0.0.1:80 attempt=3");
 }
 
-TEST (LogTest, TextValueCannotForgeALineOrAField)
+TEST (LogTest, TextEscapesLineBreaksAndSeparatorsInValues)
 {
     const std::vector<Field> fields{ { "path", "a\nb other=1\\\"\x01"s }, { "empty", "" } };
     const std::string line = formatText (recordOf (fields));
@@ -61,7 +61,7 @@
     EXPECT_TRUE (line.ends_with (R"( path="a\nb other=1\\\"\x01" empty="")")) << line;
 }
 
-TEST (LogTest, JsonCarriesEveryPart)
+TEST (LogTest, JsonContainsAllParts)
 {
     const std::vector<Field> fields{ { "path", "a\nb\"" } };
     const std::string line = formatJson (recordOf (fields));
@@ -94,12 +94,12 @@
     EXPECT_NE (captured (options, Event::kListenFailed), "");
 }
 
-TEST (LogTest, EventsHaveABoundASecondAndTheRestIsCounted)
+TEST (LogTest, LimitsLinesPerSecondAndCountsOmittedOnes)
 {
     LineBudget budget;
     const EventTraits& ordinary = traitsOf (Event::kProcessStarted);
     const base::TimePoint start{ base::seconds (7) };
-    for (std::uint64_t line = 0; line < LineBudget::kOrdinaryLinesASecond; ++line)
+    for (std::uint64_t line = 0; line < LineBudget::kOrdinaryLinesPerSecond; ++line)
     {
         EXPECT_TRUE (budget.admit (ordinary, start));
     }
@@ -113,7 +113,7 @@
     EXPECT_TRUE (budget.admit (ordinary, start + base::seconds (1)));
 }
 
-TEST (LogTest, AFullPipeDropsLinesAndHoldsNothingUp)
+TEST (LogTest, DropsLinesWithoutBlockingOnAFullPipe)
 {
     std::array<int, 2> ends{};
     ASSERT_EQ (::pipe (ends.data()), 0);
