--- a/src/http/BackEndConnection.cpp
+++ b/src/http/BackEndConnection.cpp
@@ -10,7 +10,8 @@
 namespace
 {
 
-/// Keep-alive time assumed for a runner that does not state one.
+/// Keep-alive time assumed for a runner that states none. It is short, as the runner may close the
+/// connection at any moment.
 constexpr base::Duration kDefaultKeepAlive = base::seconds (2);
 /// Connections are not reused this long before the end of their keep-alive time: the runner closes
 /// them at its end, and requests in flight at that moment are lost.
@@ -178,8 +179,8 @@
 void BackEndConnection::finish()
 {
     m_isActive = false;
-    // Surplus bytes belong to no request, and an unsent rest of the request body would run into the
-    // next request.
+    // Surplus bytes belong to no request, and an unsent remainder of the request body would run
+    // into the next request.
     if (! m_buffer.empty() || m_socket.bytesToWrite() > 0)
         m_isPersistent = false;
     if (m_listener != nullptr)
