--- a/src/programs/fernlift-controller.cpp
+++ b/src/programs/fernlift-controller.cpp
@@ -1,4 +1,4 @@
-/// One member of a cell's controller quorum.
+/// Main function of fernlift-controller, one member of a cell's controller quorum.
 
 #include <QCoreApplication>
 
@@ -19,8 +19,8 @@
 using fernlift::controller::ControllerSettings;
 namespace log = fernlift::log;
 
-/// Starts the process; the exit code when it cannot start.
-std::optional<int> startOrExplain (ControllerProcess& process)
+/// Starts the process. On failure logs the error and returns the exit code.
+std::optional<int> startOrLogError (ControllerProcess& process)
 {
     return fernlift::base::handleErrors (
         [&]() -> fernlift::base::Result<std::optional<int>>
@@ -37,7 +37,7 @@
         });
 }
 
-/// How often the settings file is looked at.
+/// Interval at which the settings file is checked for changes.
 constexpr fernlift::base::milliseconds kSettingsInterval (2000);
 
 fernlift::config::CommandLineOutcome readSettings (int argc, char** argv,
@@ -53,7 +53,7 @@
 
 int main (int argc, char** argv)
 {
-    // Qt's own event dispatcher takes less time for each event than the one over GLib.
+    // Qt's own event dispatcher has less overhead per event than the GLib dispatcher.
     qputenv ("QT_NO_GLIB", "1");
     ControllerSettings settings;
     const auto outcome = readSettings (argc, argv, settings);
@@ -77,7 +77,7 @@
     }
     ControllerProcess process (settings, protocol,
                                [] (int exitCode) { QCoreApplication::exit (exitCode); });
-    if (const auto exitCode = startOrExplain (process))
+    if (const auto exitCode = startOrLogError (process))
         return *exitCode;
     const auto reload = [&]
     {
--- a/src/programs/fernlift-router.cpp
+++ b/src/programs/fernlift-router.cpp
@@ -1,5 +1,5 @@
-/// One router of a cell: takes callers' requests and sends each to a replica, or, as
-/// `fernlift-router forward`, to a runner of a registered service.
+/// Main function of fernlift-router, one router of a cell. It sends each request of a caller to a
+/// replica, or, as `fernlift-router forward`, to a runner of a registered service.
 
 #include <QCoreApplication>
 #include <functional>
@@ -25,19 +25,19 @@
 using fernlift::router::RouterSettings;
 namespace log = fernlift::log;
 
-/// How often the settings file is looked at.
+/// Interval at which the settings file is checked for changes.
 constexpr fernlift::base::milliseconds kSettingsInterval (2000);
 
-std::uint64_t drawSeed()
+std::uint64_t generateSeed()
 {
     std::random_device device;
     constexpr unsigned kBitsInDraw = 32;
     return (static_cast<std::uint64_t> (device()) << kBitsInDraw) | device();
 }
 
-/// Starts the process; the exit code when it cannot start.
+/// Starts the process. On failure logs the error and returns the exit code.
 template <class Process>
-std::optional<int> startOrExplain (Process& process)
+std::optional<int> startOrLogError (Process& process)
 {
     return fernlift::base::handleErrors (
         [&]() -> fernlift::base::Result<std::optional<int>>
@@ -52,11 +52,11 @@
         });
 }
 
-/// Runs a process until its planned stop is done; the exit code.
+/// Runs a process until its graceful shutdown is complete, and returns the exit code.
 template <class Process>
 int runUntilStopped (Process& process, std::function<void()> onReload = {})
 {
-    if (const auto exitCode = startOrExplain (process))
+    if (const auto exitCode = startOrLogError (process))
         return *exitCode;
     const fernlift::http::SignalWatcher signalWatcher ([&process] { process.beginStop(); },
                                                        std::move (onReload));
@@ -65,9 +65,9 @@
     return exitCode;
 }
 
-/// Sets up the log for a program whose settings are read.
+/// Initializes logging from settings that have been read, and logs the start of the process.
 template <class Settings>
-void beginLog (Settings& settings)
+void initializeLogging (Settings& settings)
 {
     settings.logging.destination = log::Destination::kStandardOutput;
     settings.logging.program = "fernlift-router";
@@ -86,9 +86,9 @@
     if (outcome.exitCode)
         return *outcome.exitCode;
     const QCoreApplication application (argc, argv);
-    beginLog (settings);
+    initializeLogging (settings);
     const fernlift::base::SystemClock clock;
-    RouterProcess process (settings, clock, drawSeed(),
+    RouterProcess process (settings, clock, generateSeed(),
                            [] (int exitCode) { QCoreApplication::exit (exitCode); });
     return runUntilStopped (process);
 }
@@ -110,11 +110,11 @@
     if (outcome.exitCode)
         return *outcome.exitCode;
     const QCoreApplication application (argc, argv);
-    beginLog (settings);
+    initializeLogging (settings);
     const fernlift::base::SystemClock clock;
     fernlift::proxy::ProxyProcess process (
         settings, fernlift::platform::protocolNames(), &fernlift::platform::parseConfiguration,
-        clock, drawSeed(), [] (int exitCode) { QCoreApplication::exit (exitCode); });
+        clock, generateSeed(), [] (int exitCode) { QCoreApplication::exit (exitCode); });
     const auto reload = [&]
     {
         fernlift::proxy::ProxySettings changed;
@@ -134,7 +134,7 @@
 
 int main (int argc, char** argv)
 {
-    // Qt's own event dispatcher takes less time for each event than the one over GLib.
+    // Qt's own event dispatcher has less overhead per event than the GLib dispatcher.
     qputenv ("QT_NO_GLIB", "1");
     const bool isForwarder = argc > 1 && std::string_view (argv[1]) == "forward";
     return isForwarder ? runForwarder (argc - 1, argv + 1) : runRouter (argc, argv);
--- a/src/programs/fernliftctl.cpp
+++ b/src/programs/fernliftctl.cpp
@@ -1,4 +1,4 @@
-/// Operators' command line.
+/// Main function of fernliftctl, the operators' command-line tool.
 
 #include <QCoreApplication>
 #include <iostream>
