--- a/src/ctl/AdminTransport.h
+++ b/src/ctl/AdminTransport.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// What the client of the operators' interface needs from the network and the clock.
+/// Interface to the network and the clock for clients of the operators' HTTP interface. Tests
+/// replace it by a scripted one.
 
 #include <string>
 #include <variant>
@@ -11,25 +12,25 @@
 namespace fernlift::ctl
 {
 
-/// One request of the operators' interface.
+/// Request to the operators' HTTP interface.
 struct AdminCall
 {
     std::string method = "GET";
-    std::string path;  ///< Percent-encoded, with the query if any.
+    std::string path;  ///< Percent-encoded path, with the query if there is one.
     std::string body;
 };
 
-/// A whole HTTP answer.
+/// Complete HTTP response.
 struct AdminReply
 {
     int status = 0;
     std::string body;
 };
 
-/// A call without a whole answer.
+/// Failure of a call that got no complete response.
 struct AdminCallFailure
 {
-    bool mayHaveArrived = false;  ///< False: no byte of the call left this process.
+    bool mayHaveArrived = false;  ///< False if no byte of the call was sent.
     std::string message;
 };
 
@@ -43,10 +44,11 @@
     AdminTransport (const AdminTransport&) = delete;
     AdminTransport& operator= (const AdminTransport&) = delete;
 
-    /// Sends the call exactly once and waits for its end, at most for `timeout`.
+    /// Sends the call exactly once and waits up to `timeout` for the outcome.
     virtual AdminCallOutcome send (const base::SocketAddress& address, const AdminCall& call,
                                    base::Duration timeout) = 0;
     [[nodiscard]] virtual base::TimePoint now() = 0;
+    /// Blocks the caller for `duration`.
     virtual void pause (base::Duration duration) = 0;
 };
 
--- a/src/ctl/CatalogueDiff.cpp
+++ b/src/ctl/CatalogueDiff.cpp
@@ -9,9 +9,9 @@
 namespace
 {
 
-/// Keys of one item with their values as text.
+/// Values of one item as text, by key.
 using Values = std::map<std::string, std::string>;
-/// Items by their titles, for example "model assistant-small".
+/// Values of all items, by kind and name, for example "model assistant-small".
 using Items = std::map<std::string, Values>;
 
 template <class Number>
@@ -107,7 +107,7 @@
 
 }  // namespace
 
-std::string_view nameOf (ChangeKind kind)
+std::string_view toString (ChangeKind kind)
 {
     switch (kind)
     {
--- a/src/ctl/CatalogueDiff.h
+++ b/src/ctl/CatalogueDiff.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Differences between two catalogues, as an operator wants to read them before applying one.
+/// Compares two catalogues and lists the differences for an operator who is about to apply one.
 
 #include <cstdint>
 #include <string>
@@ -19,22 +19,22 @@
     kChanged
 };
 
-/// One difference.
+/// Added or removed item, or changed value of an item.
 struct CatalogueChange
 {
     ChangeKind kind = ChangeKind::kChanged;
-    std::string item;    ///< For example "model assistant-small".
-    std::string key;     ///< Key whose value changed; empty for an added or removed item.
-    std::string before;  ///< Empty unless kind is kChanged.
-    std::string after;   ///< Empty unless kind is kChanged.
+    std::string item;    ///< Kind and name of the item, for example "model assistant-small".
+    std::string key;     ///< Key of the changed value; empty for an added or removed item.
+    std::string before;  ///< Value as text; empty unless kind is kChanged.
+    std::string after;   ///< Value as text; empty unless kind is kChanged.
 
     bool operator== (const CatalogueChange&) const = default;
 };
 
-/// "added", "removed" or "changed".
-[[nodiscard]] std::string_view nameOf (ChangeKind kind);
+/// Returns "added", "removed" or "changed".
+[[nodiscard]] std::string_view toString (ChangeKind kind);
 
-/// All differences that lead from `before` to `after`. The order of items in a file does not count.
+/// Returns all changes that turn `before` into `after`. The order of items in a file is ignored.
 [[nodiscard]] std::vector<CatalogueChange> compareCatalogues (const config::Catalogue& before,
                                                               const config::Catalogue& after);
 
--- a/src/ctl/CatalogueDiffTest.cpp
+++ b/src/ctl/CatalogueDiffTest.cpp
@@ -25,7 +25,7 @@
     return catalogue;
 }
 
-TEST (CatalogueDiffTest, EqualCataloguesDoNotDifferWhateverTheOrder)
+TEST (CatalogueDiffTest, IgnoresTheOrderOfItems)
 {
     const config::Catalogue before = exampleCatalogue();
     config::Catalogue after = before;
@@ -33,7 +33,7 @@
     EXPECT_TRUE (compareCatalogues (before, after).empty());
 }
 
-TEST (CatalogueDiffTest, NamesAddedRemovedAndChangedItems)
+TEST (CatalogueDiffTest, ListsAddedRemovedAndChangedItems)
 {
     const config::Catalogue before = exampleCatalogue();
     config::Catalogue after = before;
--- a/src/ctl/CellCommands.cpp
+++ b/src/ctl/CellCommands.cpp
@@ -23,10 +23,12 @@
 
 constexpr const char* kMembersPath = "/admin/v1/members";
 constexpr const char* kQuarantinePath = "/admin/v1/quarantine";
-constexpr base::Duration kOneAnswerTimeout = base::seconds (4);
+constexpr base::Duration kAnswerTimeout = base::seconds (4);
 constexpr int kHttpOk = 200;
-constexpr std::size_t kAddArguments = 5;     ///< add ID PEER_ADDRESS ADMIN_ADDRESS ZONE
-constexpr std::size_t kChangeArguments = 2;  ///< remove ID, promote ID
+/// Number of arguments of "add ID PEER_ADDRESS ADMIN_ADDRESS ZONE".
+constexpr std::size_t kAddArguments = 5;
+/// Number of arguments of "remove ID" and "promote ID".
+constexpr std::size_t kChangeArguments = 2;
 
 ControllerClient clientOf (const CommandContext& context)
 {
@@ -47,7 +49,7 @@
     return report;
 }
 
-/// What consensus says in an answer of `status` or `members`.
+/// Consensus state in a response to `status`, which nests it under "raft", or to `members`.
 QJsonObject raftOf (const QJsonObject& answer)
 {
     return answer.contains (u"raft") ? answer.value (u"raft").toObject() : answer;
@@ -60,8 +62,9 @@
 
 qint64 termOf (const QJsonObject& answer) { return raftOf (answer).value (u"term").toInteger(); }
 
-/// Address of the leader that the answer of another member names.
-std::optional<base::SocketAddress> leaderNamedBy (const QJsonObject& answer)
+/// Admin address of the leader, from a member's response; nullopt if the leader is not in its list
+/// of members or the address is invalid.
+std::optional<base::SocketAddress> leaderAddressIn (const QJsonObject& answer)
 {
     const QJsonObject raft = raftOf (answer);
     const QJsonArray members = raft.value (u"members").toArray();
@@ -82,21 +85,21 @@
     return std::nullopt;
 }
 
-/// One answer of one controller; nothing when it is silent or answers with an error.
-std::optional<QJsonObject> askOnce (const CommandContext& context,
-                                    const base::SocketAddress& address, const AdminCall& call)
+/// Sends the call once to one controller; nullopt if there is no response or it is an error.
+std::optional<QJsonObject> fetchOnce (const CommandContext& context,
+                                      const base::SocketAddress& address, const AdminCall& call)
 {
     const base::Duration left = context.deadline - context.transport.now();
     const AdminCallOutcome outcome =
-        context.transport.send (address, call, std::min (left, kOneAnswerTimeout));
+        context.transport.send (address, call, std::min (left, kAnswerTimeout));
     const auto* const reply = std::get_if<AdminReply> (&outcome);
     if (reply == nullptr || reply->status != kHttpOk)
         return std::nullopt;
     return QJsonDocument::fromJson (QByteArray::fromStdString (reply->body)).object();
 }
 
-/// The leader's answer: it alone knows the members' lag and the routers. When no controller leads,
-/// the answer of the highest term.
+/// Fetches the leader's response, since only the leader has the lag of the members and the routers.
+/// Without a reachable leader, returns the response with the highest term.
 base::Result<CommandReport> fetchFromLeader (const CommandContext& context, const std::string& path)
 {
     const AdminCall call{ "GET", path, "" };
@@ -104,13 +107,13 @@
     std::optional<QJsonObject> best;
     for (std::size_t next = 0; next < addresses.size(); ++next)
     {
-        const std::optional<QJsonObject> answer = askOnce (context, addresses[next], call);
+        const std::optional<QJsonObject> answer = fetchOnce (context, addresses[next], call);
         if (! answer)
             continue;
-        const std::optional<base::SocketAddress> hint = leaderNamedBy (*answer);
+        const std::optional<base::SocketAddress> hint = leaderAddressIn (*answer);
         const auto later = addresses.begin() + static_cast<std::ptrdiff_t> (next) + 1;
-        const bool isAsked = hint && std::find (addresses.begin(), later, *hint) != later;
-        if (hint && ! isAsked)
+        const bool isListed = hint && std::find (addresses.begin(), later, *hint) != later;
+        if (hint && ! isListed)
             addresses.insert (later, *hint);
         if (! best || isFromLeader (*answer) || termOf (*answer) > termOf (*best))
             best = answer;
@@ -124,7 +127,7 @@
     return report;
 }
 
-/// Asks one router after the other which of them remembers the request.
+/// Queries one router after the other until one has a record of the request.
 base::Result<CommandReport> explainRequest (const CommandContext& context, const std::string& id)
 {
     if (context.options.routers.empty())
@@ -132,14 +135,14 @@
         return base::fail (ErrorKind::kUsage, "no router is given; use --router IP:PORT");
     }
     const AdminCall call{ "GET", "/admin/v1/explain/request/" + encoded (id), "" };
-    std::string silent;
+    std::string unanswered;
     for (const base::SocketAddress& router : context.options.routers)
     {
-        const AdminCallOutcome outcome = context.transport.send (router, call, kOneAnswerTimeout);
+        const AdminCallOutcome outcome = context.transport.send (router, call, kAnswerTimeout);
         const auto* const reply = std::get_if<AdminReply> (&outcome);
         if (reply == nullptr)
         {
-            silent += " " + router.toString();
+            unanswered += " " + router.toString();
             continue;
         }
         constexpr int kHttpNotFound = 404;
@@ -151,12 +154,13 @@
         report.json.insert (u"router", toQString (router.toString()));
         return report;
     }
-    if (! silent.empty())
+    if (! unanswered.empty())
     {
-        return base::fail (ErrorKind::kConnectionFailed,
-                           "no router that answered remembers the request; silent:" + silent);
+        return base::fail (
+            ErrorKind::kConnectionFailed,
+            "no router that answered has a record of the request; no answer from:" + unanswered);
     }
-    return base::fail (ErrorKind::kNotFound, "none of the routers remembers the request");
+    return base::fail (ErrorKind::kNotFound, "none of the routers has a record of the request");
 }
 
 base::Result<base::MemberId> parseMemberId (const std::string& text)
@@ -172,7 +176,7 @@
     return static_cast<base::MemberId> (id);
 }
 
-/// A change of the members.
+/// Requested change of the membership.
 struct MemberChange
 {
     std::string action;  ///< "add", "promote" or "remove".
@@ -213,7 +217,7 @@
     return change;
 }
 
-/// Whether the members already are as the change wants them.
+/// Whether the members in `answer` show that the change has been made.
 bool isDone (const MemberChange& change, const QJsonObject& answer)
 {
     const QJsonArray members = answer.value (u"members").toArray();
@@ -231,8 +235,8 @@
     return change.action == "add" || (*member).toObject().value (u"voter").toBool();
 }
 
-/// A change that was refused may have been made by an attempt whose answer was lost; then the
-/// members tell.
+/// Sends a membership change. If it is refused after an attempt whose response was lost, that
+/// attempt may have made the change, so the member list decides whether it succeeded.
 base::Result<QJsonObject> changeMembers (ControllerClient& client, const MemberChange& change)
 {
     const AdminCall call{ "POST", kMembersPath, toCompactJson (change.body) };
--- a/src/ctl/CellCommands.h
+++ b/src/ctl/CellCommands.h
@@ -7,12 +7,14 @@
 namespace fernlift::ctl
 {
 
-/// `status`: leader, members, runners, replicas and routers.
+/// `status`: shows the leader, members, runners, replicas and routers.
 base::Result<CommandReport> statusCommand (CommandContext& context);
-/// `explain KIND [NAME]`: the decisions about a model, runner, request or the configuration.
+/// `explain KIND [NAME]`: shows the decisions about a model, a runner, a request or the
+/// configuration.
 base::Result<CommandReport> explainCommand (CommandContext& context);
-/// `drain RUNNER`: sends no new work to a runner and moves its replicas; `--undo` ends that.
+/// `drain RUNNER`: stops new work for a runner and has its replicas moved; `--undo` cancels it.
 base::Result<CommandReport> drainCommand (CommandContext& context);
+/// `quarantine [release REQUEST|release-all]`: shows or releases quarantined requests.
 base::Result<CommandReport> quarantineCommand (CommandContext& context);
 /// `members [add ...|promote ID|remove ID]`: shows or changes the controllers of the cell.
 base::Result<CommandReport> membersCommand (CommandContext& context);
--- a/src/ctl/Command.h
+++ b/src/ctl/Command.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What every command of fernliftctl takes and gives.
+/// Types that all commands of fernliftctl share: context, report and table entry.
 
 #include <QJsonObject>
 #include <string>
@@ -16,26 +16,26 @@
 struct CommandContext
 {
     const CtlOptions& options;
-    std::vector<std::string> arguments;  ///< Those after the command's name.
+    std::vector<std::string> arguments;  ///< Positional arguments after the command's name.
     AdminTransport& transport;
-    base::TimePoint deadline;  ///< Of the whole command.
+    base::TimePoint deadline;  ///< Deadline of the whole command.
 };
 
-/// Result of a command that did not fail.
+/// Result of a successful command.
 struct CommandReport
 {
     QJsonObject json;
-    std::string text;  ///< Shown instead of a rendering of `json`, when not empty.
+    std::string text;  ///< If not empty, shown as text output in place of `json`.
     int exitCode = 0;
 };
 
 using CommandFunction = base::Result<CommandReport> (*) (CommandContext& context);
 
-/// One command.
+/// Entry of the table of commands.
 struct Command
 {
     std::string_view name;
-    std::string_view usage;  ///< Arguments, for example "FILE".
+    std::string_view usage;  ///< Arguments as the help shows them, for example "FILE".
     std::size_t minimumArguments = 0;
     std::size_t maximumArguments = 0;
     CommandFunction run = nullptr;
--- a/src/ctl/ConfigurationCommands.cpp
+++ b/src/ctl/ConfigurationCommands.cpp
@@ -20,10 +20,10 @@
 using base::ErrorKind;
 
 constexpr const char* kConfigurationPath = "/admin/v1/configuration";
-/// How long one request may wait at the controller for the routers.
-constexpr base::Duration kWaitOfOneRequest = base::seconds (2);
+/// Time that one request may wait at the controller for the routers to adopt the configuration.
+constexpr base::Duration kWaitPerRequest = base::seconds (2);
 
-/// A catalogue file as it was read.
+/// Catalogue file with its digest and parsed content.
 struct CatalogueFile
 {
     std::string text;
@@ -84,17 +84,17 @@
     };
 }
 
-/// The configuration in force.
-struct InForce
+/// Configuration that the cell uses.
+struct ConfigurationInForce
 {
-    std::uint64_t version = 0;  ///< 0: none yet.
+    std::uint64_t version = 0;  ///< 0 if no configuration has been applied yet.
     std::string digest;
     config::Catalogue catalogue;
 };
 
-base::Result<InForce> readInForce (const QJsonObject& answer)
+base::Result<ConfigurationInForce> parseInForce (const QJsonObject& answer)
 {
-    InForce inForce;
+    ConfigurationInForce inForce;
     inForce.version = static_cast<std::uint64_t> (answer.value (u"version").toInteger());
     if (inForce.version == 0)
         return inForce;
@@ -110,30 +110,30 @@
     return inForce;
 }
 
-base::Result<InForce> fetchInForce (ControllerClient& client)
+base::Result<ConfigurationInForce> fetchInForce (ControllerClient& client)
 {
     return recover (
-        [&]() -> base::Result<InForce>
+        [&]() -> base::Result<ConfigurationInForce>
         {
             BOOST_LEAF_AUTO (answer, client.call (AdminCall{ "GET", kConfigurationPath, "" }));
-            return readInForce (answer);
+            return parseInForce (answer);
         },
-        [] (const base::Error& error, const ReportedProblems&) -> base::Result<InForce>
+        [] (const base::Error& error, const ReportedProblems&) -> base::Result<ConfigurationInForce>
         {
             if (error.kind == ErrorKind::kNotFound)
-                return InForce{};
+                return ConfigurationInForce{};
             return boost::leaf::new_error (error);
         });
 }
 
-/// What apply would do with a file.
+/// Outcome that apply would have for a file.
 struct Verdict
 {
     std::string_view name;
     int exitCode = 0;
 };
 
-Verdict verdictOf (const CatalogueFile& file, const InForce& inForce)
+Verdict verdictOf (const CatalogueFile& file, const ConfigurationInForce& inForce)
 {
     const std::uint64_t version = file.catalogue.version;
     if (version > inForce.version)
@@ -154,7 +154,7 @@
     QJsonArray list;
     for (const CatalogueChange& change : changes)
     {
-        list.append (QJsonObject{ { QStringLiteral ("change"), toQString (nameOf (change.kind)) },
+        list.append (QJsonObject{ { QStringLiteral ("change"), toQString (toString (change.kind)) },
                                   { QStringLiteral ("item"), toQString (change.item) },
                                   { QStringLiteral ("key"), toQString (change.key) },
                                   { QStringLiteral ("before"), toQString (change.before) },
@@ -163,7 +163,7 @@
     return list;
 }
 
-std::string lineOf (const CatalogueChange& change)
+std::string formatChange (const CatalogueChange& change)
 {
     switch (change.kind)
     {
@@ -186,25 +186,27 @@
 AdminCall applyCall (const std::string& text, bool isWaiting)
 {
     const std::string query =
-        "?wait=1&timeout_ms=" + std::to_string (base::toMilliseconds (kWaitOfOneRequest));
+        "?wait=1&timeout_ms=" + std::to_string (base::toMilliseconds (kWaitPerRequest));
     return AdminCall{ "POST", kConfigurationPath + (isWaiting ? query : std::string()), text };
 }
 
-/// Adds to an error that the change may have been made by an attempt whose answer was lost.
-base::Result<QJsonObject> callNotingLostAnswers (ControllerClient& client, const AdminCall& call)
+/// Sends the call. If it fails after an attempt whose response was lost, adds to the error message
+/// that this attempt may have applied the file.
+base::Result<QJsonObject> callReportingLostAnswers (ControllerClient& client, const AdminCall& call)
 {
-    return recover ([&] { return client.call (call); },
-                    [&] (const base::Error& error,
-                         const ReportedProblems& problems) -> base::Result<QJsonObject>
-                    {
-                        base::Error noted = error;
-                        if (client.mayHaveRunBefore())
-                        {
-                            noted.message +=
-                                " (an earlier answer was lost: the file may have been in force)";
-                        }
-                        return boost::leaf::new_error (noted, problems);
-                    });
+    return recover (
+        [&] { return client.call (call); },
+        [&] (const base::Error& error,
+             const ReportedProblems& problems) -> base::Result<QJsonObject>
+        {
+            base::Error extended = error;
+            if (client.mayHaveRunBefore())
+            {
+                extended.message +=
+                    " (the answer to an earlier attempt was lost: the file may have been in force)";
+            }
+            return boost::leaf::new_error (extended, problems);
+        });
 }
 
 bool isUnavailability (ErrorKind kind)
@@ -213,10 +215,10 @@
            || kind == ErrorKind::kNoQuorum;
 }
 
-/// The answer to one more request for a file that was accepted before. While no controller answers,
-/// what is known stays as it is.
-base::Result<QJsonObject> askAgain (ControllerClient& client, const std::string& text,
-                                    const QJsonObject& known)
+/// Sends a file again that was accepted before, and returns the new response. While no controller
+/// responds, returns `known`, the response received last.
+base::Result<QJsonObject> repeatApply (ControllerClient& client, const std::string& text,
+                                       const QJsonObject& known)
 {
     return recover (
         [&] { return client.call (applyCall (text, true)); },
@@ -224,18 +226,21 @@
         {
             if (isUnavailability (error.kind))
                 return known;
-            return base::fail (error.kind, "the file was accepted; then: " + error.message);
+            return base::fail (
+                error.kind,
+                "the file was accepted, but waiting for the routers failed: " + error.message);
         });
 }
 
-/// Asks until an accepted file is in force at every live router, or the deadline passes.
+/// Repeats the request until an accepted file is in force at every live router or the deadline
+/// passes. The result of the first response is kept.
 base::Result<QJsonObject> waitInForce (const CommandContext& context, ControllerClient& client,
                                        const std::string& text, QJsonObject answer)
 {
     const QJsonValue firstResult = answer.value (u"result");
     while (! isInForceEverywhere (answer) && context.transport.now() < context.deadline)
     {
-        BOOST_LEAF_ASSIGN (answer, askAgain (client, text, answer));
+        BOOST_LEAF_ASSIGN (answer, repeatApply (client, text, answer));
     }
     answer.insert (u"result", firstResult);
     return answer;
@@ -267,7 +272,7 @@
     report.json.insert (u"verdict", toQString (verdict.name));
     report.json.insert (u"changes", toJson (changes));
     for (const CatalogueChange& change : changes)
-        report.text += lineOf (change);
+        report.text += formatChange (change);
     report.text += "version in force: " + std::to_string (inForce.version)
                    + ", version of the file: " + std::to_string (file.catalogue.version) + ": "
                    + std::string (verdict.name) + "\n";
@@ -278,7 +283,7 @@
 {
     BOOST_LEAF_AUTO (file, readCatalogueFile (context.arguments.front()));
     ControllerClient client (context.transport, context.options.controllers, context.deadline);
-    BOOST_LEAF_AUTO (answer, callNotingLostAnswers (client, applyCall (file.text, false)));
+    BOOST_LEAF_AUTO (answer, callReportingLostAnswers (client, applyCall (file.text, false)));
     if (context.options.isWaiting)
     {
         BOOST_LEAF_ASSIGN (answer, waitInForce (context, client, file.text, answer));
--- a/src/ctl/ConfigurationCommands.h
+++ b/src/ctl/ConfigurationCommands.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Commands that work on a catalogue file.
+/// Commands that check, compare or apply a catalogue file.
 
 #include "ctl/Command.h"
 
@@ -9,9 +9,10 @@
 
 /// `validate FILE`: checks the file without a controller.
 base::Result<CommandReport> validateCommand (CommandContext& context);
-/// `diff FILE`: compares the file with the configuration in force and says what apply would do.
+/// `diff FILE`: compares the file with the configuration in force and reports what apply would do.
 base::Result<CommandReport> diffCommand (CommandContext& context);
-/// `apply FILE`: puts the file in force.
+/// `apply FILE`: sends the file to the controllers as the cell's new configuration; `--wait` waits
+/// until every live router uses it.
 base::Result<CommandReport> applyCommand (CommandContext& context);
 
 }  // namespace fernlift::ctl
--- a/src/ctl/ControllerClient.cpp
+++ b/src/ctl/ControllerClient.cpp
@@ -13,8 +13,11 @@
 
 using base::ErrorKind;
 
-constexpr base::Duration kPauseBetweenRounds = base::milliseconds (200);
-/// A controller that is silent for longer is taken for cut off or frozen.
+/// Delay after each round of attempts, so that controllers that name each other as leader are not
+/// called in a tight loop. A round is one attempt per controller and one for a leader hint.
+constexpr base::Duration kRoundDelay = base::milliseconds (200);
+/// Time limit of one attempt. A controller that does not respond within it is treated as
+/// unreachable or hung.
 constexpr base::Duration kAttemptTimeout = base::seconds (4);
 constexpr int kHttpOk = 200;
 
@@ -24,7 +27,7 @@
     return QJsonDocument::fromJson (QByteArray (reply.body.data(), size)).object();
 }
 
-ErrorKind kindNamed (std::string_view name)
+ErrorKind parseErrorKind (std::string_view name)
 {
     for (const base::ErrorTraits& traits : base::allErrorTraits())
     {
@@ -41,7 +44,7 @@
 
 ErrorKind errorKindOf (const AdminReply& reply)
 {
-    return kindNamed (errorOf (reply).value (u"kind").toString().toStdString());
+    return parseErrorKind (errorOf (reply).value (u"kind").toString().toStdString());
 }
 
 }  // namespace
@@ -53,7 +56,7 @@
     const QJsonObject error = errorOf (reply);
     std::string message = error.value (u"message").toString().toStdString();
     if (message.empty())
-        message = "answer with HTTP status " + std::to_string (reply.status);
+        message = "response without an error message; HTTP status " + std::to_string (reply.status);
     return boost::leaf::new_error (base::Error{ errorKindOf (reply), std::move (message) },
                                    ReportedProblems{ error.value (u"problems").toArray() });
 }
@@ -83,7 +86,7 @@
         ++attempts;
         const bool isEndOfRound = attempts % (m_controllers.size() + 1) == 0;
         if (isEndOfRound)
-            m_transport.pause (kPauseBetweenRounds);
+            m_transport.pause (kRoundDelay);
     }
     return base::fail (m_lastError.kind, m_lastError.message);
 }
@@ -107,12 +110,12 @@
         m_leaderHint = address;
         return std::move (reply);
     }
-    noteRefusal (reply, kind, address);
+    recordRefusal (reply, kind, address);
     return std::nullopt;
 }
 
-void ControllerClient::noteRefusal (const AdminReply& reply, ErrorKind kind,
-                                    const base::SocketAddress& from)
+void ControllerClient::recordRefusal (const AdminReply& reply, ErrorKind kind,
+                                      const base::SocketAddress& from)
 {
     const QJsonObject error = errorOf (reply);
     m_lastError = base::Error{ kind, from.toString() + ": "
@@ -120,7 +123,7 @@
     if (kind == ErrorKind::kNoQuorum)
         m_mayHaveRunBefore = true;
     if (kind == ErrorKind::kNotLeader)
-        followHint (error, from);
+        updateLeaderHint (error, from);
 }
 
 base::SocketAddress ControllerClient::nextAddress()
@@ -130,7 +133,7 @@
     return m_controllers[m_next++ % m_controllers.size()];
 }
 
-void ControllerClient::followHint (const QJsonObject& error, const base::SocketAddress& from)
+void ControllerClient::updateLeaderHint (const QJsonObject& error, const base::SocketAddress& from)
 {
     const std::string text = error.value (u"leader").toString().toStdString();
     m_leaderHint = base::handleErrors (
--- a/src/ctl/ControllerClient.h
+++ b/src/ctl/ControllerClient.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Finds the controller that leads the cell, and sends a call until it is answered.
+/// Client of the operators' interface that finds the leading controller and retries a call until it
+/// gets a final response or the deadline passes. Blocks the calling thread.
 
 #include <QJsonArray>
 #include <QJsonObject>
@@ -15,39 +16,41 @@
 namespace fernlift::ctl
 {
 
-/// Problems that came with an error, as {"line","key","message"} objects. Travels beside the
-/// base::Error.
+/// Problems listed in an error response, as {"line","key","message"} objects. Carried by LEAF
+/// together with the base::Error.
 struct ReportedProblems
 {
     QJsonArray list;
 };
 
-/// Turns an answer into its JSON object, or into the error that it carries.
+/// Returns the JSON object of a response, or fails with the error that the response contains.
 [[nodiscard]] base::Result<QJsonObject> readReply (const AdminReply& reply);
 
 class ControllerClient
 {
 public:
-    /// No attempt begins after `deadline`. The transport must outlive the client.
+    /// No attempt starts after `deadline`. The transport must outlive the client.
     ControllerClient (AdminTransport& transport, std::vector<base::SocketAddress> controllers,
                       base::TimePoint deadline);
 
-    /// Sends the call to one controller after the other, following hints to the leader, until one
-    /// gives a final answer. After a lost answer the call is sent again, so it must be one whose
-    /// repetition does no harm. Fails with the error of the answer; with kConnectionFailed,
-    /// kNotLeader or kNoQuorum when no controller gave a final answer in time.
+    /// Sends the call to one controller after the other, following leader hints, until one gives a
+    /// final response. Repeating the call must be safe, since it is sent again after a lost
+    /// response. Fails with the error of the final response, or with kConnectionFailed, kNotLeader
+    /// or kNoQuorum if no controller gave a final response before the deadline.
     base::Result<QJsonObject> call (const AdminCall& call);
 
-    /// Whether an earlier attempt of the latest call() may have taken effect unseen.
+    /// Whether an earlier attempt of the latest call() may have taken effect although its response
+    /// was lost.
     [[nodiscard]] bool mayHaveRunBefore() const { return m_mayHaveRunBefore; }
 
 private:
+    /// Leader hint if there is one, else the next controller of the list.
     [[nodiscard]] base::SocketAddress nextAddress();
-    void followHint (const QJsonObject& error, const base::SocketAddress& from);
-    /// Empty when the next controller should be tried.
+    void updateLeaderHint (const QJsonObject& error, const base::SocketAddress& from);
+    /// Makes one attempt. Returns nullopt if another controller should be tried.
     std::optional<AdminReply> sendOnce (const AdminCall& call, base::Duration timeout);
-    void noteRefusal (const AdminReply& reply, base::ErrorKind kind,
-                      const base::SocketAddress& from);
+    void recordRefusal (const AdminReply& reply, base::ErrorKind kind,
+                        const base::SocketAddress& from);
 
     AdminTransport& m_transport;
     std::vector<base::SocketAddress> m_controllers;
--- a/src/ctl/ControllerClientTest.cpp
+++ b/src/ctl/ControllerClientTest.cpp
@@ -15,8 +15,8 @@
 
 const AdminCall kCall{ "POST", "/admin/v1/drain", "{}" };
 
-/// What a call came to, without LEAF.
-struct Ending
+/// Result of a call as a plain value, without LEAF.
+struct CallResult
 {
     QJsonObject answer;
     std::optional<base::Error> error;
@@ -24,27 +24,29 @@
     bool mayHaveRunBefore = false;
 };
 
-Ending endingOf (ScriptedTransport& transport, std::vector<base::SocketAddress> controllers)
+CallResult runCall (ScriptedTransport& transport, std::vector<base::SocketAddress> controllers)
 {
     ControllerClient client (transport, std::move (controllers),
                              transport.now() + base::seconds (10));
-    Ending ending = boost::leaf::try_handle_all (
-        [&]() -> base::Result<Ending>
+    CallResult result = boost::leaf::try_handle_all (
+        [&]() -> base::Result<CallResult>
         {
             BOOST_LEAF_AUTO (answer, client.call (kCall));
-            return Ending{ answer, std::nullopt, {}, false };
+            return CallResult{ answer, std::nullopt, {}, false };
         },
         [] (const base::Error& error, const ReportedProblems* problems) {
-            return Ending{ {}, error, problems == nullptr ? QJsonArray() : problems->list, false };
+            return CallResult{
+                {}, error, problems == nullptr ? QJsonArray() : problems->list, false
+            };
         },
         [] {
-            return Ending{ {}, base::Error{}, {}, false };
+            return CallResult{ {}, base::Error{}, {}, false };
         });
-    ending.mayHaveRunBefore = client.mayHaveRunBefore();
-    return ending;
+    result.mayHaveRunBefore = client.mayHaveRunBefore();
+    return result;
 }
 
-TEST (ControllerClientTest, FollowsTheHintToTheLeader)
+TEST (ControllerClientTest, FollowsLeaderHint)
 {
     ScriptedTransport transport (
         [] (const SentCall& sent) -> AdminCallOutcome
@@ -53,13 +55,13 @@
                 return AdminReply{ 200, R"({"done":true})" };
             return errorReply (503, "not_leader", R"(,"leader":"127.0.0.1:9")");
         });
-    const Ending ending = endingOf (transport, { addressAt (1), addressAt (2) });
-    EXPECT_TRUE (ending.answer.value (u"done").toBool());
+    const CallResult result = runCall (transport, { addressAt (1), addressAt (2) });
+    EXPECT_TRUE (result.answer.value (u"done").toBool());
     EXPECT_EQ (transport.calls().size(), 2U);
-    EXPECT_FALSE (ending.mayHaveRunBefore);
+    EXPECT_FALSE (result.mayHaveRunBefore);
 }
 
-TEST (ControllerClientTest, TriesTheOthersWhenOneCannotBeReached)
+TEST (ControllerClientTest, TriesOtherControllersWhenOneIsUnreachable)
 {
     ScriptedTransport transport (
         [] (const SentCall& sent) -> AdminCallOutcome
@@ -68,13 +70,13 @@
                 return AdminReply{ 200, "{}" };
             return AdminCallFailure{ false, "refused" };
         });
-    const Ending ending = endingOf (transport, { addressAt (1), addressAt (2), addressAt (3) });
-    EXPECT_FALSE (ending.error);
+    const CallResult result = runCall (transport, { addressAt (1), addressAt (2), addressAt (3) });
+    EXPECT_FALSE (result.error);
     EXPECT_EQ (transport.calls().size(), 3U);
-    EXPECT_FALSE (ending.mayHaveRunBefore);
+    EXPECT_FALSE (result.mayHaveRunBefore);
 }
 
-TEST (ControllerClientTest, SendsAgainAndRemembersALostAnswer)
+TEST (ControllerClientTest, RetriesAndReportsALostResponse)
 {
     ScriptedTransport transport (
         [count = 0] (const SentCall&) mutable -> AdminCallOutcome
@@ -83,25 +85,25 @@
                 return AdminCallFailure{ true, "closed" };
             return AdminReply{ 200, "{}" };
         });
-    const Ending ending = endingOf (transport, { addressAt (1) });
-    EXPECT_FALSE (ending.error);
+    const CallResult result = runCall (transport, { addressAt (1) });
+    EXPECT_FALSE (result.error);
     ASSERT_EQ (transport.calls().size(), 2U);
     EXPECT_EQ (transport.calls()[1].call.body, kCall.body);
-    EXPECT_TRUE (ending.mayHaveRunBefore);
+    EXPECT_TRUE (result.mayHaveRunBefore);
 }
 
-TEST (ControllerClientTest, GivesUpAtTheDeadlineWithTheLastReason)
+TEST (ControllerClientTest, FailsAtTheDeadlineWithTheLastError)
 {
     ScriptedTransport transport ([] (const SentCall&) -> AdminCallOutcome
                                  { return errorReply (503, "no_quorum"); });
-    const Ending ending = endingOf (transport, { addressAt (1), addressAt (2) });
-    ASSERT_TRUE (ending.error);
-    EXPECT_EQ (ending.error->kind, base::ErrorKind::kNoQuorum);
-    EXPECT_TRUE (ending.mayHaveRunBefore);
+    const CallResult result = runCall (transport, { addressAt (1), addressAt (2) });
+    ASSERT_TRUE (result.error);
+    EXPECT_EQ (result.error->kind, base::ErrorKind::kNoQuorum);
+    EXPECT_TRUE (result.mayHaveRunBefore);
     EXPECT_GE (transport.now().time_since_epoch(), base::seconds (10));
 }
 
-TEST (ControllerClientTest, ControllersThatPointAtEachOtherAreNotAskedWithoutPause)
+TEST (ControllerClientTest, PausesBetweenControllersThatNameEachOtherAsLeader)
 {
     ScriptedTransport transport (
         [] (const SentCall& sent) -> AdminCallOutcome
@@ -109,13 +111,13 @@
             const std::string other = sent.address == "127.0.0.1:1" ? "127.0.0.1:2" : "127.0.0.1:1";
             return errorReply (503, "not_leader", R"(,"leader":")" + other + R"(")");
         });
-    const Ending ending = endingOf (transport, { addressAt (1), addressAt (2) });
-    ASSERT_TRUE (ending.error);
-    EXPECT_EQ (ending.error->kind, base::ErrorKind::kNotLeader);
+    const CallResult result = runCall (transport, { addressAt (1), addressAt (2) });
+    ASSERT_TRUE (result.error);
+    EXPECT_EQ (result.error->kind, base::ErrorKind::kNotLeader);
     EXPECT_LT (transport.calls().size(), 200U);
 }
 
-TEST (ControllerClientTest, OtherErrorsAreFinalAndCarryTheirProblems)
+TEST (ControllerClientTest, ReturnsOtherErrorsAtOnceWithTheirProblems)
 {
     ScriptedTransport transport (
         [] (const SentCall&) -> AdminCallOutcome
@@ -123,25 +125,25 @@
             return errorReply (422, "configuration_invalid",
                                R"(,"problems":[{"line":3,"key":"cell","message":"odd"}])");
         });
-    const Ending ending = endingOf (transport, { addressAt (1), addressAt (2) });
-    ASSERT_TRUE (ending.error);
-    EXPECT_EQ (ending.error->kind, base::ErrorKind::kConfigurationInvalid);
-    EXPECT_EQ (ending.error->message, "as scripted");
-    ASSERT_EQ (ending.problems.size(), 1);
-    EXPECT_EQ (ending.problems[0].toObject().value (u"line").toInteger(), 3);
+    const CallResult result = runCall (transport, { addressAt (1), addressAt (2) });
+    ASSERT_TRUE (result.error);
+    EXPECT_EQ (result.error->kind, base::ErrorKind::kConfigurationInvalid);
+    EXPECT_EQ (result.error->message, "as scripted");
+    ASSERT_EQ (result.problems.size(), 1);
+    EXPECT_EQ (result.problems[0].toObject().value (u"line").toInteger(), 3);
     EXPECT_EQ (transport.calls().size(), 1U);
 }
 
-TEST (ControllerClientTest, AnswerThatIsNotOursIsAnError)
+TEST (ControllerClientTest, ReportsResponseThatIsNotJsonAsInternalError)
 {
     ScriptedTransport transport (
         [] (const SentCall&) -> AdminCallOutcome {
             return AdminReply{ 502, "<html>" };
         });
-    const Ending ending = endingOf (transport, { addressAt (1) });
-    ASSERT_TRUE (ending.error);
-    EXPECT_EQ (ending.error->kind, base::ErrorKind::kInternal);
-    EXPECT_NE (ending.error->message.find ("502"), std::string::npos);
+    const CallResult result = runCall (transport, { addressAt (1) });
+    ASSERT_TRUE (result.error);
+    EXPECT_EQ (result.error->kind, base::ErrorKind::kInternal);
+    EXPECT_NE (result.error->message.find ("502"), std::string::npos);
 }
 
 }  // namespace
--- a/src/ctl/Ctl.h
+++ b/src/ctl/Ctl.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The program fernliftctl without its main function.
+/// Command table, dispatch and output of fernliftctl, without its main function.
 
 #include <iosfwd>
 #include <span>
@@ -13,7 +13,7 @@
 {
 
 [[nodiscard]] std::span<const Command> allCommands();
-/// Help text before the flags: one line for each command.
+/// Help text that precedes the flags: usage and summary of each command.
 [[nodiscard]] std::string commandsHelp();
 
 /// Runs the command named by the first positional and returns the exit code. Results go to
--- a/src/ctl/CtlOptions.h
+++ b/src/ctl/CtlOptions.h
@@ -19,9 +19,9 @@
     std::vector<base::SocketAddress> routers;
     std::string output = "table";
     base::Duration timeout = base::seconds (30);
-    bool isWaiting = false;  ///< apply: wait until the configuration is in force everywhere.
-    bool isUndo = false;     ///< drain: take the mark away.
-    bool isMarkdown = false;
+    bool isWaiting = false;   ///< Flag of apply: wait until all live routers use the file.
+    bool isUndo = false;      ///< Flag of drain: cancel the drain.
+    bool isMarkdown = false;  ///< Flag of events and errors: print the Markdown page.
     log::Options logging;
 };
 
--- a/src/ctl/CtlTest.cpp
+++ b/src/ctl/CtlTest.cpp
@@ -32,7 +32,7 @@
 
 int exitCodeOf (base::ErrorKind kind) { return base::traitsOf (kind).exitCode; }
 
-/// What a command printed and its exit code.
+/// Output and exit code of a command.
 struct CommandRun
 {
     int exitCode = 0;
@@ -122,7 +122,7 @@
     EXPECT_EQ (result.json().value (u"result").toString().toStdString(), "accepted");
 }
 
-TEST_F (CtlTest, ApplyWithWaitAsksUntilInForceEverywhere)
+TEST_F (CtlTest, ApplyWithWaitRepeatsUntilInForceEverywhere)
 {
     m_options.isWaiting = true;
     const CommandRun result =
@@ -145,7 +145,7 @@
     EXPECT_TRUE (result.json().value (u"in_force_everywhere").toBool());
 }
 
-TEST_F (CtlTest, ApplyWithWaitTellsWhenTheDeadlinePasses)
+TEST_F (CtlTest, ApplyWithWaitFailsWhenTheDeadlinePasses)
 {
     m_options.isWaiting = true;
     const CommandRun result = runAnswered ({ "apply", writeFile (kCatalogue) },
@@ -154,7 +154,7 @@
     EXPECT_EQ (result.json().value (u"result").toString().toStdString(), "accepted");
 }
 
-TEST_F (CtlTest, ApplyWithWaitKeepsTheAcceptanceWhenControllersFallSilent)
+TEST_F (CtlTest, ApplyWithWaitReportsAcceptanceWhenControllersBecomeUnreachable)
 {
     m_options.isWaiting = true;
     const CommandRun result = run ({ "apply", writeFile (kCatalogue) },
@@ -168,7 +168,7 @@
     EXPECT_EQ (result.json().value (u"result").toString().toStdString(), "accepted");
 }
 
-TEST_F (CtlTest, RefusalAfterALostAnswerSaysThatTheFileMayHaveBeenInForce)
+TEST_F (CtlTest, RefusalAfterLostResponseReportsThatTheFileMayHaveBeenInForce)
 {
     const CommandRun result = run ({ "apply", writeFile (kCatalogue) },
                                    [count = 0] (const SentCall&) mutable -> AdminCallOutcome
@@ -183,7 +183,7 @@
 
 struct DiffCase
 {
-    const char* inForce;  ///< Text in force; empty: none.
+    const char* inForce;  ///< Text of the configuration in force; empty if there is none.
     const char* verdict;
     int exitCode;
 };
@@ -192,7 +192,7 @@
 {
 };
 
-TEST_P (CtlDiffTest, SaysWhatApplyWouldDo)
+TEST_P (CtlDiffTest, ReportsWhatApplyWouldDo)
 {
     const std::string inForce = GetParam().inForce;
     const config::CatalogueOutcome parsed = config::parseCatalogue (inForce);
@@ -230,7 +230,7 @@
                                            DiffCase{ kNewer, "configuration_stale", 4 },
                                            DiffCase{ kEqualVersion, "configuration_conflict", 4 }));
 
-TEST_F (CtlTest, DrainAndItsUndoSendTheMark)
+TEST_F (CtlTest, DrainAndUndoSendTheDrainingFlag)
 {
     EXPECT_EQ (runAnswered ({ "drain", "runner 1" }, "{}").exitCode, 0);
     ASSERT_EQ (m_calls.size(), 1U);
@@ -260,7 +260,7 @@
     EXPECT_EQ (m_calls[0].call.path, "/admin/v1/explain/model/a%3Ab%20c");
 }
 
-TEST_F (CtlTest, ExplainRequestAsksEveryRouter)
+TEST_F (CtlTest, ExplainRequestQueriesEveryRouter)
 {
     m_options.routers = { addressAt (11), addressAt (12), addressAt (13) };
     const CommandRun result = run ({ "explain", "request", "r-1" },
@@ -278,7 +278,7 @@
     EXPECT_EQ (m_calls.size(), 3U);
 }
 
-TEST_F (CtlTest, ExplainRequestTellsSilentRoutersFromThoseThatDoNotKnow)
+TEST_F (CtlTest, ExplainRequestDistinguishesUnreachableRoutersFromUnknownRequests)
 {
     m_options.routers = { addressAt (11), addressAt (12) };
     const auto notFound = [] (const SentCall&) -> AdminCallOutcome
@@ -306,7 +306,7 @@
         R"({"add":{"admin_address":"127.0.0.1:6","id":4,"peer_address":"127.0.0.1:5","zone":"z1"}})");
 }
 
-TEST_F (CtlTest, RefusedMemberChangeAfterALostAnswerIsCheckedAgainstTheMembers)
+TEST_F (CtlTest, RefusedMemberChangeAfterLostResponseIsCheckedAgainstTheMembers)
 {
     const auto script = [] (const std::string& members)
     {
@@ -329,7 +329,7 @@
         exitCodeOf (base::ErrorKind::kMembershipChangeRefused));
 }
 
-TEST_F (CtlTest, AdditionWithALostAnswerIsFoundAmongTheMembers)
+TEST_F (CtlTest, MemberAddedByAttemptWithLostResponseIsRecognized)
 {
     const CommandRun result =
         run ({ "members", "add", "4", "127.0.0.1:5", "127.0.0.1:6", "z1" },
@@ -346,14 +346,14 @@
     EXPECT_EQ (result.exitCode, 0) << result.output;
 }
 
-/// Answer of a controller to `members`; the leader is member 2 at port 2.
+/// Response of a controller to `members`; the leader is member 2 with the admin port 22.
 std::string membersAnswer (const std::string& role, int term)
 {
     return R"({"role":")" + role + R"(","leader":"2","term":)" + std::to_string (term)
            + R"(,"members":[{"id":"2","admin_address":"127.0.0.1:22"}]})";
 }
 
-TEST_F (CtlTest, MembersAndStatusAreTheLeadersEvenWhenItIsNotListed)
+TEST_F (CtlTest, MembersAndStatusComeFromTheLeaderEvenIfItIsNotListed)
 {
     for (const char* command : { "members", "status" })
     {
@@ -369,7 +369,7 @@
     }
 }
 
-TEST_F (CtlTest, StatusWithoutALeaderIsThatOfTheHighestTerm)
+TEST_F (CtlTest, StatusWithoutALeaderComesFromTheHighestTerm)
 {
     const CommandRun result = run (
         { "status" },
@@ -414,7 +414,7 @@
     EXPECT_NE (result.errors.find ("/nonexistent.toml"), std::string::npos);
 }
 
-TEST_F (CtlTest, EveryCommandStandsInTheHelp)
+TEST_F (CtlTest, HelpListsEveryCommand)
 {
     for (const Command& command : allCommands())
     {
--- a/src/ctl/CtlTestSupport.h
+++ b/src/ctl/CtlTestSupport.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// A transport for tests, with answers given by the test and a clock that only pauses advance.
+/// Test transport whose responses come from a script. Its clock advances by 1 ms per call and by
+/// the length of each pause.
 
 #include <functional>
 #include <string>
@@ -11,7 +12,7 @@
 namespace fernlift::ctl::test
 {
 
-/// A call with the controller it went to.
+/// Recorded call and the address it was sent to.
 struct SentCall
 {
     std::string address;
--- a/src/ctl/Documentation.cpp
+++ b/src/ctl/Documentation.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr int kNumbersOfModule = 1000;
+constexpr int kNumbersPerModule = 1000;
 
 const std::map<int, std::string_view>& moduleTitles()
 {
@@ -81,9 +81,9 @@
     int module = 0;
     for (const log::EventTraits& event : sorted)
     {
-        if (event.number / kNumbersOfModule != module)
+        if (event.number / kNumbersPerModule != module)
         {
-            module = event.number / kNumbersOfModule;
+            module = event.number / kNumbersPerModule;
             page += "\n## " + titleOf (module) + "\n\n"
                     + headerRow ({ "Number", "Name", "Severity", "Message", "What to do" });
         }
--- a/src/ctl/Documentation.h
+++ b/src/ctl/Documentation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Reference pages that are generated from the code's own tables.
+/// Generates the reference pages of events and errors from the tables in the code.
 
 #include <span>
 #include <string>
@@ -11,9 +11,9 @@
 namespace fernlift::ctl
 {
 
-/// The page docs/events.md, in the order of the numbers.
+/// Text of docs/events.md, sorted by event number.
 [[nodiscard]] std::string eventsMarkdown (std::span<const log::EventTraits> events);
-/// The page docs/errors.md, in the order of the table.
+/// Text of docs/errors.md, in the order of the error table.
 [[nodiscard]] std::string errorsMarkdown (std::span<const base::ErrorTraits> errors);
 
 }  // namespace fernlift::ctl
--- a/src/ctl/DocumentationTest.cpp
+++ b/src/ctl/DocumentationTest.cpp
@@ -20,19 +20,19 @@
     return { std::istreambuf_iterator<char> (stream), {} };
 }
 
-TEST (DocumentationTest, PageOfEventsIsThatOfTheCode)
+TEST (DocumentationTest, EventsPageMatchesTheCode)
 {
     EXPECT_EQ (readPage ("events.md"), eventsMarkdown (log::allEvents()))
         << "Run: build/bin/fernliftctl events --markdown > docs/events.md";
 }
 
-TEST (DocumentationTest, PageOfErrorsIsThatOfTheCode)
+TEST (DocumentationTest, ErrorsPageMatchesTheCode)
 {
     EXPECT_EQ (readPage ("errors.md"), errorsMarkdown (base::allErrorTraits()))
         << "Run: build/bin/fernliftctl errors --markdown > docs/errors.md";
 }
 
-TEST (DocumentationTest, PageOfCommandsNamesEveryCommandAndExitCode)
+TEST (DocumentationTest, CommandsPageListsEveryCommandAndExitCode)
 {
     const std::string page = readPage ("operators/fernliftctl.md");
     for (const Command& command : allCommands())
@@ -46,7 +46,7 @@
     }
 }
 
-TEST (DocumentationTest, EventsAreSortedUnderTheirModules)
+TEST (DocumentationTest, EventsAreSortedByModule)
 {
     const log::EventTraits events[] = {
         { 4002, "B", log::Severity::kError, "b | c", "Act." },
--- a/src/ctl/HttpTransport.cpp
+++ b/src/ctl/HttpTransport.cpp
@@ -58,14 +58,15 @@
             const bool mayHaveArrived = error.kind != http::ClientErrorKind::kNotSent;
             finish (AdminCallFailure{ mayHaveArrived, error.message });
         });
-    QTimer::singleShot (toTimerInterval (timeout), &loop,
-                        [&]
-                        {
-                            if (outcome)
-                                return;
-                            exchange->cancel();
-                            finish (AdminCallFailure{ true, "no whole answer in time" });
-                        });
+    QTimer::singleShot (
+        toTimerInterval (timeout), &loop,
+        [&]
+        {
+            if (outcome)
+                return;
+            exchange->cancel();
+            finish (AdminCallFailure{ true, "no complete response within the timeout" });
+        });
     loop.exec();
     return *std::move (outcome);
 }
--- a/src/ctl/HttpTransport.h
+++ b/src/ctl/HttpTransport.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Sends calls over HTTP and waits on Qt's event loop.
+/// Transport that sends calls over HTTP. It blocks the caller in a nested Qt event loop until the
+/// call ends.
 
 #include "ctl/AdminTransport.h"
 #include "http/Client.h"
@@ -8,7 +9,7 @@
 namespace fernlift::ctl
 {
 
-/// Needs a QCoreApplication.
+/// Requires a QCoreApplication.
 class HttpTransport final : public AdminTransport
 {
 public:
--- a/src/ctl/HttpTransportTest.cpp
+++ b/src/ctl/HttpTransportTest.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-constexpr base::Duration kGuard = base::seconds (20);
+constexpr base::Duration kTestTimeout = base::seconds (20);
 
 class HttpTransportTest : public testing::Test
 {
@@ -41,7 +41,7 @@
     HttpTransport m_transport;
 };
 
-TEST_F (HttpTransportTest, SendsTheCallAndReturnsTheWholeAnswer)
+TEST_F (HttpTransportTest, SendsTheCallAndReturnsTheCompleteResponse)
 {
     http::Server server;
     http::Request received;
@@ -53,7 +53,7 @@
             responder->send (409, {}, std::string (100'000, 'x'));
         });
     const AdminCallOutcome outcome =
-        m_transport.send (address, AdminCall{ "POST", "/a?b=c", "body" }, kGuard);
+        m_transport.send (address, AdminCall{ "POST", "/a?b=c", "body" }, kTestTimeout);
     ASSERT_TRUE (std::holds_alternative<AdminReply> (outcome));
     EXPECT_EQ (std::get<AdminReply> (outcome).status, 409);
     EXPECT_EQ (std::get<AdminReply> (outcome).body.size(), 100'000U);
@@ -63,19 +63,19 @@
     EXPECT_EQ (received.body, "body");
 }
 
-TEST_F (HttpTransportTest, RefusedConnectionDidNotArrive)
+TEST_F (HttpTransportTest, RefusedConnectionMeansTheCallDidNotArrive)
 {
     QTcpServer listener;
     ASSERT_TRUE (listener.listen (QHostAddress::LocalHost, 0));
     const auto address = test::addressAt (listener.serverPort());
     listener.close();
     const AdminCallOutcome outcome =
-        m_transport.send (address, AdminCall{ "GET", "/", "" }, kGuard);
+        m_transport.send (address, AdminCall{ "GET", "/", "" }, kTestTimeout);
     ASSERT_TRUE (std::holds_alternative<AdminCallFailure> (outcome));
     EXPECT_FALSE (std::get<AdminCallFailure> (outcome).mayHaveArrived);
 }
 
-TEST_F (HttpTransportTest, ConnectionClosedAfterTheRequestMayHaveArrivedAndIsSentOnce)
+TEST_F (HttpTransportTest, CallMayHaveArrivedWhenTheConnectionClosesAndIsSentOnce)
 {
     http::Server server;
     int requests = 0;
@@ -87,13 +87,13 @@
                     responder->abort();
                 });
     const AdminCallOutcome outcome =
-        m_transport.send (address, AdminCall{ "POST", "/", "body" }, kGuard);
+        m_transport.send (address, AdminCall{ "POST", "/", "body" }, kTestTimeout);
     ASSERT_TRUE (std::holds_alternative<AdminCallFailure> (outcome));
     EXPECT_TRUE (std::get<AdminCallFailure> (outcome).mayHaveArrived);
     EXPECT_EQ (requests, 1);
 }
 
-TEST_F (HttpTransportTest, SilentServerEndsAtTheTimeout)
+TEST_F (HttpTransportTest, CallToUnresponsiveServerEndsAtTheTimeout)
 {
     QTcpServer listener;
     ASSERT_TRUE (listener.listen (QHostAddress::LocalHost, 0));
--- a/src/ctl/Recover.h
+++ b/src/ctl/Recover.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Handling of an error in the middle of an operation.
+/// Error handler that can replace an error by a value or by a different error.
 
 #include <utility>
 
@@ -10,31 +10,31 @@
 namespace fernlift::ctl
 {
 
-/// Runs `operation`; if it fails, gives what `onError(error, problems)` returns, which may be a
-/// different error. LEAF's own try_handle_some cannot do that: it puts the first error back in
-/// place of one made by a handler.
+/// Runs `operation`. If it fails, returns the result of `onError (error, problems)`, which may be a
+/// different error. try_handle_some of LEAF does not allow this: it restores the first error in
+/// place of one that a handler creates.
 template <class Operation, class OnError>
 auto recover (Operation&& operation, OnError&& onError) -> decltype (operation())
 {
-    struct Ending
+    struct Outcome
     {
         decltype (operation()) result;
     };
     return boost::leaf::try_handle_all (
-               [&]() -> base::Result<Ending>
+               [&]() -> base::Result<Outcome>
                {
                    BOOST_LEAF_AUTO (value, operation());
-                   return Ending{ std::move (value) };
+                   return Outcome{ std::move (value) };
                },
                [&] (const base::Error& error, const ReportedProblems* problems) {
-                   return Ending{ onError (error,
-                                           problems == nullptr ? ReportedProblems{} : *problems) };
+                   return Outcome{ onError (error,
+                                            problems == nullptr ? ReportedProblems{} : *problems) };
                },
                [&]
                {
                    const base::Error unknown{ base::ErrorKind::kInternal,
                                               "error without a description" };
-                   return Ending{ onError (unknown, ReportedProblems{}) };
+                   return Outcome{ onError (unknown, ReportedProblems{}) };
                })
         .result;
 }
--- a/src/ctl/TableFormat.cpp
+++ b/src/ctl/TableFormat.cpp
@@ -16,7 +16,7 @@
 
 using Row = std::vector<std::string>;
 
-/// Columns that go first, in this order; the others follow by name.
+/// Columns shown first, in this order. The others follow in alphabetical order.
 constexpr std::array<std::string_view, 9> kLeadingColumns{ "id",      "at",      "name",
                                                            "runner",  "replica", "model",
                                                            "adapter", "zone",    "kind" };
--- a/src/ctl/TableFormat.h
+++ b/src/ctl/TableFormat.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Renders a JSON answer as text for a terminal.
+/// Renders a JSON response as text for a terminal.
 
 #include <QJsonArray>
 #include <QJsonObject>
@@ -10,8 +10,8 @@
 {
 
 /// Single values become "key: value" lines; an array of objects becomes a table with a column for
-/// each key; a nested object becomes a section of its own. Integers under a key that ends in "_at"
-/// are milliseconds since the Unix epoch and are shown as UTC time.
+/// each key; a nested object or a string of several lines becomes a section of its own. Integers
+/// under a key that ends in "_at" are milliseconds since the Unix epoch and are shown as UTC time.
 [[nodiscard]] std::string renderObject (const QJsonObject& object);
 
 }  // namespace fernlift::ctl
--- a/src/ctl/TableFormatTest.cpp
+++ b/src/ctl/TableFormatTest.cpp
@@ -24,7 +24,7 @@
                "share:     0.5\n");
 }
 
-TEST (TableFormatTest, ArrayOfObjectsIsATableWithTheNameFirst)
+TEST (TableFormatTest, ArrayOfObjectsIsATableWithTheIdFirst)
 {
     EXPECT_EQ (render (R"({"runners":[{"free":1,"id":"r1"},{"id":"runner-2","state":"leaving"}]})"),
                "\nrunners:\n"
@@ -33,7 +33,7 @@
                "runner-2  -     leaving\n");
 }
 
-TEST (TableFormatTest, ObjectsAndLongTextsAreSections)
+TEST (TableFormatTest, ObjectsAndMultiLineTextsAreSections)
 {
     EXPECT_EQ (render (R"({"a":{"b":1},"text":"x\ny"})"), "\na:\nb:  1\n\ntext:\nx\ny\n");
 }
--- a/src/ctl/Text.h
+++ b/src/ctl/Text.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Conversions between the standard library's and Qt's texts, both UTF-8.
+/// Conversions between std::string, Qt strings and JSON. Texts of the standard library are UTF-8.
 
 #include <QJsonDocument>
 #include <QJsonObject>
@@ -16,7 +16,7 @@
     return QString::fromUtf8 (text.data(), static_cast<qsizetype> (text.size()));
 }
 
-/// One line without its end.
+/// The object on one line, without a line break at the end.
 inline std::string toCompactJson (const QJsonObject& object)
 {
     return QJsonDocument (object).toJson (QJsonDocument::Compact).toStdString();
