--- a/src/sim/ApplicationNode.cpp
+++ b/src/sim/ApplicationNode.cpp
@@ -22,7 +22,7 @@
 {
     begin();
     drawIncarnation();
-    note ("starts, incarnation " + std::to_string (incarnation()));
+    addToTrace ("starts, incarnation " + std::to_string (incarnation()));
     standin::ApplicationOptions options;
     options.runner = machine().runner;
     options.incarnation = incarnation();
@@ -64,7 +64,7 @@
 
 engine::Report ApplicationNode::report()
 {
-    settle();
+    advanceModel();
     return m_model->report();
 }
 
@@ -96,13 +96,13 @@
         m_model->submit ({ head.id.value, head.idempotencyKey.value, head.target }, queue().now());
     if (! outcome.accepted)
     {
-        attempt.tell (router::AttemptRefused{ kRefusedStatus, isLeaving(), std::nullopt });
+        attempt.sendEvent (router::AttemptRefused{ kRefusedStatus, isLeaving(), std::nullopt });
         return;
     }
     attempt.connection->onEnded (Side::kAcceptor,
-                                 [this, life = life(), handle = outcome.handle]
+                                 [this, runNumber = runNumber(), handle = outcome.handle]
                                  {
-                                     postTo (life,
+                                     postTo (runNumber,
                                              [this, handle]
                                              {
                                                  m_answers.erase (handle);
@@ -110,10 +110,10 @@
                                              });
                                  });
     m_answers.emplace (outcome.handle, std::move (attempt));
-    settle();
+    advanceModel();
 }
 
-void ApplicationNode::settle()
+void ApplicationNode::advanceModel()
 {
     m_model->advance (queue().now());
     for (const standin::ApplicationDone& done : m_model->takeDone())
@@ -130,9 +130,9 @@
             continue;
         }
         const std::string& text = attempt.request->expectedText;
-        attempt.tell (router::AttemptHeaders{ kOk, isLeaving() });
-        attempt.tell (router::AttemptData{ 0, text.size(), text });
-        attempt.tell (router::AttemptEnded{});
+        attempt.sendEvent (router::AttemptHeaders{ kOk, isLeaving() });
+        attempt.sendEvent (router::AttemptData{ 0, text.size(), text });
+        attempt.sendEvent (router::AttemptEnded{});
     }
     armWake();
 }
@@ -143,11 +143,11 @@
     if (! next)
         return;
     queue().at (*next,
-                [this, life = life(), number = ++m_wakeNumber]
+                [this, runNumber = runNumber(), number = ++m_wakeNumber]
                 {
                     if (number != m_wakeNumber)
                         return;
-                    postTo (life, [this] { settle(); });
+                    postTo (runNumber, [this] { advanceModel(); });
                 });
 }
 
--- a/src/sim/ApplicationNode.h
+++ b/src/sim/ApplicationNode.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// An application back end of a simulation, with the ledger of what it ran.
+/// Simulated application back end. Keeps a ledger of the requests it ran, across restarts.
 
 #include <map>
 #include <optional>
@@ -28,14 +28,14 @@
 
     void setFaults (const standin::ApplicationFaults& faults);
     [[nodiscard]] std::set<std::string> requestsRun() const;
-    /// How often each idempotency key ran here, in all lives of the process.
+    /// Number of executions of each idempotency key, summed over all runs of the process.
     [[nodiscard]] std::map<std::string, std::uint64_t> keyCounts() const;
 
 protected:
     void onKilled() override;
 
 private:
-    void settle();
+    void advanceModel();
     void armWake();
 
     std::optional<standin::ApplicationModel> m_model;
--- a/src/sim/BackEnd.cpp
+++ b/src/sim/BackEnd.cpp
@@ -7,11 +7,13 @@
 namespace fernlift::sim
 {
 
-void Attempt::tell (router::AttemptEvent event) const
+void Attempt::sendEvent (router::AttemptEvent event) const
 {
     connection->send (
-        Side::kAcceptor, [router = router, life = routerLife, id = id, event = std::move (event)]
-        { router->postTo (life, [router, id, event] { router->onAttemptEvent (id, event); }); });
+        Side::kAcceptor,
+        [router = router, runNumber = routerRunNumber, id = id, event = std::move (event)] {
+            router->postTo (runNumber, [router, id, event] { router->onAttemptEvent (id, event); });
+        });
 }
 
 BackEnd::BackEnd (World& world, NodeId node, const std::string& name, engine::Machine machine)
--- a/src/sim/BackEnd.h
+++ b/src/sim/BackEnd.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What engines and application back ends have in common: they take orders, report, and answer
-/// attempts of routers over a connection each.
+/// Base class of simulated engines and application back ends. They accept orders, send reports and
+/// answer router attempts, each attempt over a connection of its own.
 
 #include <memory>
 #include <string>
@@ -17,11 +17,11 @@
 
 class RouterNode;
 
-/// One attempt as it reaches a back end.
+/// A router's attempt to run a request, as the back end receives it.
 struct Attempt
 {
     RouterNode* router = nullptr;
-    std::uint64_t routerLife = 0;
+    std::uint64_t routerRunNumber = 0;
     router::AttemptId id = 0;
     ConnectionPointer connection;
     CallerRequestPointer request;
@@ -29,8 +29,8 @@
     int urgency = 0;
     std::uint64_t resumeFrom = 0;
 
-    /// Sends an event of the attempt to its router.
-    void tell (router::AttemptEvent event) const;
+    /// Sends an event to the router that made the attempt.
+    void sendEvent (router::AttemptEvent event) const;
 };
 
 class BackEnd : public Process
@@ -48,8 +48,7 @@
 
     [[nodiscard]] const engine::Machine& machine() const { return m_machine; }
     [[nodiscard]] base::Incarnation incarnation() const { return m_incarnation; }
-    /// The machine was reclaimed and another one of the same size, with another name and address,
-    /// takes its place.
+    /// Replaces the reclaimed machine by one of the same size with a new name and address.
     void replaceMachine (const base::RunnerId& runner, const std::string& address)
     {
         m_machine.runner = runner;
--- a/src/sim/CallerRequest.h
+++ b/src/sim/CallerRequest.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One request of a caller and what became of it.
+/// A caller's request and its outcome.
 
 #include <cstdint>
 #include <memory>
@@ -16,26 +16,30 @@
 struct CallerRequest
 {
     router::RequestHead head;
-    std::string prompt;           ///< Of completions.
-    std::uint64_t maxTokens = 0;  ///< Of completions.
+    std::string prompt;           ///< Empty for applications.
+    std::uint64_t maxTokens = 0;  ///< 0 for applications.
     std::string expectedText;
     base::Duration deadline{};
-    int repetition = 0;  ///< How often this key was sent before.
+    int repetition = 0;  ///< Number of earlier requests with the same idempotency key.
 
-    // What happened.
-    std::size_t router = 0;        ///< Number of the router it was sent to.
-    std::uint64_t routerLife = 0;  ///< Life of that router's process.
+    // Outcome.
+    std::size_t router = 0;  ///< Index of the receiving router.
+    std::uint64_t routerRunNumber =
+        0;  ///< Run number of the router process at the time of sending.
     bool hasReachedRouter = false;
     bool isFirstAttemptMade = false;
-    bool hasCallerLeft = false;
-    bool isRouterLost = false;  ///< The router was killed before the answer ended.
-    int finals = 0;             ///< Final events the router gave.
+    bool hasCallerDisconnected = false;
+    bool isRouterLost = false;  ///< The router was killed before it completed the answer.
+    int finalAnswers = 0;       ///< Number of final events (end or error) from the router.
     int httpStatus = 0;
     std::string text;
     std::optional<base::Error> error;
     base::Execution execution = base::Execution::kUnknown;
 
-    [[nodiscard]] bool isOver() const { return finals > 0 || hasCallerLeft || isRouterLost; }
+    [[nodiscard]] bool isOver() const
+    {
+        return finalAnswers > 0 || hasCallerDisconnected || isRouterLost;
+    }
 };
 using CallerRequestPointer = std::shared_ptr<CallerRequest>;
 
--- a/src/sim/Callers.cpp
+++ b/src/sim/Callers.cpp
@@ -21,7 +21,7 @@
 constexpr int kMaximumRepetitions = 3;
 constexpr double kApplicationShare = 0.4;
 constexpr std::size_t kProbedTargets = 3;
-constexpr double kLeavingShare = 0.05;
+constexpr double kDisconnectShare = 0.05;
 
 constexpr const char* kOneAnswer = "one final answer to each request in time";
 constexpr const char* kWholeText = "the whole answer to its own request";
@@ -84,7 +84,7 @@
 {
     const auto& targets = simulatedTargets();
     const bool isApplication = m_world.random.chance (kApplicationShare);
-    // A few targets are wanted often, most seldom.
+    // The product of two uniform numbers favours the first targets of the list.
     const double skewed = m_world.random.uniformReal() * m_world.random.uniformReal();
     const auto models = static_cast<double> (targets.size() - 2);
     const std::size_t number = isApplication
@@ -93,10 +93,10 @@
     const CallerRequestPointer request = makeRequest (targets[number]);
     send (router, request);
     if (! request->head.idempotencyKey.empty() && m_world.random.chance (0.1))
-        sendAgain (request);
+        resend (request);
 }
 
-void Callers::send (std::size_t router, const CallerRequestPointer& request, bool isPatient)
+void Callers::send (std::size_t router, const CallerRequestPointer& request, bool waitsForAnswer)
 {
     m_history.push_back (request);
     request->router = router;
@@ -106,26 +106,27 @@
         onRouterLost (request);
         return;
     }
-    request->routerLife = node->life();
+    request->routerRunNumber = node->runNumber();
     m_world.queue.after (base::milliseconds (1),
-                         [this, node, request, life = node->life()]
+                         [this, node, request, runNumber = node->runNumber()]
                          {
-                             if (! node->isAlive() || life != node->life())
+                             if (! node->isAlive() || runNumber != node->runNumber())
                              {
                                  onRouterLost (request);
                                  return;
                              }
                              node->post ([node, request] { node->onRequest (request); });
                          });
-    if (isPatient || ! m_world.random.chance (kLeavingShare))
+    if (waitsForAnswer || ! m_world.random.chance (kDisconnectShare))
         return;
     const auto stays = base::Duration (m_world.random.uniformInteger (1000, 1'500'000));
     m_world.queue.after (stays,
-                         [node, request, life = node->life()]
+                         [node, request, runNumber = node->runNumber()]
                          {
                              if (request->isOver())
                                  return;
-                             node->postTo (life, [node, request] { node->onCallerGone (request); });
+                             node->postTo (runNumber,
+                                           [node, request] { node->onCallerGone (request); });
                          });
 }
 
@@ -152,7 +153,7 @@
     }
 }
 
-void Callers::sendAgain (const CallerRequestPointer& request)
+void Callers::resend (const CallerRequestPointer& request)
 {
     if (request->repetition >= kMaximumRepetitions)
         return;
@@ -172,28 +173,28 @@
 {
     request->isRouterLost = true;
     if (! request->head.idempotencyKey.empty())
-        sendAgain (request);
+        resend (request);
 }
 
 void Callers::onArrived (RouterNode& router, const CallerRequestPointer& request)
 {
     const base::Duration allowed = request->deadline + kAnswerSlack;
-    m_world.queue.after (
-        allowed, [this, &router, request, life = router.life(), frozen = router.frozenTime()]
-        { checkInTime (router, life, frozen, request); });
+    m_world.queue.after (allowed, [this, &router, request, runNumber = router.runNumber(),
+                                   frozen = router.frozenTime()]
+                         { checkInTime (router, runNumber, frozen, request); });
 }
 
-void Callers::checkInTime (RouterNode& router, std::uint64_t life, base::Duration frozenBefore,
+void Callers::checkInTime (RouterNode& router, std::uint64_t runNumber, base::Duration frozenBefore,
                            const CallerRequestPointer& request)
 {
     const bool hasAnswer = request->isOver() || request->httpStatus != 0;
-    if (hasAnswer || ! router.isAlive() || life != router.life())
+    if (hasAnswer || ! router.isAlive() || runNumber != router.runNumber())
         return;
     const base::Duration frozen = router.frozenTime() - frozenBefore;
     if (frozen > base::Duration::zero())
     {
-        m_world.queue.after (frozen, [this, &router, request, life, now = router.frozenTime()]
-                             { checkInTime (router, life, now, request); });
+        m_world.queue.after (frozen, [this, &router, request, runNumber, now = router.frozenTime()]
+                             { checkInTime (router, runNumber, now, request); });
         return;
     }
     m_world.violations.add (kOneAnswer, request->head.id.value + " for " + request->head.target
@@ -203,16 +204,16 @@
 
 void Callers::onFinal (RouterNode& router, const CallerRequestPointer& request)
 {
-    if (request->finals > 1)
+    if (request->finalAnswers > 1)
     {
         m_world.violations.add (kOneAnswer, request->head.id.value + " got "
-                                                + std::to_string (request->finals)
+                                                + std::to_string (request->finalAnswers)
                                                 + " final answers from " + router.name());
     }
     checkText (request);
     const bool isUnrepeatable = ! request->head.idempotencyKey.empty();
     if (isUnrepeatable && request->error && m_world.random.chance (0.6))
-        sendAgain (request);
+        resend (request);
 }
 
 void Callers::checkText (const CallerRequestPointer& request)
@@ -242,8 +243,9 @@
     }
     for (const CallerRequestPointer& request : m_history)
     {
-        const bool saidNotRun = request->error && request->execution == base::Execution::kNotRun;
-        if (! saidNotRun || ! run.contains (request->head.id.value))
+        const bool isReportedNotRun =
+            request->error && request->execution == base::Execution::kNotRun;
+        if (! isReportedNotRun || ! run.contains (request->head.id.value))
             continue;
         m_world.violations.add ("'not run' is true",
                                 request->head.id.value + " for " + request->head.target
@@ -293,7 +295,7 @@
     {
         const bool waitedAtKilledRouter =
             ! request->hasReachedRouter
-            && m_world.routers[request->router]->life() != request->routerLife;
+            && m_world.routers[request->router]->runNumber() != request->routerRunNumber;
         if (request->isOver() || waitedAtKilledRouter)
             continue;
         m_world.violations.add (kOneAnswer, request->head.id.value + " for " + request->head.target
@@ -301,7 +303,7 @@
     }
     for (const CallerRequestPointer& probe : m_probes)
     {
-        if (probe->finals == 1 && ! probe->error)
+        if (probe->finalAnswers == 1 && ! probe->error)
             continue;
         m_world.violations.add ("the cell heals",
                                 "a request for " + probe->head.target + " at router "
@@ -318,18 +320,18 @@
     for (const CallerRequestPointer& request : m_history)
     {
         ++totals.sent;
-        if (request->finals > 0 && ! request->error)
+        if (request->finalAnswers > 0 && ! request->error)
         {
             ++totals.served;
         }
-        else if (request->finals > 0)
+        else if (request->finalAnswers > 0)
         {
             const bool isNotRun = request->execution == base::Execution::kNotRun;
             isNotRun ? ++totals.refusedNotRun : ++totals.failedUnknown;
         }
-        else if (request->hasCallerLeft)
+        else if (request->hasCallerDisconnected)
         {
-            ++totals.callersLeft;
+            ++totals.callersDisconnected;
         }
         else if (request->isRouterLost)
         {
--- a/src/sim/Callers.h
+++ b/src/sim/Callers.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// Callers of a simulated cell, with a history of every request, and the checks over it: one final
-/// answer each in time, the whole text of its own request, "not run" never in a ledger, no key run
-/// twice, nothing left in any queue.
+/// Callers of a simulated cell. They record every request and check that each one gets exactly one
+/// final answer before its deadline with the complete text that belongs to it, that no request
+/// reported as not run is in a ledger, that no idempotency key runs twice, and that all queues are
+/// empty at the end.
 
 #include <cstdint>
 #include <vector>
@@ -15,15 +16,15 @@
 namespace fernlift::sim
 {
 
-/// What became of the requests of a run.
+/// Numbers of requests of a run by outcome.
 struct RequestTotals
 {
     std::uint64_t sent = 0;
     std::uint64_t served = 0;
     std::uint64_t refusedNotRun = 0;
-    std::uint64_t failedUnknown = 0;  ///< Outcome unknown, or known to have run.
-    std::uint64_t callersLeft = 0;
-    std::uint64_t lostWithRouter = 0;  ///< Their router was killed.
+    std::uint64_t failedUnknown = 0;  ///< Failed after running or with unknown outcome.
+    std::uint64_t callersDisconnected = 0;
+    std::uint64_t lostWithRouter = 0;  ///< Open when their router was killed.
 };
 
 class Callers
@@ -31,11 +32,13 @@
 public:
     explicit Callers (World& world) : m_world (world) {}
 
-    /// Sends requests until `end`.
+    /// Sends requests to all routers until `end`.
     void begin (base::TimePoint end);
-    /// Many requests for one target, or some for each, at many routers at once.
+    /// Sends many requests at once: either four for one random target to each router, or one for
+    /// each target to every second router.
     void burst();
-    /// Some requests at each router of a healed cell, all of which must be served.
+    /// Sends requests to each router of the healed cell; checkEnd() requires all of them to be
+    /// served.
     void sendProbes();
 
     void onArrived (RouterNode& router, const CallerRequestPointer& request);
@@ -47,13 +50,15 @@
 private:
     void scheduleNext (std::size_t router, base::TimePoint end);
     CallerRequestPointer makeRequest (const SimulatedTarget& target);
-    /// A patient caller does not leave before its answer.
-    void send (std::size_t router, const CallerRequestPointer& request, bool isPatient = false);
+    /// Unless `waitsForAnswer` is set, the caller may disconnect before its answer.
+    void send (std::size_t router, const CallerRequestPointer& request,
+               bool waitsForAnswer = false);
     void sendNew (std::size_t router);
-    /// Sends the key of a request again, at another router, as a caller without an answer does.
-    void sendAgain (const CallerRequestPointer& request);
+    /// Sends a new request with the same idempotency key to a random router, like a caller that
+    /// received no answer.
+    void resend (const CallerRequestPointer& request);
     void checkText (const CallerRequestPointer& request);
-    void checkInTime (RouterNode& router, std::uint64_t life, base::Duration frozenBefore,
+    void checkInTime (RouterNode& router, std::uint64_t runNumber, base::Duration frozenBefore,
                       const CallerRequestPointer& request);
     void checkLedgers();
     void checkQueues();
--- a/src/sim/CatalogueText.h
+++ b/src/sim/CatalogueText.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Catalogue files of a simulated cell.
+/// Generates the catalogue files of a simulated cell.
 
 #include <cstdint>
 #include <string>
@@ -11,7 +11,7 @@
 namespace fernlift::sim
 {
 
-/// A target that callers may name.
+/// A target that callers can request.
 struct SimulatedTarget
 {
     std::string name;
@@ -20,10 +20,12 @@
     std::int64_t deadlineMilliseconds = 0;
 };
 
-/// The targets that every file contains, most wanted first.
+/// The targets that every file contains: the applications, then models and adapters by falling
+/// demand.
 [[nodiscard]] const std::vector<SimulatedTarget>& simulatedTargets();
 
-/// A file of this version. `variant` makes its text unique; bounds of replicas are drawn.
+/// Returns a catalogue file with this version. `variant` makes the text unique; replica limits are
+/// random.
 [[nodiscard]] std::string catalogueText (std::uint64_t version, std::uint64_t variant,
                                          base::Random& random);
 
--- a/src/sim/ConfigurationChecker.cpp
+++ b/src/sim/ConfigurationChecker.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// A router may go on with a replaced file for the length of its lease; clocks drift.
+/// A router may serve from a replaced file until its 2 s lease ends; 10 ms allow for clock drift.
 constexpr base::Duration kLeaseWithDrift = base::milliseconds (2010);
 
 constexpr const char* kAnswers = "answers to operators are linearizable";
@@ -32,11 +32,11 @@
     const auto& outcome = std::get<cell::ConfigurationResult> (result);
     if (outcome.outcome != cell::ConfigurationOutcome::kAccepted)
         return;
-    m_world.note ("configuration " + describe (apply->version, apply->digest) + " accepted");
+    m_world.addToTrace ("configuration " + describe (apply->version, apply->digest) + " accepted");
     m_accepted.push_back ({ apply->version, apply->digest, m_world.now() });
 }
 
-// Accepted versions only grow, so both searches may halve the list.
+// Accepted versions only increase, so find() and replacedAt() can use binary search.
 
 const ConfigurationChecker::Accepted* ConfigurationChecker::find (std::uint64_t version) const
 {
@@ -91,20 +91,20 @@
         m_world.violations.add (kNeverBack, router.name() + " serves from "
                                                 + std::to_string (version) + " although "
                                                 + std::to_string (m_everywhereVersion)
-                                                + " was said to be in force everywhere");
+                                                + " was reported as in force everywhere");
     }
     const auto replaced = replacedAt (version);
     if (! replaced || m_world.now() - *replaced <= kLeaseWithDrift)
         return;
-    m_world.violations.add (
-        "a lease ends with its configuration",
-        router.name() + " serves from " + std::to_string (version) + ", replaced long ago");
+    m_world.violations.add ("a lease ends with its configuration",
+                            router.name() + " serves from " + std::to_string (version)
+                                + ", which was replaced more than one lease duration ago");
 }
 
 void ConfigurationChecker::onOperatorAnswer (const OperatorRecord& record,
                                              const OperatorAnswer& answer)
 {
-    checkNames (record, answer);
+    checkReportedState (record, answer);
     checkOrder (record, answer);
     if (answer.isInForceEverywhere)
     {
@@ -117,8 +117,8 @@
     }
 }
 
-void ConfigurationChecker::violate (const std::string& invariant, const OperatorRecord& record,
-                                    const OperatorAnswer& answer, const std::string& problem)
+void ConfigurationChecker::addViolation (const std::string& invariant, const OperatorRecord& record,
+                                         const OperatorAnswer& answer, const std::string& problem)
 {
     const std::string call = record.call == OperatorCall::kApply
                                  ? "apply of " + describe (record.version, record.digest)
@@ -128,24 +128,26 @@
                                            + " in force: " + problem);
 }
 
-/// What an answer names must have been accepted, and must fit to what was sent.
-void ConfigurationChecker::checkNames (const OperatorRecord& record, const OperatorAnswer& answer)
+/// Checks that the configuration in an answer was accepted and is consistent with the request.
+void ConfigurationChecker::checkReportedState (const OperatorRecord& record,
+                                               const OperatorAnswer& answer)
 {
     const bool isApplied = answer.result == "accepted" || answer.result == "unchanged";
-    const bool namesState = isApplied || record.call == OperatorCall::kRead;
-    if (! namesState)
+    const bool hasState = isApplied || record.call == OperatorCall::kRead;
+    if (! hasState)
     {
         if (answer.result == "configuration_conflict")
         {
             const Accepted* winner = find (record.version);
             if (winner == nullptr || winner->digest == record.digest)
             {
-                violate (kAnswers, record, answer, "no other file won with this version");
+                addViolation (kAnswers, record, answer,
+                              "no other file was accepted with this version");
             }
         }
         else if (answer.result == "configuration_stale" && ! replacedAt (record.version))
         {
-            violate (kAnswers, record, answer, "no higher version was accepted");
+            addViolation (kAnswers, record, answer, "no higher version was accepted");
         }
         return;
     }
@@ -154,31 +156,33 @@
     const Accepted* accepted = find (answer.inForceVersion);
     if (accepted == nullptr || accepted->digest != answer.inForceDigest)
     {
-        violate (kAnswers, record, answer, "that file was never accepted");
+        addViolation (kAnswers, record, answer, "that file was never accepted");
     }
     else if (isApplied && answer.inForceDigest != record.digest)
     {
-        violate (kAnswers, record, answer, "another file is in force under this version");
+        addViolation (kAnswers, record, answer, "another file is in force under this version");
     }
 }
 
-/// An answer must not show a state older than one that was told before the call was sent.
+/// Checks that an answer is not older than a state reported before the request was sent.
 void ConfigurationChecker::checkOrder (const OperatorRecord& record, const OperatorAnswer& answer)
 {
-    if (! answer.namesState)
+    if (! answer.hasState)
         return;
-    // Each entry tells a higher version at a later time than the one before.
-    const auto after =
-        std::ranges::lower_bound (m_told, record.sentAt, {}, &decltype (m_told)::value_type::first);
-    const std::uint64_t known = after == m_told.begin() ? 0 : std::prev (after)->second;
+    // Times and versions increase from entry to entry.
+    const auto after = std::ranges::lower_bound (m_reportedVersions, record.sentAt, {},
+                                                 &decltype (m_reportedVersions)::value_type::first);
+    const std::uint64_t known = after == m_reportedVersions.begin() ? 0 : std::prev (after)->second;
     if (known > answer.inForceVersion)
     {
-        violate (kAnswers, record, answer,
-                 "version " + std::to_string (known) + " was told before the call");
+        addViolation (
+            kAnswers, record, answer,
+            "version " + std::to_string (known) + " had been reported before the request was sent");
     }
-    const bool isNew = m_told.empty() || answer.inForceVersion > m_told.back().second;
+    const bool isNew =
+        m_reportedVersions.empty() || answer.inForceVersion > m_reportedVersions.back().second;
     if (isNew)
-        m_told.emplace_back (m_world.now(), answer.inForceVersion);
+        m_reportedVersions.emplace_back (m_world.now(), answer.inForceVersion);
 }
 
 void ConfigurationChecker::checkEnd()
--- a/src/sim/ConfigurationChecker.h
+++ b/src/sim/ConfigurationChecker.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Invariants of the configuration: answers to operators are linearizable, a router that holds a
-/// lease serves from the latest accepted file or one replaced a moment ago, and never goes back.
+/// Checks invariants of the configuration: answers to operators are linearizable; a router that
+/// holds a lease serves from the latest accepted file, or from one that was replaced less than a
+/// lease duration ago, and never returns to an earlier version.
 
 #include <map>
 #include <optional>
@@ -14,28 +15,28 @@
 namespace fernlift::sim
 {
 
-/// What an operator did.
+/// Kind of an operator request.
 enum class OperatorCall : std::uint8_t
 {
     kApply,
     kRead
 };
 
-/// One call of an operator, from its sending to its answer.
+/// A request that an operator sent.
 struct OperatorRecord
 {
     OperatorCall call = OperatorCall::kApply;
-    std::uint64_t version = 0;  ///< Of the file sent.
+    std::uint64_t version = 0;  ///< Version of the file in the request.
     std::string digest;
     base::TimePoint sentAt{};
 };
 
-/// What the answer said.
+/// Content of the answer to an operator request.
 struct OperatorAnswer
 {
     int httpStatus = 0;
-    std::string result;       ///< "accepted", "unchanged", or the name of an error kind.
-    bool namesState = false;  ///< It says what is in force.
+    std::string result;     ///< "accepted", "unchanged" or the name of an error kind.
+    bool hasState = false;  ///< The answer contains the configuration in force.
     std::uint64_t inForceVersion = 0;
     std::string inForceDigest;
     bool isInForceEverywhere = false;
@@ -48,12 +49,12 @@
 
     void onCommitted (const cell::Command& command, const cell::ApplyResult& result);
     void onRouterStarted (RouterNode& router);
-    /// After every input of a router.
+    /// Called after every input of a router.
     void onRouterInput (RouterNode& router);
-    /// A router sends a request to a back end for the first time.
+    /// Called when a router makes the first attempt for a request.
     void onFirstDispatch (RouterNode& router);
     void onOperatorAnswer (const OperatorRecord& record, const OperatorAnswer& answer);
-    /// Once the cell has healed: every live router serves from the latest file.
+    /// Checks that every live router of the healed cell serves from the latest file.
     void checkEnd();
 
     [[nodiscard]] std::uint64_t latestVersion() const { return m_accepted.size(); }
@@ -67,18 +68,18 @@
     };
 
     void checkRouter (RouterNode& router);
-    void checkNames (const OperatorRecord& record, const OperatorAnswer& answer);
+    void checkReportedState (const OperatorRecord& record, const OperatorAnswer& answer);
     void checkOrder (const OperatorRecord& record, const OperatorAnswer& answer);
     [[nodiscard]] const Accepted* find (std::uint64_t version) const;
-    /// When the file of this version was replaced; none while it is the latest.
+    /// Time at which the file with this version was replaced; none while it is the latest.
     [[nodiscard]] std::optional<base::TimePoint> replacedAt (std::uint64_t version) const;
-    void violate (const std::string& invariant, const OperatorRecord& record,
-                  const OperatorAnswer& answer, const std::string& problem);
+    void addViolation (const std::string& invariant, const OperatorRecord& record,
+                       const OperatorAnswer& answer, const std::string& problem);
 
     World& m_world;
-    std::vector<Accepted> m_accepted;  ///< In the order of acceptance.
-    /// Highest version that an answer told, with the time of the answer.
-    std::vector<std::pair<base::TimePoint, std::uint64_t>> m_told;
+    std::vector<Accepted> m_accepted;  ///< Accepted files in order of acceptance.
+    /// Versions that answers reported, each higher than all before, with the time of the answer.
+    std::vector<std::pair<base::TimePoint, std::uint64_t>> m_reportedVersions;
     std::map<std::string, std::uint64_t> m_servedByRouter;
     std::uint64_t m_everywhereVersion = 0;
 };
--- a/src/sim/ConsensusChecker.cpp
+++ b/src/sim/ConsensusChecker.cpp
@@ -62,7 +62,8 @@
         const auto [leader, isNew] = m_leaders.emplace (status.term, status.self);
         if (isNew)
         {
-            m_world.note (memberName (status.self) + " leads term " + std::to_string (status.term));
+            m_world.addToTrace (memberName (status.self) + " leads term "
+                                + std::to_string (status.term));
         }
         else if (leader->second != status.self)
         {
@@ -82,7 +83,7 @@
     {
         const auto found = log.entries.find (index);
         if (found == log.entries.end())
-            continue;  // Covered by a snapshot it received.
+            continue;  // The member received a snapshot that covers this entry.
         if (index == m_committed.size() + 1)
         {
             commit (found->second);
@@ -162,7 +163,8 @@
                                 + std::to_string (m_highestLeaseTerm) + " has a leader");
 }
 
-void ConsensusChecker::onActed (ControllerNode& controller, const cell::ControllerToRouter& message)
+void ConsensusChecker::onRouterMessageSent (ControllerNode& controller,
+                                            const cell::ControllerToRouter& message)
 {
     if (std::holds_alternative<cell::LeaseGrant> (message))
     {
--- a/src/sim/ConsensusChecker.h
+++ b/src/sim/ConsensusChecker.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// Invariants of consensus: one committed log, equal at all members; one leader a term; one lease
-/// at a time; nothing that counts from a leader that was replaced. Follows the committed log with a
-/// state machine of its own, against which the other checks are made.
+/// Checks invariants of consensus: the committed log is equal at all members, each term has at most
+/// one leader, at most one leader's lease exists at a time, and a replaced leader grants no leases
+/// and sends no orders or tables. Applies the committed log to a state machine of its own, which
+/// the other checkers use as reference.
 
 #include <map>
 #include <optional>
@@ -26,19 +27,19 @@
     void onStarted (base::MemberId member, const consensus::RecoveredState& recovered);
     void onEnded (base::MemberId member);
     void onPersist (base::MemberId member, const consensus::PersistRequest& request);
-    /// After every input of a controller.
+    /// Called after every input of a controller.
     void onProgress (ControllerNode& controller);
-    /// A member sends its vote.
+    /// Called when a member sends a granted vote.
     void onVoteSent (const consensus::Message& message);
-    /// A controller sends something to a router.
-    void onActed (ControllerNode& controller, const cell::ControllerToRouter& message);
+    /// Called when a controller sends a message to a router.
+    void onRouterMessageSent (ControllerNode& controller, const cell::ControllerToRouter& message);
     void onOrderSent (ControllerNode& controller, const engine::Order& order);
-    /// Once the cell has healed: states are equal, a leader exists.
+    /// Checks that the healed cell has a leader and equal states at all members.
     void checkEnd();
 
-    /// The state after every entry committed anywhere.
+    /// State after applying all entries that any member has committed.
     [[nodiscard]] const cell::CellState& state() const { return m_state; }
-    /// The command at an index of the committed log; none for other entries.
+    /// The command at an index of the committed log; none if the entry is not a command.
     [[nodiscard]] std::optional<cell::Command> commandAt (base::LogIndex index) const;
     [[nodiscard]] base::LogIndex committedIndex() const { return m_committed.size(); }
     [[nodiscard]] std::size_t terms() const { return m_leaders.size(); }
--- a/src/sim/ControllerNode.cpp
+++ b/src/sim/ControllerNode.cpp
@@ -96,18 +96,18 @@
     begin();
     m_isStopping = false;
     consensus::RecoveredState recovered = m_disk.recover();
-    note ("starts as member " + std::to_string (m_member) + " with "
-          + std::to_string (recovered.entries.size()) + " entries");
+    addToTrace ("starts as member " + std::to_string (m_member) + " with "
+                + std::to_string (recovered.entries.size()) + " entries");
     m_world.consensus->onStarted (m_member, recovered);
     m_core.emplace (m_member, coreOptions(), std::move (recovered), random().bits(), clock().now(),
                     clock().unixNow());
     feed ([] (controller::ControllerCore&) {});
-    tick (life());
+    tick (runNumber());
 }
 
 void ControllerNode::replaceDisk (base::MemberId member)
 {
-    note ("disk lost");
+    addToTrace ("disk lost");
     m_disk.wipe();
     m_member = member;
 }
@@ -116,7 +116,7 @@
 {
     if (! isAlive() || isFrozen() || m_isStopping)
         return;
-    note ("planned stop");
+    addToTrace ("planned stop");
     m_isStopping = true;
     feed ([] (controller::ControllerCore& core) { core.beginStop(); });
 }
@@ -124,18 +124,18 @@
 void ControllerNode::onKilled()
 {
     if (m_disk.crash (random()))
-        note ("record torn");
+        addToTrace ("record torn");
     m_world.consensus->onEnded (m_member);
     m_core.reset();
     m_routers.clear();
     m_tickets.clear();
 }
 
-void ControllerNode::tick (std::uint64_t life)
+void ControllerNode::tick (std::uint64_t runNumber)
 {
-    if (! isAlive() || life != this->life())
+    if (! isAlive() || runNumber != this->runNumber())
         return;
-    queue().after (kTickInterval, [this, life] { tick (life); });
+    queue().after (kTickInterval, [this, runNumber] { tick (runNumber); });
     if (isFrozen())
         return;
     feed ([] (controller::ControllerCore& core) { core.onTick(); });
@@ -144,9 +144,9 @@
     kill (base::Duration::zero());
     const auto pause = base::Duration (random().uniformInteger (0, kLongestRestartMicroseconds));
     queue().after (pause,
-                   [this, stopped = this->life()]
+                   [this, stopped = this->runNumber()]
                    {
-                       if (! isAlive() && stopped == this->life())
+                       if (! isAlive() && stopped == this->runNumber())
                            start();
                    });
 }
@@ -157,7 +157,7 @@
         return;
     m_core->setTime (clock().now(), clock().unixNow());
     input (*m_core);
-    const std::uint64_t current = life();
+    const std::uint64_t current = runNumber();
     const std::vector<controller::Effect> effects = m_core->takeEffects();
     for (const controller::Effect& effect : effects)
     {
@@ -169,7 +169,7 @@
     m_world.consensus->onProgress (*this);
     for (const controller::Effect& effect : effects)
     {
-        if (! isAlive() || current != life())
+        if (! isAlive() || current != runNumber())
             return;
         carryOut (effect);
     }
@@ -192,8 +192,8 @@
                                                      ConnectionPointer connection)
 {
     const controller::RouterConnection number = ++m_lastConnection;
-    connection->onEnded (Side::kAcceptor, [this, number, life = life()]
-                         { postTo (life, [this, number] { onRouterGone (number); }); });
+    connection->onEnded (Side::kAcceptor, [this, number, runNumber = runNumber()]
+                         { postTo (runNumber, [this, number] { onRouterGone (number); }); });
     m_routers[number] = { &router, std::move (connection) };
     return number;
 }
@@ -240,13 +240,13 @@
     const auto length =
         base::Duration (random().uniformInteger (kShortestSyncMicroseconds, m_longestSync.count()));
     queue().after (length,
-                   [this, life = life()]
+                   [this, runNumber = runNumber()]
                    {
-                       if (! isAlive() || life != this->life())
+                       if (! isAlive() || runNumber != this->runNumber())
                            return;
-                       // A sync that was begun ends in the kernel even while the process is frozen.
+                       // The kernel completes a sync in progress even while the process is frozen.
                        const std::uint64_t sequence = m_disk.endWrite();
-                       postTo (life,
+                       postTo (runNumber,
                                [this, sequence]
                                {
                                    writeIfIdle();
@@ -285,15 +285,16 @@
     const auto found = m_routers.find (effect.connection);
     if (found == m_routers.end())
         return;
-    m_world.consensus->onActed (*this, effect.message);
+    m_world.consensus->onRouterMessageSent (*this, effect.message);
     RouterNode* router = found->second.router;
     const ConnectionPointer connection = found->second.connection;
-    connection->send (Side::kAcceptor,
-                      [router, connection, life = router->life(), message = effect.message]
-                      {
-                          router->postTo (life, [router, connection, message]
-                                          { router->onControllerMessage (connection, message); });
-                      });
+    connection->send (
+        Side::kAcceptor,
+        [router, connection, runNumber = router->runNumber(), message = effect.message]
+        {
+            router->postTo (runNumber, [router, connection, message]
+                            { router->onControllerMessage (connection, message); });
+        });
 }
 
 void ControllerNode::apply (const controller::BroadcastToRouters& effect)
@@ -302,10 +303,11 @@
         apply (controller::SendToRouter{ connection, effect.message });
 }
 
-/// Nobody is at the address that was called.
+/// Reports a failed call after the timeout; used when no machine has the address.
 void ControllerNode::failLater (const Action& onFailed)
 {
-    queue().after (kCallTimeout, [this, onFailed, life = life()] { postTo (life, onFailed); });
+    queue().after (kCallTimeout,
+                   [this, onFailed, runNumber = runNumber()] { postTo (runNumber, onFailed); });
 }
 
 void ControllerNode::apply (const controller::SendOrder& effect)
@@ -330,7 +332,7 @@
             });
     };
     call (network(), *this, *backEnd, kCallTimeout, serve, onFailed);
-    // The same bytes may arrive twice when a connection is opened anew.
+    // An order may arrive a second time when it is resent over a new connection.
     if (! random().chance (m_world.faults->orderDuplication()))
         return;
     network().queue().after (
--- a/src/sim/ControllerNode.h
+++ b/src/sim/ControllerNode.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// One controller machine of a simulation: the controller's core over a simulated disk, and what
-/// the adapters of a real process would do for it.
+/// Simulated controller machine. Runs the controller's core on a simulated disk and takes the place
+/// of the I/O adapters of a real process.
 
 #include <cstdint>
 #include <functional>
@@ -23,25 +23,24 @@
 public:
     ControllerNode (World& world, NodeId node, base::MemberId member);
 
-    /// Writes the first entry of a new cell.
+    /// Stores the first log entry of a new cell.
     void bootstrap (const consensus::MemberSet& members) { m_disk.bootstrap (members); }
-    /// Starts on what the disk holds.
+    /// Starts with the state recovered from the disk.
     void start();
-    /// The disk is lost; a member with another identity takes the machine. The process must be
-    /// dead.
+    /// Erases the disk and assigns the machine to member `member`. The process must not be running.
     void replaceDisk (base::MemberId member);
-    /// Planned stop: hands leadership over, ends and starts again.
+    /// Planned stop: transfers leadership, stops and restarts.
     void stopAndRestart();
-    /// Every sync takes up to this long from now on.
+    /// Sets the maximum duration of later syncs.
     void setDiskDelay (base::Duration longest) { m_longestSync = longest; }
 
-    /// Accepts a connection of a router; its number.
+    /// Accepts a connection from a router and returns its number.
     controller::RouterConnection accept (RouterNode& router, ConnectionPointer connection);
     void onRouterMessage (controller::RouterConnection connection,
                           const cell::RouterToController& message);
     void onRouterGone (controller::RouterConnection connection);
 
-    /// Handles an operator's request; `onAnswer` runs here.
+    /// Handles an operator's request; `onAnswer` runs at this controller.
     void admin (const controller::AdminRequest& request,
                 std::function<void (const controller::AnswerAdmin&)> onAnswer);
 
@@ -49,7 +48,7 @@
     [[nodiscard]] const std::string& address() const { return m_address; }
     [[nodiscard]] bool hasCore() const { return m_core.has_value(); }
     [[nodiscard]] controller::ControllerCore& core() { return *m_core; }
-    /// Alive, running and holding the leader's lease at this moment.
+    /// True when the process is alive, not frozen and holds the leader's lease at this moment.
     [[nodiscard]] bool leadsNow();
     [[nodiscard]] consensus::Member asMember (bool isVoter) const;
 
@@ -65,7 +64,7 @@
     using Input = std::function<void (controller::ControllerCore&)>;
 
     void feed (const Input& input);
-    void tick (std::uint64_t life);
+    void tick (std::uint64_t runNumber);
     void carryOut (const controller::Effect& effect);
     void apply (const controller::PersistEffect& effect);
     void apply (const controller::SendToMember& effect);
@@ -75,9 +74,10 @@
     void apply (const controller::PollRunner& effect);
     void apply (const controller::PollMachineList& effect);
     void apply (const controller::AnswerAdmin& effect);
-    // The simulated cell has no registered services.
+    // The simulated cell has no registered services, so there are no control requests to answer.
     void apply (const controller::AnswerControl& /*effect*/) {}
-    // Its routers take leases from the leader itself.
+    // Routers of the simulated cell get their leases directly from the leader, so no relay connects
+    // to it.
     void apply (const controller::ConnectToLeader& /*connect*/) {}
     void apply (const controller::SendToLeader& /*send*/) {}
     void apply (const placement::EngineOrderDone& /*done*/) {}
--- a/src/sim/EngineNode.cpp
+++ b/src/sim/EngineNode.cpp
@@ -42,7 +42,7 @@
 {
     begin();
     drawIncarnation();
-    note ("starts, incarnation " + std::to_string (incarnation()));
+    addToTrace ("starts, incarnation " + std::to_string (incarnation()));
     m_model.emplace (modelOptions(), queue().now());
     m_wakeAt = {};
     armWake();
@@ -76,18 +76,18 @@
     const base::Fence before = m_model->currentReport().highestFence;
     const engine::OrderAnswer answer = m_model->onOrder (order, queue().now());
     world().replicas->onOrder (*this, order, answer, before);
-    settle();
+    advanceModel();
     world().replicas->onEngineChanged (*this);
     return answer;
 }
 
 engine::Report EngineNode::report()
 {
-    settle();
+    advanceModel();
     return m_model->report();
 }
 
-engine::Report EngineNode::truth()
+engine::Report EngineNode::actualReport()
 {
     if (! m_model)
         return {};
@@ -113,7 +113,7 @@
     if (! m_model)
         return;
     m_model->setFaults (faults);
-    settle();
+    advanceModel();
 }
 
 void EngineNode::submit (Attempt attempt)
@@ -131,23 +131,24 @@
     const standin::SubmitOutcome outcome = m_model->submit (request, queue().now());
     if (! outcome.accepted)
     {
-        attempt.tell (router::AttemptRefused{ kRefusedStatus, isLeaving(), std::nullopt });
+        attempt.sendEvent (router::AttemptRefused{ kRefusedStatus, isLeaving(), std::nullopt });
         return;
     }
-    attempt.connection->onEnded (Side::kAcceptor, [this, life = life(), handle = outcome.handle]
-                                 { postTo (life, [this, handle] { cancel (handle); }); });
+    attempt.connection->onEnded (Side::kAcceptor,
+                                 [this, runNumber = runNumber(), handle = outcome.handle]
+                                 { postTo (runNumber, [this, handle] { cancel (handle); }); });
     m_answers.emplace (outcome.handle, Answer{ std::move (attempt), false, {} });
-    settle();
+    advanceModel();
 }
 
 void EngineNode::cancel (standin::RequestHandle handle)
 {
     m_answers.erase (handle);
     m_model->cancel (handle, queue().now());
-    settle();
+    advanceModel();
 }
 
-void EngineNode::settle()
+void EngineNode::advanceModel()
 {
     if (! m_model)
         return;
@@ -171,15 +172,15 @@
         return;
     m_wakeAt = next;
     queue().at (next,
-                [this, life = life(), number = ++m_wakeNumber]
+                [this, runNumber = runNumber(), number = ++m_wakeNumber]
                 {
                     if (number != m_wakeNumber)
                         return;
-                    postTo (life,
+                    postTo (runNumber,
                             [this]
                             {
                                 m_wakeAt = {};
-                                settle();
+                                advanceModel();
                             });
                 });
 }
@@ -188,14 +189,14 @@
 {
     m_transfers.erase (fetch);
     m_model->onFetched (fetch, queue().now());
-    settle();
+    advanceModel();
 }
 
 void EngineNode::onFetchRefused (standin::FetchId fetch, base::Duration retryAfter)
 {
     m_transfers.erase (fetch);
     m_model->onFetchRefused (fetch, retryAfter, queue().now());
-    settle();
+    advanceModel();
 }
 
 void EngineNode::apply (const standin::FetchWeights& effect)
@@ -224,9 +225,9 @@
         return;
     }
     if (! answer.hasBegun)
-        answer.attempt.tell (router::AttemptHeaders{ kOk, isLeaving() });
+        answer.attempt.sendEvent (router::AttemptHeaders{ kOk, isLeaving() });
     answer.hasBegun = true;
-    answer.attempt.tell (router::AttemptData{ effect.offset, effect.count, effect.text });
+    answer.attempt.sendEvent (router::AttemptData{ effect.offset, effect.count, effect.text });
 }
 
 std::optional<EngineNode::Answer> EngineNode::takeAnswer (standin::RequestHandle handle)
@@ -246,15 +247,15 @@
     if (! answer)
         return;
     if (! answer->hasBegun)
-        answer->attempt.tell (router::AttemptHeaders{ kOk, isLeaving() });
+        answer->attempt.sendEvent (router::AttemptHeaders{ kOk, isLeaving() });
     if (! answer->attempt.request->head.isStreaming)
     {
         std::string text;
         for (const auto& [offset, part] : answer->parts)
             text += part;
-        answer->attempt.tell (router::AttemptData{ 0, text.size(), text });
+        answer->attempt.sendEvent (router::AttemptData{ 0, text.size(), text });
     }
-    answer->attempt.tell (router::AttemptEnded{});
+    answer->attempt.sendEvent (router::AttemptEnded{});
 }
 
 void EngineNode::apply (const standin::AnswerRefused& effect)
@@ -262,7 +263,7 @@
     const std::optional<Answer> answer = takeAnswer (effect.handle);
     if (! answer)
         return;
-    answer->attempt.tell (router::AttemptRefused{ kRefusedStatus, isLeaving(), std::nullopt });
+    answer->attempt.sendEvent (router::AttemptRefused{ kRefusedStatus, isLeaving(), std::nullopt });
 }
 
 void EngineNode::apply (const standin::AnswerBroken& effect)
@@ -276,9 +277,9 @@
 {
     kill (base::Duration::zero());
     queue().after (kRestartAfterExit,
-                   [this, ended = life()]
+                   [this, ended = runNumber()]
                    {
-                       if (! isAlive() && ended == life())
+                       if (! isAlive() && ended == runNumber())
                            start();
                    });
 }
--- a/src/sim/EngineNode.h
+++ b/src/sim/EngineNode.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// A model engine of a simulation: the stand-in's model and what its HTTP server would do for it.
+/// Simulated model engine. Runs the engine model of the stand-in and takes the place of its HTTP
+/// server.
 
 #include <map>
 #include <optional>
@@ -27,12 +28,12 @@
     [[nodiscard]] bool isLeaving() const override { return m_model && m_model->isLeaving(); }
     [[nodiscard]] bool isBusy() override;
 
-    /// The state at this moment, as the engine itself knows it.
-    [[nodiscard]] engine::Report truth();
+    /// The current state of the engine, without the delay of report().
+    [[nodiscard]] engine::Report actualReport();
     void setFaults (const standin::EngineFaults& faults);
     void onFetched (standin::FetchId fetch);
     void onFetchRefused (standin::FetchId fetch, base::Duration retryAfter);
-    /// Requests that this machine's engines ever began to run.
+    /// Ids of all requests that engines on this machine have begun to run.
     [[nodiscard]] std::set<std::string> requestsRun() const;
 
 protected:
@@ -46,7 +47,7 @@
         std::map<std::uint64_t, std::string> parts;
     };
 
-    void settle();
+    void advanceModel();
     void armWake();
     void cancel (standin::RequestHandle handle);
     void apply (const standin::FetchWeights& effect);
--- a/src/sim/EventQueue.cpp
+++ b/src/sim/EventQueue.cpp
@@ -22,7 +22,8 @@
         m_heap.pop_back();
         m_eventsAtThisTime = event.time == m_now ? m_eventsAtThisTime + 1 : 0;
         if (m_eventsAtThisTime > kMaximumEventsAtOneTime)
-            throw std::logic_error ("time stands still");
+            throw std::logic_error (
+                "simulation makes no progress: too many events at one simulated time");
         m_now = event.time;
         ++m_executed;
         event.action();
--- a/src/sim/EventQueue.h
+++ b/src/sim/EventQueue.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The clock of a simulation and everything that will happen, in order of time.
+/// Clock and event queue of a discrete-event simulation.
 
 #include <cstdint>
 #include <functional>
@@ -13,14 +13,14 @@
 
 using Action = std::function<void()>;
 
-/// Single-threaded. Events of one time run in the order of their scheduling.
+/// Single-threaded. Events at the same time run in the order in which they were scheduled.
 class EventQueue
 {
 public:
     [[nodiscard]] base::TimePoint now() const { return m_now; }
     void at (base::TimePoint time, Action action);
     void after (base::Duration delay, Action action) { at (m_now + delay, std::move (action)); }
-    /// Runs every event up to `end`, and ends with the clock there.
+    /// Runs all events up to and including `end` and sets the clock to `end`.
     void runUntil (base::TimePoint end);
     [[nodiscard]] std::uint64_t executed() const { return m_executed; }
 
@@ -31,7 +31,7 @@
         std::uint64_t sequence = 0;
         Action action;
     };
-    /// Orders a heap so that the earliest event is on top.
+    /// Heap comparator that puts the earliest event on top.
     struct IsLater
     {
         bool operator() (const Event& left, const Event& right) const
@@ -42,7 +42,7 @@
         }
     };
 
-    /// More events at one time than this: the simulation makes no progress.
+    /// Limit of events at one simulated time; beyond it the simulation counts as stuck in a loop.
     static constexpr std::uint64_t kMaximumEventsAtOneTime = 1'000'000;
 
     base::TimePoint m_now{ base::seconds (1000) };
--- a/src/sim/FaultPlan.cpp
+++ b/src/sim/FaultPlan.cpp
@@ -34,9 +34,9 @@
                              if (m_world.now() >= end || m_isOver)
                                  return;
                              const FaultKind kind = drawKind();
-                             if (bringAbout (kind))
+                             if (inject (kind))
                              {
-                                 m_world.note ("fault: " + std::string (nameOf (kind)));
+                                 m_world.addToTrace ("fault: " + std::string (toString (kind)));
                                  ++m_counts[static_cast<std::size_t> (kind)];
                              }
                              scheduleNext (end);
@@ -56,18 +56,18 @@
     return base::milliseconds (m_world.random.uniformInteger (lowMilliseconds, highMilliseconds));
 }
 
-base::Duration FaultPlan::drawSilence()
+base::Duration FaultPlan::drawDetectionDelay()
 {
     return m_world.random.chance (0.4) ? draw (2000, 8000) : base::Duration::zero();
 }
 
-bool FaultPlan::bringAbout (FaultKind kind)
+bool FaultPlan::inject (FaultKind kind)
 {
-    return hitControllers (kind) || hitNetwork (kind) || hitRouter (kind) || hitEngine (kind)
-           || hitPlatform (kind);
+    return injectControllerFault (kind) || injectNetworkFault (kind) || injectRouterFault (kind)
+           || injectEngineFault (kind) || injectPlatformFault (kind);
 }
 
-bool FaultPlan::hitControllers (FaultKind kind)
+bool FaultPlan::injectControllerFault (FaultKind kind)
 {
     ControllerNode* leader = m_world.leader();
     const bool takesLeader = leader != nullptr && m_world.random.chance (0.5);
@@ -102,13 +102,13 @@
 
 void FaultPlan::killAndRestart (Process& process, base::Duration longestPause, const Action& start)
 {
-    process.kill (drawSilence());
+    process.kill (drawDetectionDelay());
     const auto pause =
         base::Duration (m_world.random.uniformInteger (20'000, longestPause.count()));
     m_world.queue.after (pause,
-                         [&process, start, life = process.life()]
+                         [&process, start, runNumber = process.runNumber()]
                          {
-                             if (! process.isAlive() && process.life() == life)
+                             if (! process.isAlive() && process.runNumber() == runNumber)
                                  start();
                          });
 }
@@ -123,7 +123,7 @@
 
 bool FaultPlan::killAllControllers()
 {
-    // Their machines lose power together, with entries on their way.
+    // Simulates a common power failure while log entries are being written and replicated.
     slowDisks (base::seconds (1));
     m_world.queue.after (draw (5, 40), [this] { m_world.operators->applyNext(); });
     m_world.queue.after (draw (20, 100),
@@ -154,9 +154,9 @@
         return false;
     m_votersDieUntil = m_world.now() + base::seconds (3);
     slowDisks (base::seconds (3));
-    m_world.network.setTurbulence ({ 0.02, 0.05, draw (50, 400) });
+    m_world.network.setConditions ({ 0.02, 0.05, draw (50, 400) });
     killController (*leader);
-    m_world.queue.after (base::seconds (3), [this] { m_world.network.setTurbulence ({}); });
+    m_world.queue.after (base::seconds (3), [this] { m_world.network.setConditions ({}); });
     return true;
 }
 
@@ -165,18 +165,18 @@
     if (m_isOver || m_world.now() >= m_votersDieUntil || ! m_world.random.chance (0.6))
         return;
     m_world.queue.after (base::milliseconds (1),
-                         [this, &controller, life = controller.life()]
+                         [this, &controller, runNumber = controller.runNumber()]
                          {
-                             if (! controller.isAlive() || controller.life() != life)
+                             if (! controller.isAlive() || controller.runNumber() != runNumber)
                                  return;
                              controller.kill (base::Duration::zero());
-                             m_world.queue.after (
-                                 draw (2, 30),
-                                 [&controller, life]
-                                 {
-                                     if (! controller.isAlive() && controller.life() == life)
-                                         controller.start();
-                                 });
+                             m_world.queue.after (draw (2, 30),
+                                                  [&controller, runNumber]
+                                                  {
+                                                      if (! controller.isAlive()
+                                                          && controller.runNumber() == runNumber)
+                                                          controller.start();
+                                                  });
                          });
 }
 
@@ -185,11 +185,11 @@
     ControllerNode& controller = pick (m_world.controllers);
     if (! controller.isAlive() || m_world.operators->isReplacing())
         return false;
-    controller.kill (drawSilence());
+    controller.kill (drawDetectionDelay());
     m_world.queue.after (draw (100, 2000),
-                         [this, &controller, life = controller.life()]
+                         [this, &controller, runNumber = controller.runNumber()]
                          {
-                             if (! controller.isAlive() && controller.life() == life)
+                             if (! controller.isAlive() && controller.runNumber() == runNumber)
                                  restartAfterDiskLoss (controller);
                          });
     return true;
@@ -210,8 +210,8 @@
     controller.start();
 }
 
-/// Two members fall behind, a third loses its disk, and then those that know everything go: what
-/// was committed must outlive this.
+/// Cuts two members off so that they fall behind, erases the disk of a third, and then kills the
+/// two members with the complete log. Committed entries must survive this.
 bool FaultPlan::loseDiskBehindPartition()
 {
     ControllerNode* leader = m_world.leader();
@@ -265,11 +265,11 @@
     Process& process = isRouter ? static_cast<Process&> (pick (m_world.routers))
                                 : static_cast<Process&> (pick (m_world.controllers));
     process.clock().step (step);
-    m_world.note (process.name() + ": clock steps by " + std::to_string (step) + " ms");
+    m_world.addToTrace (process.name() + ": clock steps by " + std::to_string (step) + " ms");
     return true;
 }
 
-bool FaultPlan::hitRouter (FaultKind kind)
+bool FaultPlan::injectRouterFault (FaultKind kind)
 {
     RouterNode& router = pick (m_world.routers);
     switch (kind)
@@ -302,7 +302,7 @@
     }
 }
 
-bool FaultPlan::hitEngine (FaultKind kind)
+bool FaultPlan::injectEngineFault (FaultKind kind)
 {
     EngineNode& engine = pick (m_world.engines);
     switch (kind)
@@ -356,7 +356,7 @@
         return false;
     standin::EngineFaults faults;
     const auto fault = m_world.random.uniformInteger (0, 7);
-    // Streams are short: to meet some, all engines get the faults of streams.
+    // Streams are short, so stream faults are set at all engines to affect some of them.
     const bool hitsAll = fault <= 2;
     switch (fault)
     {
@@ -425,7 +425,7 @@
 void FaultPlan::heal()
 {
     m_isOver = true;
-    m_world.note ("all faults end");
+    m_world.addToTrace ("all faults end");
     m_world.network.healAll();
     m_world.platform->setLag (kUsualLag);
     m_world.platform->setWeightStoreFaults ({});
--- a/src/sim/FaultPlan.h
+++ b/src/sim/FaultPlan.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Brings faults about at random, and in the end takes all of them back.
+/// Injects random faults into a simulated cell and removes all of them at the end of the fault
+/// period.
 
 #include <array>
 #include <cstdint>
@@ -20,26 +21,26 @@
 public:
     explicit FaultPlan (World& world) : m_world (world) {}
 
-    /// Brings faults about until `end`.
+    /// Injects faults until `end`.
     void begin (base::TimePoint end);
-    /// Ends every fault and starts what is not running.
+    /// Removes all faults and starts all processes that are not running.
     void heal();
-    /// A controller sends its vote.
+    /// Called when a controller sends a granted vote.
     void onVote (ControllerNode& controller);
-    /// Share of orders that arrive a second time, late.
+    /// Share of orders that are delivered a second time after a delay.
     [[nodiscard]] double orderDuplication() const { return m_isOver ? 0 : 0.05; }
     [[nodiscard]] const FaultCounts& counts() const { return m_counts; }
 
 private:
     void scheduleNext (base::TimePoint end);
     [[nodiscard]] FaultKind drawKind();
-    /// True when the fault could be brought about now.
-    bool bringAbout (FaultKind kind);
-    bool hitControllers (FaultKind kind);
-    bool hitNetwork (FaultKind kind);
-    bool hitRouter (FaultKind kind);
-    bool hitEngine (FaultKind kind);
-    bool hitPlatform (FaultKind kind);
+    /// Injects a fault; false when the current state does not allow it.
+    bool inject (FaultKind kind);
+    bool injectControllerFault (FaultKind kind);
+    bool injectNetworkFault (FaultKind kind);
+    bool injectRouterFault (FaultKind kind);
+    bool injectEngineFault (FaultKind kind);
+    bool injectPlatformFault (FaultKind kind);
 
     bool killController (ControllerNode& controller);
     bool killAllControllers();
@@ -60,13 +61,13 @@
     void killAndRestart (Process& process, base::Duration longestPause, const Action& start);
     bool stepClock();
 
-    /// Cuts a link for a while; the cut ends by itself or with all faults.
+    /// Cuts a link for `duration`, or until heal().
     void cutFor (NodeId from, NodeId to, base::Duration duration);
     void cutBothFor (NodeId first, NodeId second, base::Duration duration);
     [[nodiscard]] base::Duration draw (std::int64_t lowMilliseconds, std::int64_t highMilliseconds);
     template <class Item>
     Item& pick (const std::vector<std::unique_ptr<Item>>& items);
-    [[nodiscard]] base::Duration drawSilence();
+    [[nodiscard]] base::Duration drawDetectionDelay();
 
     World& m_world;
     FaultCounts m_counts{};
--- a/src/sim/FaultPlanNetwork.cpp
+++ b/src/sim/FaultPlanNetwork.cpp
@@ -1,4 +1,4 @@
-// Faults of the network and of the platform.
+// Network and platform faults of FaultPlan.
 
 #include <string>
 
@@ -36,7 +36,7 @@
     cutFor (second, first, duration);
 }
 
-bool FaultPlan::hitNetwork (FaultKind kind)
+bool FaultPlan::injectNetworkFault (FaultKind kind)
 {
     switch (kind)
     {
@@ -61,9 +61,9 @@
             return true;
         }
         case FaultKind::kTurbulence:
-            m_world.network.setTurbulence ({ m_world.random.uniformReal() * 0.2,
+            m_world.network.setConditions ({ m_world.random.uniformReal() * 0.2,
                                              m_world.random.uniformReal() * 0.2, draw (1, 200) });
-            m_world.queue.after (draw (500, 4000), [this] { m_world.network.setTurbulence ({}); });
+            m_world.queue.after (draw (500, 4000), [this] { m_world.network.setConditions ({}); });
             return true;
         case FaultKind::kSlowLink:
             return slowLinks();
@@ -72,8 +72,8 @@
     }
 }
 
-/// The leader and its engines' and routers' words no longer reach each other; only its operators
-/// still do.
+/// Cuts the leader off from the other controllers and, in 40 % of cases, also from routers and
+/// engines. Operators can always reach it.
 bool FaultPlan::cutLeaderOff()
 {
     ControllerNode* leader = m_world.leader();
@@ -86,7 +86,7 @@
         cutBothFor (leader->node(), controller->node(), duration);
     }
     if (keepsOthers)
-        return true;  // Routers and engines can still reach it.
+        return true;  // Routers and engines can still reach the leader.
     for (const auto& router : m_world.routers)
         cutBothFor (leader->node(), router->node(), duration);
     for (const auto& engine : m_world.engines)
@@ -144,7 +144,7 @@
     return true;
 }
 
-/// Orders and reports of some controllers take seconds.
+/// Delays the leader's orders to engines, and the reports of half of the engines, by up to 4 s.
 bool FaultPlan::slowLinks()
 {
     ControllerNode* leader = m_world.leader();
@@ -171,7 +171,7 @@
     return true;
 }
 
-bool FaultPlan::hitPlatform (FaultKind kind)
+bool FaultPlan::injectPlatformFault (FaultKind kind)
 {
     switch (kind)
     {
@@ -207,7 +207,7 @@
     }
 }
 
-/// A machine is announced to leave, is reclaimed after a while, and another one takes its place.
+/// Announces that a machine is leaving, reclaims it after 3 to 7 s and then adds a replacement.
 bool FaultPlan::makeMachineLeave()
 {
     const bool isApplication = m_world.random.chance (0.2);
@@ -216,9 +216,10 @@
     if (! backEnd.isAlive() || backEnd.isLeaving())
         return false;
     m_world.platform->setLeaving (backEnd.machine().runner);
-    // The engine itself may hear of it earlier or later than the list shows it.
-    m_world.queue.after (draw (0, 2000), [&backEnd, life = backEnd.life()]
-                         { backEnd.postTo (life, [&backEnd] { backEnd.setLeaving (true); }); });
+    // The back end may be notified before or after the machine list shows the change.
+    m_world.queue.after (
+        draw (0, 2000), [&backEnd, runNumber = backEnd.runNumber()]
+        { backEnd.postTo (runNumber, [&backEnd] { backEnd.setLeaving (true); }); });
     m_world.queue.after (draw (3000, 7000), [this, &backEnd] { reclaim (backEnd); });
     return true;
 }
--- a/src/sim/LeavingChecker.cpp
+++ b/src/sim/LeavingChecker.cpp
@@ -12,7 +12,7 @@
 {
 
 constexpr base::Duration kCommitWithin = base::seconds (1);
-/// The lease of a router, with drift.
+/// Duration of a router's lease with allowance for clock drift.
 constexpr base::Duration kKnownEverywhereWithin = base::milliseconds (2010);
 
 constexpr const char* kInvariant = "nothing new to a leaving back end";
@@ -22,7 +22,7 @@
 void LeavingChecker::onReport (ControllerNode& controller, const engine::Report& report)
 {
     if (report.isLeaving)
-        onSign (controller, { report.runner, report.incarnation });
+        onLeavingReport (controller, { report.runner, report.incarnation });
 }
 
 void LeavingChecker::onMachineList (ControllerNode& controller, const engine::MachineList& list)
@@ -34,17 +34,17 @@
         const cell::Runner* known =
             m_world.consensus->state().replicas().findRunner (machine.runner);
         if (known != nullptr)
-            onSign (controller, { machine.runner, known->incarnation });
+            onLeavingReport (controller, { machine.runner, known->incarnation });
     }
 }
 
-void LeavingChecker::onSign (ControllerNode& controller, const RunnerLife& runner)
+void LeavingChecker::onLeavingReport (ControllerNode& controller, const RunnerIncarnation& runner)
 {
     const cell::Runner* known = m_world.consensus->state().replicas().findRunner (runner.first);
     const bool isCurrent = known != nullptr && known->incarnation == runner.second;
     if (! isCurrent || known->isLeaving || ! controller.leadsNow())
         return;
-    if (! m_awaited.insert (runner).second)
+    if (! m_awaitingCommit.insert (runner).second)
         return;
     const base::Term term = controller.core().raftStatus().term;
     const base::Duration frozen = controller.frozenTime();
@@ -52,7 +52,7 @@
         kCommitWithin,
         [this, runner, term, frozen, node = &controller]
         {
-            m_awaited.erase (runner);
+            m_awaitingCommit.erase (runner);
             const cell::Runner* now =
                 m_world.consensus->state().replicas().findRunner (runner.first);
             const bool isDone =
@@ -61,9 +61,9 @@
                                && node->frozenTime() == frozen;
             if (isDone || ! ledOn)
                 return;
-            m_world.violations.add (kInvariant, node->name() + " leads, knows that "
-                                                    + runner.first.value
-                                                    + " leaves and has not decided it within 1 s");
+            m_world.violations.add (
+                kInvariant, node->name() + " leads and was notified that " + runner.first.value
+                                + " is leaving, but did not commit this within 1 s");
         });
 }
 
@@ -72,28 +72,30 @@
     const auto* observed = std::get_if<cell::ObserveRunner> (&command);
     if (observed == nullptr || ! observed->isLeaving)
         return;
-    const RunnerLife runner{ observed->machine.runner, observed->incarnation };
+    const RunnerIncarnation runner{ observed->machine.runner, observed->incarnation };
     if (m_committedAt.emplace (runner, m_world.now()).second)
     {
-        m_world.note (runner.first.value + " is known to leave");
+        m_world.addToTrace (runner.first.value + " is known to leave");
     }
 }
 
-void LeavingChecker::onRouterSaw (RouterNode& router, const cell::RoutableReplica& replica)
+void LeavingChecker::onRouterLeavingReport (RouterNode& router,
+                                            const cell::RoutableReplica& replica)
 {
-    m_seenByRouter.insert (
-        { router.name(), router.life(), { replica.runner, replica.incarnation } });
+    m_reportedByRouter.insert (
+        { router.name(), router.runNumber(), { replica.runner, replica.incarnation } });
 }
 
 void LeavingChecker::onDispatch (RouterNode& router, const cell::RoutableReplica& replica)
 {
-    const RunnerLife runner{ replica.runner, replica.incarnation };
-    if (m_seenByRouter.contains ({ router.name(), router.life(), runner }))
+    const RunnerIncarnation runner{ replica.runner, replica.incarnation };
+    if (m_reportedByRouter.contains ({ router.name(), router.runNumber(), runner }))
     {
-        m_world.violations.add (kInvariant, router.name() + " sends to " + replica.runner.value
-                                                + " although it saw that it leaves");
+        m_world.violations.add (kInvariant,
+                                router.name() + " sends to " + replica.runner.value
+                                    + " although this back end notified it that it is leaving");
     }
-    // Without a lease a router admits nothing; for what it has it knows no better.
+    // A router without a lease admits no new requests and gets no updates for those it has.
     if (! router.core()->isReady())
         return;
     const auto committed = m_committedAt.find (runner);
@@ -102,7 +104,7 @@
     if (m_world.now() - committed->second <= kKnownEverywhereWithin)
         return;
     m_world.violations.add (kInvariant, router.name() + " sends to " + replica.runner.value
-                                            + " long after it was decided that it leaves");
+                                            + " too long after the commit that it is leaving");
 }
 
 }  // namespace fernlift::sim
--- a/src/sim/LeavingChecker.h
+++ b/src/sim/LeavingChecker.h
@@ -1,13 +1,12 @@
 #pragma once
 
-/// Nothing new goes to a back end that is leaving:
-/// - the leader that sees a sign (machine list, report, or a router's word) has it committed within
-///   a second if it goes on leading;
-/// - two seconds after that is committed no router that holds a lease sends a new attempt there,
-/// for
-///   the lease has been renewed since, and with it the router's table (a router without one only
-///   finishes what it has, and may be refused there);
-/// - a router that saw the sign itself sends nothing more from then on.
+/// Checks that no new attempts are sent to a back end that is leaving:
+/// - A leader that is notified of it by the machine list or a report commits the change within one
+///   second if it remains leader.
+/// - Two seconds after the commit, no router that holds a lease sends a new attempt there, because
+///   the lease, and with it the router's replica table, has been renewed since. A router without a
+///   lease only finishes the requests that it has, and the back end may refuse them.
+/// - A router that was notified by the back end itself sends no further attempts there.
 
 #include <map>
 #include <set>
@@ -30,20 +29,21 @@
     void onReport (ControllerNode& controller, const engine::Report& report);
     void onMachineList (ControllerNode& controller, const engine::MachineList& list);
     void onCommitted (const cell::Command& command);
-    void onRouterSaw (RouterNode& router, const cell::RoutableReplica& replica);
+    void onRouterLeavingReport (RouterNode& router, const cell::RoutableReplica& replica);
     void onDispatch (RouterNode& router, const cell::RoutableReplica& replica);
 
     [[nodiscard]] std::size_t leftCount() const { return m_committedAt.size(); }
 
 private:
-    using RunnerLife = std::pair<base::RunnerId, base::Incarnation>;
+    using RunnerIncarnation = std::pair<base::RunnerId, base::Incarnation>;
 
-    void onSign (ControllerNode& controller, const RunnerLife& runner);
+    void onLeavingReport (ControllerNode& controller, const RunnerIncarnation& runner);
 
     World& m_world;
-    std::set<RunnerLife> m_awaited;  ///< A leader saw the sign; the commit is being watched.
-    std::map<RunnerLife, base::TimePoint> m_committedAt;
-    std::set<std::tuple<std::string, std::uint64_t, RunnerLife>> m_seenByRouter;
+    std::set<RunnerIncarnation>
+        m_awaitingCommit;  ///< Reported to a leader; the commit is being checked.
+    std::map<RunnerIncarnation, base::TimePoint> m_committedAt;
+    std::set<std::tuple<std::string, std::uint64_t, RunnerIncarnation>> m_reportedByRouter;
 };
 
 }  // namespace fernlift::sim
--- a/src/sim/Network.cpp
+++ b/src/sim/Network.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::int64_t kShortestDelayMicroseconds = 200;
 constexpr std::int64_t kLongestDelayMicroseconds = 1800;
-/// Until a healed link carries waiting parts again.
+/// Maximum time until a healed link delivers segments that were held back.
 constexpr std::int64_t kLongestRetransmissionMicroseconds = 300'000;
 
 }  // namespace
@@ -72,7 +72,7 @@
     m_sides[index (to)].epoch += 1;
 }
 
-void Connection::hearEnd (Side side)
+void Connection::handleEnd (Side side)
 {
     End& end = m_sides[index (side)];
     if (end.isClosed)
@@ -92,7 +92,7 @@
           [self = weak_from_this(), to = other (from)]
           {
               if (const auto connection = self.lock())
-                  connection->hearEnd (to);
+                  connection->handleEnd (to);
           });
     m_sides[index (from)].isClosed = true;
     m_sides[index (from)].onEnded = nullptr;
@@ -109,7 +109,7 @@
               [self = weak_from_this(), side]
               {
                   if (const auto connection = self.lock())
-                      connection->hearEnd (side);
+                      connection->handleEnd (side);
               });
     }
 }
@@ -121,7 +121,7 @@
 
 Network::~Network()
 {
-    // What waits at a connection refers to the connection itself.
+    // Actions held by a connection own the connection, which would keep it alive.
     for (const auto& entry : m_connections)
     {
         const ConnectionPointer connection = entry.lock();
@@ -171,14 +171,14 @@
             link (from, to).extraDelay = base::Duration::zero();
         }
     }
-    m_turbulence = {};
+    m_conditions = {};
 }
 
 base::Duration Network::delay (NodeId from, NodeId to)
 {
     auto delay = base::Duration (
         m_random.uniformInteger (kShortestDelayMicroseconds, kLongestDelayMicroseconds));
-    const base::Duration extra = link (from, to).extraDelay + m_turbulence.extraDelay;
+    const base::Duration extra = link (from, to).extraDelay + m_conditions.extraDelay;
     if (extra > base::Duration::zero())
     {
         delay += base::Duration (m_random.uniformInteger (0, extra.count()));
@@ -190,9 +190,9 @@
 {
     if (isCut (from, to))
         return;
-    if (m_turbulence.loss > 0 && m_random.chance (m_turbulence.loss))
+    if (m_conditions.loss > 0 && m_random.chance (m_conditions.loss))
         return;
-    const bool isTwice = m_turbulence.duplication > 0 && m_random.chance (m_turbulence.duplication);
+    const bool isTwice = m_conditions.duplication > 0 && m_random.chance (m_conditions.duplication);
     for (int copy = 0; copy < (isTwice ? 2 : 1); ++copy)
     {
         m_queue.after (delay (from, to),
@@ -234,7 +234,7 @@
     return found;
 }
 
-void Network::onProcessEnded (NodeId node, base::Duration silence)
+void Network::onProcessEnded (NodeId node, base::Duration detectionDelay)
 {
     for (const ConnectionPointer& connection : connectionsOf (node))
     {
@@ -243,13 +243,13 @@
         if (! connection->isOpen (side))
             continue;
         connection->m_sides[Connection::index (side)].onEnded = nullptr;
-        if (silence == base::Duration::zero())
+        if (detectionDelay == base::Duration::zero())
         {
             connection->close (side, true);
             continue;
         }
         connection->loseAll (other (side));
-        m_queue.after (silence, [connection, side] { connection->close (side, true); });
+        m_queue.after (detectionDelay, [connection, side] { connection->close (side, true); });
         connection->loseAll (side);
     }
 }
--- a/src/sim/Network.h
+++ b/src/sim/Network.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The network of a simulation: directed links that can be slow or cut, datagrams and connections.
+/// Simulated network with directed links that can be slowed or cut, datagrams and connections.
 
 #include <array>
 #include <cstddef>
@@ -15,20 +15,21 @@
 namespace fernlift::sim
 {
 
-/// A place in the network: one machine.
+/// Identifies a machine in the network.
 using NodeId = std::size_t;
 
-/// What may happen to datagrams, and by how much everything may be late.
-struct Turbulence
+/// Probabilities of loss and duplication of datagrams, and additional delay of all traffic.
+struct NetworkConditions
 {
     double loss = 0;
     double duplication = 0;
-    base::Duration extraDelay{};  ///< Upper bound, drawn anew for each datagram or part.
+    base::Duration
+        extraDelay{};  ///< Maximum; a random delay is drawn for each datagram and segment.
 };
 
 class Network;
 
-/// Which end of a connection.
+/// The two ends of a connection.
 enum class Side : std::uint8_t
 {
     kOpener = 0,
@@ -36,21 +37,22 @@
 };
 constexpr Side other (Side side) { return side == Side::kOpener ? Side::kAcceptor : Side::kOpener; }
 
-/// Ordered bytes in both directions, like TCP: while a direction is cut they wait, and arrive in
-/// order once it is healed unless the connection broke meanwhile.
+/// Reliable ordered connection in both directions, like TCP. Segments sent while a direction is cut
+/// are held back and arrive in order once it is healed, unless the connection broke in between.
 class Connection : public std::enable_shared_from_this<Connection>
 {
 public:
     Connection (Network& network, NodeId opener, NodeId acceptor);
 
-    /// Runs `action` at the other end when the part arrives there.
+    /// Sends a segment; `action` runs at the other end when it arrives.
     void send (Side from, Action action);
-    /// Ends the connection from one side; the other side's end handler runs when it hears of it.
-    /// Parts that wait for a cut link are discarded or still delivered before that.
+    /// Closes the connection from one side; the end handler of the other side runs when the close
+    /// arrives there. Segments held back by a cut link are discarded, or delivered before it.
     void close (Side from, bool discardsUnsent);
-    /// Breaks the connection: what is on its way is lost, and both sides hear of it.
+    /// Resets the connection: segments in flight are lost, and both sides are notified.
     void reset();
-    /// Runs when this side hears that the connection ended. Not for its own close().
+    /// Sets the handler that runs when this side is notified of the end of the connection; it does
+    /// not run for a close() from this side.
     void onEnded (Side side, Action action) { m_sides[index (side)].onEnded = std::move (action); }
 
     [[nodiscard]] bool isOpen (Side side) const { return ! m_sides[index (side)].isClosed; }
@@ -63,17 +65,17 @@
         NodeId node = 0;
         bool isClosed = false;
         Action onEnded;
-        // Towards this end.
+        // Segments sent towards this end.
         std::deque<Action> held;
         base::TimePoint lastArrival{};
-        std::uint64_t epoch = 0;  ///< Raised when all that is on its way is lost.
+        std::uint64_t epoch = 0;  ///< Incremented when all segments in flight are lost.
     };
 
     static std::size_t index (Side side) { return static_cast<std::size_t> (side); }
     void arrive (Side to, std::uint64_t epoch, const Action& action);
     void flush (Side to);
     void loseAll (Side to);
-    void hearEnd (Side side);
+    void handleEnd (Side side);
 
     Network& m_network;
     std::array<End, 2> m_sides;
@@ -94,15 +96,16 @@
     [[nodiscard]] bool isCut (NodeId from, NodeId to) const;
     /// Adds up to `extra` to every delay on the link.
     void slow (NodeId from, NodeId to, base::Duration extra) { link (from, to).extraDelay = extra; }
-    void setTurbulence (const Turbulence& turbulence) { m_turbulence = turbulence; }
+    void setConditions (const NetworkConditions& turbulence) { m_conditions = turbulence; }
 
-    /// Runs `action` at the other node: once, never or twice.
+    /// Sends a datagram; `action` runs at the other node once, or twice or never under the current
+    /// network conditions.
     void datagram (NodeId from, NodeId to, const Action& action);
-    /// Opens a connection if both directions pass now, else null.
+    /// Opens a connection; null when the link is cut in either direction.
     [[nodiscard]] ConnectionPointer open (NodeId from, NodeId to);
-    /// The process at a node ended. Its peers hear of it at once, or, when the whole machine
-    /// vanished, after `silence`.
-    void onProcessEnded (NodeId node, base::Duration silence);
+    /// Called when the process at a node ended. Its peers are notified at once, or after
+    /// `detectionDelay` when the whole machine vanished.
+    void onProcessEnded (NodeId node, base::Duration detectionDelay);
     /// Resets every open connection between two nodes.
     void resetBetween (NodeId first, NodeId second);
 
@@ -124,7 +127,7 @@
     base::Random& m_random;
     std::size_t m_nodes;
     std::vector<Link> m_links;
-    Turbulence m_turbulence;
+    NetworkConditions m_conditions;
     std::vector<std::weak_ptr<Connection>> m_connections;
     std::size_t m_purgeAt = 1024;
 };
--- a/src/sim/Operators.cpp
+++ b/src/sim/Operators.cpp
@@ -51,7 +51,7 @@
     const bool isRead = call == OperatorCall::kRead && answer.httpStatus == 200;
     const QJsonObject named =
         isRead ? object : object.value (QLatin1String ("configuration")).toObject();
-    result.namesState = isRead || ! named.isEmpty();
+    result.hasState = isRead || ! named.isEmpty();
     result.inForceVersion =
         static_cast<std::uint64_t> (named.value (QLatin1String ("version")).toInteger());
     result.inForceDigest = textOf (named, "digest");
@@ -59,7 +59,7 @@
     return result;
 }
 
-/// Whether a member is there and votes, as the leader lists it.
+/// Whether the member is a voter in the leader's member list; none when it is not listed.
 std::optional<bool> findVoter (const QJsonObject& members, base::MemberId id)
 {
     for (const auto& value : members.value (QLatin1String ("members")).toArray())
@@ -98,7 +98,8 @@
                        if (queue().now() >= end)
                            return;
                        applyNext();
-                       // Another operator with the same idea at the same time.
+                       // A second operator applies another file with the same version at the same
+                       // time.
                        if (random().chance (0.4))
                            applyNext();
                        scheduleApply (end);
@@ -125,7 +126,7 @@
 {
     Apply apply;
     apply.record.version = m_knownVersion + 1;
-    // Some operators work with an old file.
+    // Some operators edit an outdated file.
     if (m_knownVersion > 1 && random().chance (0.1))
         apply.record.version = m_knownVersion - 1;
     apply.text = catalogueText (apply.record.version, ++m_variants, random());
@@ -135,7 +136,7 @@
 
 void Operators::sendApply (Apply apply)
 {
-    if (++apply.sendings > kMaximumSendings)
+    if (++apply.sendCount > kMaximumSendings)
         return;
     apply.record.sentAt = queue().now();
     const bool waits = random().chance (0.3);
@@ -147,20 +148,20 @@
     const auto onAnswer = [this, apply, again] (const controller::AnswerAdmin& json)
     {
         const OperatorAnswer answer = toAnswer (json, OperatorCall::kApply);
-        if (! answer.namesState)
+        if (! answer.hasState)
         {
-            again();  // Not the leader, or the leader lost its quorum.
+            again();  // The controller does not lead, or it lost its quorum.
             return;
         }
         m_world.configuration->onOperatorAnswer (apply.record, answer);
         m_knownVersion = std::max (m_knownVersion, answer.inForceVersion);
         ++m_appliesAnswered;
-        // As if the answer had been lost: the same file is sent again.
+        // Simulates a lost answer: the operator sends the same file again.
         if (random().chance (kLostAnswerShare))
             again();
     };
-    ask (likelyLeader(), controller::AdminApply{ apply.text, waits, kInForceTimeout }, onAnswer,
-         again);
+    sendRequest (likelyLeader(), controller::AdminApply{ apply.text, waits, kInForceTimeout },
+                 onAnswer, again);
 }
 
 void Operators::read()
@@ -179,7 +180,7 @@
         m_world.configuration->onOperatorAnswer (record, answer);
         m_knownVersion = std::max (m_knownVersion, answer.inForceVersion);
     };
-    ask (anyone, controller::AdminExplain{ "configuration", "" }, onAnswer, [] {});
+    sendRequest (anyone, controller::AdminExplain{ "configuration", "" }, onAnswer, [] {});
 }
 
 ControllerNode& Operators::likelyLeader()
@@ -192,8 +193,8 @@
     return *m_world.controllers[static_cast<std::size_t> (any)];
 }
 
-void Operators::ask (ControllerNode& controller, const controller::AdminRequest& request,
-                     OnAnswer onAnswer, Action onFailed)
+void Operators::sendRequest (ControllerNode& controller, const controller::AdminRequest& request,
+                             OnAnswer onAnswer, Action onFailed)
 {
     const auto serve =
         [&controller, request, onAnswer = std::move (onAnswer)] (const Respond& respond)
@@ -215,7 +216,7 @@
     continueReplacement (replacement);
 }
 
-/// Looks at the members that a leader lists and takes the next step towards the wanted ones.
+/// Reads the leader's member list and takes the next step of the replacement.
 void Operators::continueReplacement (Replacement replacement)
 {
     const auto again = [this, replacement] {
@@ -243,16 +244,16 @@
         }
         else if (! findVoter (members, replacement.former))
         {
-            note ("member " + std::to_string (replacement.former) + " replaced by "
-                  + std::to_string (replacement.member.id));
+            addToTrace ("member " + std::to_string (replacement.former) + " replaced by "
+                        + std::to_string (replacement.member.id));
             ++m_membersReplaced;
             --m_replacing;
             return;
         }
-        ask (
+        sendRequest (
             likelyLeader(), next, [again] (const controller::AnswerAdmin&) { again(); }, again);
     };
-    ask (likelyLeader(), controller::AdminMembers{}, step, again);
+    sendRequest (likelyLeader(), controller::AdminMembers{}, step, again);
 }
 
 }  // namespace fernlift::sim
--- a/src/sim/Operators.h
+++ b/src/sim/Operators.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Operators of a simulated cell: they race each other with files of equal versions, resend when an
-/// answer is lost, read what is in force, and replace members whose disk was lost.
+/// Operators of a simulated cell. They concurrently apply different files with equal versions,
+/// resend a file when the answer is lost, read the configuration in force, and replace members
+/// whose disk was lost.
 
 #include <cstdint>
 #include <functional>
@@ -21,12 +22,12 @@
 public:
     Operators (World& world, NodeId node);
 
-    /// Applies the first file and then goes on until `end`.
+    /// Applies the first file and then applies and reads configurations until `end`.
     void begin (base::TimePoint end);
-    /// Replaces the member of a dead controller, whose disk is lost, by a new one on the same
-    /// machine: adds it, has it catch up, promotes it and removes the old one.
+    /// Replaces the member of a stopped controller whose disk was lost by a new member on the same
+    /// machine: adds it, promotes it once it has caught up and removes the old member.
     void replaceMember (ControllerNode& controller);
-    /// Applies one more file; used once the cell has healed.
+    /// Applies one more file.
     void applyNext();
 
     [[nodiscard]] std::uint64_t appliesAnswered() const { return m_appliesAnswered; }
@@ -39,7 +40,7 @@
     {
         OperatorRecord record;
         std::string text;
-        int sendings = 0;
+        int sendCount = 0;
     };
     struct Replacement
     {
@@ -53,13 +54,13 @@
     void sendApply (Apply apply);
     void read();
     void continueReplacement (Replacement replacement);
-    /// Sends to a controller; the operator guesses who leads.
-    void ask (ControllerNode& controller, const controller::AdminRequest& request,
-              OnAnswer onAnswer, Action onFailed);
+    /// Sends a request to a controller, which need not be the leader.
+    void sendRequest (ControllerNode& controller, const controller::AdminRequest& request,
+                      OnAnswer onAnswer, Action onFailed);
     [[nodiscard]] ControllerNode& likelyLeader();
 
     World& m_world;
-    std::uint64_t m_knownVersion = 0;  ///< Highest version that any operator heard of.
+    std::uint64_t m_knownVersion = 0;  ///< Highest version in any answer.
     std::uint64_t m_variants = 0;
     std::uint64_t m_appliesAnswered = 0;
     std::uint64_t m_readsAnswered = 0;
--- a/src/sim/Platform.cpp
+++ b/src/sim/Platform.cpp
@@ -48,14 +48,14 @@
     if (refusal)
     {
         queue().after (base::milliseconds (1),
-                       [&engine, life = engine.life(), fetch, wait = *refusal] {
-                           engine.postTo (life, [&engine, fetch, wait]
+                       [&engine, runNumber = engine.runNumber(), fetch, wait = *refusal] {
+                           engine.postTo (runNumber, [&engine, fetch, wait]
                                           { engine.onFetchRefused (fetch, wait); });
                        });
         return transfer;
     }
-    m_transfers[transfer] = { &engine, engine.life(), fetch };
-    settle();
+    m_transfers[transfer] = { &engine, engine.runNumber(), fetch };
+    advanceModel();
     return transfer;
 }
 
@@ -65,17 +65,17 @@
         return;
     m_weights.advance (queue().now());
     m_weights.cancel (transfer);
-    settle();
+    advanceModel();
 }
 
 void Platform::setWeightStoreFaults (const standin::WeightStoreFaults& faults)
 {
     m_weights.advance (queue().now());
     m_weights.setFaults (faults);
-    settle();
+    advanceModel();
 }
 
-void Platform::settle()
+void Platform::advanceModel()
 {
     m_weights.advance (queue().now());
     for (const std::uint64_t transfer : m_weights.takeFinished())
@@ -88,7 +88,7 @@
         queue().after (base::milliseconds (1),
                        [ended] {
                            ended.engine->postTo (
-                               ended.life, [ended] { ended.engine->onFetched (ended.fetch); });
+                               ended.runNumber, [ended] { ended.engine->onFetched (ended.fetch); });
                        });
     }
     const auto next = m_weights.nextEvent();
@@ -98,7 +98,7 @@
                 [this, number = ++m_wakeNumber]
                 {
                     if (number == m_wakeNumber)
-                        settle();
+                        advanceModel();
                 });
 }
 
--- a/src/sim/Platform.h
+++ b/src/sim/Platform.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// The platform of a simulated cell: the machine list, which lags, and the weight store.
+/// Platform of a simulated cell: the machine list, which shows changes with a delay, and the weight
+/// store.
 
 #include <map>
 
@@ -27,7 +28,8 @@
     void put (const engine::Machine& machine);
     void setLag (base::Duration lag) { m_list.setLag (lag); }
 
-    /// Begins a transfer to an engine, which hears of its end or refusal. Returns its number.
+    /// Begins a transfer to an engine and returns its number. The engine is notified when the
+    /// transfer ends or is refused.
     std::uint64_t beginTransfer (EngineNode& engine, standin::FetchId fetch,
                                  engine::Megabytes size);
     void cancelTransfer (std::uint64_t transfer);
@@ -37,11 +39,11 @@
     struct Transfer
     {
         EngineNode* engine = nullptr;
-        std::uint64_t life = 0;
+        std::uint64_t runNumber = 0;
         standin::FetchId fetch = 0;
     };
 
-    void settle();
+    void advanceModel();
 
     standin::MachineListModel m_list;
     standin::WeightStoreModel m_weights;
--- a/src/sim/Process.cpp
+++ b/src/sim/Process.cpp
@@ -9,8 +9,8 @@
 
 constexpr base::UnixMilliseconds kUnixStart = 1'764'000'000'000;
 
-/// A call under way, at its client.
-struct OpenCall
+/// Client-side state of a call in progress.
+struct PendingCall
 {
     ConnectionPointer connection;
     bool isDone = false;
@@ -52,7 +52,7 @@
     m_isAlive = true;
     m_hasVanished = false;
     m_isFrozen = false;
-    ++m_life;
+    ++m_runNumber;
     m_waiting.clear();
 }
 
@@ -68,22 +68,22 @@
     input();
 }
 
-void Process::postTo (std::uint64_t life, Action input)
+void Process::postTo (std::uint64_t runNumber, Action input)
 {
-    if (life == m_life)
+    if (runNumber == m_runNumber)
         post (std::move (input));
 }
 
-void Process::kill (base::Duration silence)
+void Process::kill (base::Duration detectionDelay)
 {
     if (! m_isAlive)
         return;
-    note ("killed");
+    addToTrace ("killed");
     m_isAlive = false;
-    m_hasVanished = silence > base::Duration::zero();
+    m_hasVanished = detectionDelay > base::Duration::zero();
     m_isFrozen = false;
     m_waiting.clear();
-    m_network.onProcessEnded (m_node, silence);
+    m_network.onProcessEnded (m_node, detectionDelay);
     onKilled();
 }
 
@@ -91,13 +91,13 @@
 {
     if (! m_isAlive || m_isFrozen)
         return;
-    note ("frozen for " + std::to_string (base::toMilliseconds (duration)) + " ms");
+    addToTrace ("frozen for " + std::to_string (base::toMilliseconds (duration)) + " ms");
     m_isFrozen = true;
     m_frozenTime += duration;
     queue().after (duration,
-                   [this, duration, life = m_life]
+                   [this, duration, runNumber = m_runNumber]
                    {
-                       if (! m_isAlive || life != m_life)
+                       if (! m_isAlive || runNumber != m_runNumber)
                            return;
                        if (m_stopsClockInSuspension)
                            m_clock.lose (duration);
@@ -119,29 +119,29 @@
 void call (Network& network, Process& client, Process& server, base::Duration timeout,
            std::function<void (const Respond&)> serve, Action onFailed)
 {
-    auto open = std::make_shared<OpenCall>();
+    auto open = std::make_shared<PendingCall>();
     open->onFailed = std::move (onFailed);
     open->connection = network.open (client.node(), server.node());
-    const std::uint64_t life = client.life();
+    const std::uint64_t runNumber = client.runNumber();
     network.queue().after (timeout,
-                           [open, &client, life]
+                           [open, &client, runNumber]
                            {
                                if (open->isDone)
                                    return;
                                if (open->connection)
                                    open->connection->close (Side::kOpener, false);
-                               client.postTo (life, [open] { open->fail(); });
+                               client.postTo (runNumber, [open] { open->fail(); });
                            });
     if (! open->connection)
         return;
     open->connection->onEnded (Side::kOpener,
-                               [weak = std::weak_ptr (open), &client, life]
+                               [weak = std::weak_ptr (open), &client, runNumber]
                                {
                                    if (const auto call = weak.lock())
-                                       client.postTo (life, [call] { call->fail(); });
+                                       client.postTo (runNumber, [call] { call->fail(); });
                                });
     open->connection->send (Side::kOpener,
-                            [open, &client, &server, life, serve = std::move (serve)]
+                            [open, &client, &server, runNumber, serve = std::move (serve)]
                             {
                                 if (! server.isAlive())
                                 {
@@ -149,14 +149,14 @@
                                         open->connection->close (Side::kAcceptor, true);
                                     return;
                                 }
-                                const Respond respond = [open, &client, life] (Action answer)
+                                const Respond respond = [open, &client, runNumber] (Action answer)
                                 {
                                     open->connection->send (
                                         Side::kAcceptor,
-                                        [open, &client, life, answer = std::move (answer)]
+                                        [open, &client, runNumber, answer = std::move (answer)]
                                         {
                                             client.postTo (
-                                                life,
+                                                runNumber,
                                                 [open, answer]
                                                 {
                                                     if (std::exchange (open->isDone, true))
--- a/src/sim/Process.h
+++ b/src/sim/Process.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What every simulated process has: a life that begins and ends, freezes, and a clock of its own
-/// that drifts and whose wall-clock time steps.
+/// Base class of simulated processes, which can be started, killed and frozen. Each has a clock of
+/// its own that drifts and whose wall-clock time can step.
 
 #include <cstdint>
 #include <deque>
@@ -13,7 +13,7 @@
 namespace fernlift::sim
 {
 
-/// A clock that runs a little too fast or too slow.
+/// A clock that runs faster or slower than simulated time by the factor `drift`.
 class DriftingClock
 {
 public:
@@ -22,7 +22,8 @@
     [[nodiscard]] base::TimePoint now() const;
     [[nodiscard]] base::UnixMilliseconds unixNow() const;
     void step (std::int64_t milliseconds) { m_stepMilliseconds += milliseconds; }
-    /// The clock did not count this time, as the steady clock of a suspended machine does not.
+    /// Sets the clock back by `time`, like a steady clock that stops while the machine is
+    /// suspended.
     void lose (base::Duration time) { m_lost += time; }
 
 private:
@@ -41,32 +42,37 @@
     Process& operator= (const Process&) = delete;
 
     [[nodiscard]] bool isAlive() const { return m_isAlive; }
-    /// The machine is gone, so that nothing there refuses connections.
+    /// True when the whole machine vanished, so that connections to it are not refused but time
+    /// out.
     [[nodiscard]] bool hasVanished() const { return m_hasVanished; }
     [[nodiscard]] bool isFrozen() const { return m_isFrozen; }
     [[nodiscard]] NodeId node() const { return m_node; }
     [[nodiscard]] const std::string& name() const { return m_name; }
-    /// Counts the starts; an input meant for an earlier life is dropped.
-    [[nodiscard]] std::uint64_t life() const { return m_life; }
+    /// Number of starts; inputs addressed to an earlier run are dropped.
+    [[nodiscard]] std::uint64_t runNumber() const { return m_runNumber; }
     [[nodiscard]] DriftingClock& clock() { return m_clock; }
 
-    /// Runs an input now, after the freeze, or never if this life ends first.
+    /// Runs an input at once, or after the end of a freeze; drops it if the process ends first.
     void post (Action input);
-    /// As post(), for an input to one life only.
-    void postTo (std::uint64_t life, Action input);
-    /// Stops the process; its peers hear of it after `silence`.
-    void kill (base::Duration silence);
+    /// As post(), but drops the input unless `runNumber` is the current run.
+    void postTo (std::uint64_t runNumber, Action input);
+    /// Kills the process; its peers are notified after `detectionDelay`. A delay above zero means
+    /// that the whole machine vanished.
+    void kill (base::Duration detectionDelay);
     void freeze (base::Duration duration);
-    /// From now on the clock stands still while the process is frozen.
+    /// Makes the clock stop while the process is frozen, from now on.
     void stopClockInSuspension() { m_stopsClockInSuspension = true; }
     [[nodiscard]] base::Duration frozenTime() const { return m_frozenTime; }
 
 protected:
-    /// Begins a new life.
+    /// Begins a new run.
     void begin();
-    /// What a derived class does when its life ends.
+    /// Called when the process is killed.
     virtual void onKilled() {}
-    void note (std::string text) { m_trace.add (queue().now(), m_name + ": " + std::move (text)); }
+    void addToTrace (std::string text)
+    {
+        m_trace.add (queue().now(), m_name + ": " + std::move (text));
+    }
     [[nodiscard]] Network& network() { return m_network; }
     [[nodiscard]] EventQueue& queue() { return m_network.queue(); }
     [[nodiscard]] base::Random& random() { return m_network.random(); }
@@ -83,17 +89,17 @@
     bool m_hasVanished = false;
     bool m_isFrozen = false;
     bool m_stopsClockInSuspension = false;
-    std::uint64_t m_life = 0;
+    std::uint64_t m_runNumber = 0;
     base::Duration m_frozenTime{};
     std::deque<Action> m_waiting;
 };
 
-/// Sends the answer of a served call back; what it is given runs at the client.
+/// Sends the answer to a call; the action passed to it runs at the client.
 using Respond = std::function<void (Action)>;
 
-/// One call over a connection of its own, like an HTTP request. `serve` runs at the server, the
-/// action it responds with at the client. `onFailed` runs at the client when no answer comes by
-/// `timeout` or the connection breaks; the call may still be served, even later.
+/// Makes a call over a connection of its own, like an HTTP request. `serve` runs at the server, and
+/// the action it responds with at the client. `onFailed` runs at the client when no answer arrives
+/// within `timeout` or the connection breaks; the server may still serve the call afterwards.
 void call (Network& network, Process& client, Process& server, base::Duration timeout,
            std::function<void (const Respond&)> serve, Action onFailed);
 
--- a/src/sim/ReplicaChecker.cpp
+++ b/src/sim/ReplicaChecker.cpp
@@ -17,7 +17,7 @@
            || order.kind == engine::OrderKind::kLoadAdapter;
 }
 
-/// Bound of a target by the configuration in force; 0 when it is not in it.
+/// Maximum number of replicas of a target in a configuration; 0 when it is not listed.
 std::uint32_t boundOf (const config::Catalogue* catalogue, const std::string& target)
 {
     if (catalogue == nullptr)
@@ -72,7 +72,7 @@
         && state.replicas().reservedMemory (command.runner) > runner->machine.memory)
     {
         m_world.violations.add ("memory never overcommitted", "decision " + std::to_string (index)
-                                                                  + " reserves more than "
+                                                                  + " reserves more memory than "
                                                                   + command.runner.value + " has");
     }
 }
@@ -84,8 +84,9 @@
     {
         if (isLoad (order) && answer.refusal == base::ErrorKind::kInsufficientMemory)
         {
-            m_world.violations.add ("memory never overcommitted",
-                                    engine.name() + " has no room for " + describe (order));
+            m_world.violations.add (
+                "memory never overcommitted",
+                engine.name() + " has too little memory for " + describe (order));
         }
         return;
     }
@@ -139,14 +140,14 @@
 {
     if (! engine.isAlive())
         return;
-    const engine::Report truth = engine.truth();
-    if (truth.usedMemory > truth.totalMemory)
+    const engine::Report actualReport = engine.actualReport();
+    if (actualReport.usedMemory > actualReport.totalMemory)
     {
         m_world.violations.add ("memory never overcommitted",
-                                engine.name() + " uses more than it has");
+                                engine.name() + " uses more memory than it has");
     }
     const cell::ReplicaTable& table = m_world.consensus->state().replicas();
-    for (const engine::ReplicaReport& replica : truth.replicas)
+    for (const engine::ReplicaReport& replica : actualReport.replicas)
     {
         if (replica.phase == engine::ReplicaPhase::kFailed)
             continue;
@@ -169,7 +170,7 @@
     {
         if (! engine->isAlive())
             continue;
-        for (const engine::ReplicaReport& replica : engine->truth().replicas)
+        for (const engine::ReplicaReport& replica : engine->actualReport().replicas)
         {
             if (replica.phase == engine::ReplicaPhase::kFailed)
                 continue;
@@ -178,7 +179,7 @@
     }
     for (const auto& [name, count] : held)
     {
-        // After the bound was lowered, replicas decided before may still be there.
+        // Replicas that were decided before the limit was lowered may still exist.
         const std::uint32_t allowed = std::max (boundOf (state.configuration().catalogue(), name),
                                                 state.replicas().count (name));
         if (count <= allowed)
--- a/src/sim/ReplicaChecker.h
+++ b/src/sim/ReplicaChecker.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Invariants of replicas and orders, by the engines' own state against the committed log: nothing
-/// is held that was not decided, no bound is passed, memory is never overcommitted, and an order is
-/// accepted only under the fence of its decision.
+/// Checks invariants of replicas and orders by comparing the state of the engines with the
+/// committed log: engines hold only replicas that were decided, replica limits are kept, memory is
+/// never overcommitted, and an order is accepted only with the fence of its decision.
 
 #include <string>
 
@@ -20,10 +20,11 @@
 
     void onCommitted (base::LogIndex index, const cell::Command& command,
                       const cell::ApplyResult& result);
-    /// An engine answered an order; `fenceBefore` is the highest it had taken until then.
+    /// Called when an engine answered an order; `fenceBefore` is its highest fence before the
+    /// order.
     void onOrder (EngineNode& engine, const engine::Order& order, const engine::OrderAnswer& answer,
                   base::Fence fenceBefore);
-    /// An engine took an order, or ended.
+    /// Called after an engine handled an order or ended.
     void onEngineChanged (EngineNode& engine);
 
     [[nodiscard]] std::uint64_t loads() const { return m_loads; }
--- a/src/sim/RouterNode.cpp
+++ b/src/sim/RouterNode.cpp
@@ -79,18 +79,18 @@
 {
     begin();
     m_isStopping = false;
-    note ("starts");
+    addToTrace ("starts");
     m_core.emplace (coreOptions(), random().bits(), clock().now(), clock().unixNow());
     m_world.configuration->onRouterStarted (*this);
     m_nextController = node();
-    tick (life());
+    tick (runNumber());
 }
 
 void RouterNode::stopAndRestart()
 {
     if (! isAlive() || isFrozen() || m_isStopping)
         return;
-    note ("planned stop");
+    addToTrace ("planned stop");
     m_isStopping = true;
     feed ([] (router::RouterCore& core) { core.beginStop(); });
 }
@@ -105,7 +105,7 @@
     }
     if (m_isStopping && ! m_requests.empty())
     {
-        note (std::to_string (m_requests.size()) + " requests lost while stopping");
+        addToTrace (std::to_string (m_requests.size()) + " requests lost while stopping");
     }
     m_requests.clear();
     m_detached.clear();
@@ -123,11 +123,11 @@
     return sum;
 }
 
-void RouterNode::tick (std::uint64_t life)
+void RouterNode::tick (std::uint64_t runNumber)
 {
-    if (! isAlive() || life != this->life())
+    if (! isAlive() || runNumber != this->runNumber())
         return;
-    queue().after (kTickInterval, [this, life] { tick (life); });
+    queue().after (kTickInterval, [this, runNumber] { tick (runNumber); });
     if (isFrozen())
         return;
     feed ([] (router::RouterCore& core) { core.onTick(); });
@@ -141,9 +141,9 @@
     kill (base::Duration::zero());
     const auto pause = base::Duration (random().uniformInteger (0, kLongestRestartMicroseconds));
     queue().after (pause,
-                   [this, stopped = this->life()]
+                   [this, stopped = this->runNumber()]
                    {
-                       if (! isAlive() && stopped == this->life())
+                       if (! isAlive() && stopped == this->runNumber())
                            start();
                    });
 }
@@ -184,7 +184,7 @@
     {
         if (open != request)
             continue;
-        request->hasCallerLeft = true;
+        request->hasCallerDisconnected = true;
         const router::RequestTicket gone = ticket;
         endAnswer (gone);
         feed ([gone] (router::RouterCore& core) { core.onCallerGone (gone); });
@@ -222,7 +222,7 @@
                              || (refused != nullptr && refused->runnerIsLeaving);
     feed ([&] (router::RouterCore& core) { core.onAttemptEvent (attempt, event); });
     if (saysLeaving)
-        m_world.leaving->onRouterSaw (*this, replica);
+        m_world.leaving->onRouterLeavingReport (*this, replica);
 }
 
 void RouterNode::carryOut (const router::Effect& effect)
@@ -235,11 +235,11 @@
     if (! m_controllerConnection)
         return;
     m_controllerConnection->send (Side::kOpener,
-                                  [controller = m_controller, life = m_controllerLife,
+                                  [controller = m_controller, runNumber = m_controllerRunNumber,
                                    number = m_controllerNumber, message = effect.message]
                                   {
                                       controller->postTo (
-                                          life, [controller, number, message]
+                                          runNumber, [controller, number, message]
                                           { controller->onRouterMessage (number, message); });
                                   });
 }
@@ -275,9 +275,9 @@
         network().delay (node(), controller.node()) + network().delay (controller.node(), node());
     queue().after (
         roundTrip,
-        [this, attempt, connection, &controller, life = life()]
+        [this, attempt, connection, &controller, runNumber = runNumber()]
         {
-            postTo (life,
+            postTo (runNumber,
                     [this, attempt, connection, &controller]
                     {
                         if (attempt != m_connectNumber)
@@ -288,23 +288,23 @@
                             return;
                         }
                         const std::uint64_t number = controller.accept (*this, connection);
-                        onConnected (controller, connection, controller.life(), number);
+                        onConnected (controller, connection, controller.runNumber(), number);
                     });
         });
 }
 
 void RouterNode::onConnected (ControllerNode& controller, const ConnectionPointer& connection,
-                              std::uint64_t controllerLife, std::uint64_t number)
+                              std::uint64_t controllerRunNumber, std::uint64_t number)
 {
     m_controller = &controller;
-    m_controllerLife = controllerLife;
+    m_controllerRunNumber = controllerRunNumber;
     m_controllerNumber = number;
     m_controllerConnection = connection;
     connection->onEnded (
         Side::kOpener,
-        [this, life = life(), weak = std::weak_ptr (connection)]
+        [this, runNumber = runNumber(), weak = std::weak_ptr (connection)]
         {
-            postTo (life,
+            postTo (runNumber,
                     [this, weak]
                     {
                         if (weak.lock() != m_controllerConnection || ! m_controllerConnection)
@@ -336,8 +336,8 @@
     const auto failAfter = [this, id] (base::Duration wait)
     {
         queue().after (
-            wait, [this, id, life = life()]
-            { postTo (life, [this, id] { onAttemptEvent (id, router::AttemptNotSent{}); }); });
+            wait, [this, id, runNumber = runNumber()]
+            { postTo (runNumber, [this, id] { onAttemptEvent (id, router::AttemptNotSent{}); }); });
     };
     const ConnectionPointer connection = backEnd == nullptr || backEnd->hasVanished()
                                              ? nullptr
@@ -355,7 +355,7 @@
         return;
     }
     const Attempt attempt{ this,
-                           life(),
+                           runNumber(),
                            id,
                            connection,
                            findRequest (effect.ticket),
@@ -364,9 +364,9 @@
                            effect.resumeFrom };
     queue().after (
         roundTrip,
-        [this, attempt, backEnd, life = life()]
+        [this, attempt, backEnd, runNumber = runNumber()]
         {
-            postTo (life,
+            postTo (runNumber,
                     [this, attempt, backEnd]
                     {
                         const auto found = m_attempts.find (attempt.id);
@@ -375,8 +375,8 @@
                         found->second.connection = attempt.connection;
                         attempt.connection->onEnded (
                             Side::kOpener,
-                            [this, id = attempt.id, life = this->life()] {
-                                postTo (life, [this, id]
+                            [this, id = attempt.id, runNumber = this->runNumber()] {
+                                postTo (runNumber, [this, id]
                                         { onAttemptEvent (id, router::AttemptBroken{}); });
                             });
                         attempt.connection->send (
@@ -444,7 +444,7 @@
     const CallerRequestPointer request = findRequest (effect.ticket);
     if (! request)
         return;
-    request->finals += 1;
+    request->finalAnswers += 1;
     m_world.callers->onFinal (*this, request);
     endAnswer (effect.ticket);
 }
@@ -454,7 +454,7 @@
     const CallerRequestPointer request = findRequest (effect.ticket);
     if (! request)
         return;
-    request->finals += 1;
+    request->finalAnswers += 1;
     request->error = effect.error;
     request->execution = effect.execution;
     m_world.callers->onFinal (*this, request);
--- a/src/sim/RouterNode.h
+++ b/src/sim/RouterNode.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// One router of a simulation: the router's core, and what the adapters of a real process would do
-/// for it.
+/// Simulated router. Runs the router's core and takes the place of the I/O adapters of a real
+/// process.
 
 #include <cstdint>
 #include <functional>
@@ -22,10 +22,10 @@
     RouterNode (World& world, NodeId node, std::size_t number);
 
     void start();
-    /// Planned stop: ends once nothing is in progress, and starts again.
+    /// Planned stop: finishes all requests, stops and restarts.
     void stopAndRestart();
 
-    /// A caller's whole request has arrived.
+    /// Handles a completely received request of a caller.
     void onRequest (const CallerRequestPointer& request);
     void onCallerGone (const CallerRequestPointer& request);
     void onControllerMessage (const ConnectionPointer& connection,
@@ -33,10 +33,10 @@
     void onAttemptEvent (router::AttemptId attempt, const router::AttemptEvent& event);
 
     [[nodiscard]] router::RouterCore* core() { return m_core ? &*m_core : nullptr; }
-    /// Whether it may admit requests at this moment.
+    /// True when the router may admit requests at this moment.
     [[nodiscard]] bool isReadyNow();
     [[nodiscard]] const base::RouterId& id() const { return m_id; }
-    /// Sums over all lives of the process.
+    /// Counters summed over all runs of the process.
     [[nodiscard]] router::RouterCounters totalCounters() const;
 
 protected:
@@ -45,14 +45,14 @@
 private:
     struct OpenAttempt
     {
-        ConnectionPointer connection;  ///< Null while it is being opened.
+        ConnectionPointer connection;  ///< Null while the connection is being opened.
         cell::RoutableReplica replica;
         router::RequestTicket ticket = 0;
     };
     using Input = std::function<void (router::RouterCore&)>;
 
     void feed (const Input& input);
-    void tick (std::uint64_t life);
+    void tick (std::uint64_t runNumber);
     void carryOut (const router::Effect& effect);
     void apply (const router::SendToController& effect);
     void apply (const router::ConnectController& effect);
@@ -64,7 +64,7 @@
     void apply (const router::AnswerError& effect);
     void connect (ControllerNode& controller);
     void onConnected (ControllerNode& controller, const ConnectionPointer& connection,
-                      std::uint64_t controllerLife, std::uint64_t number);
+                      std::uint64_t controllerRunNumber, std::uint64_t number);
     void closeController();
     void openAttempt (router::AttemptId id, const router::StartAttempt& effect);
     void endAnswer (router::RequestTicket ticket);
@@ -77,17 +77,17 @@
     bool m_isStopping = false;
     router::RouterCounters m_formerCounters;
 
-    // The controller's connection.
+    // Connection to a controller.
     std::size_t m_nextController = 0;
     std::uint64_t m_connectNumber = 0;
     ControllerNode* m_controller = nullptr;
-    std::uint64_t m_controllerLife = 0;
+    std::uint64_t m_controllerRunNumber = 0;
     std::uint64_t m_controllerNumber = 0;
     ConnectionPointer m_controllerConnection;
 
     std::map<router::RequestTicket, CallerRequestPointer> m_requests;
     std::map<router::RequestTicket, CallerRequestPointer>
-        m_detached;  ///< Answered, outcome awaited.
+        m_detached;  ///< Answered requests with attempts still in progress.
     std::map<router::AttemptId, OpenAttempt> m_attempts;
 };
 
--- a/src/sim/SimProgram.cpp
+++ b/src/sim/SimProgram.cpp
@@ -38,7 +38,7 @@
     bool isLong = false;
     bool hasHourCut = false;
     bool hasFaults = true;
-    std::string plantedFault = std::string (nameOf (PlantedFault::kNone));
+    std::string plantedFault = std::string (toString (PlantedFault::kNone));
     log::Options logging;
 
     void declare (config::SettingsSchema& schema);
@@ -46,9 +46,9 @@
 
 std::vector<std::string> namesOfPlantedFaults()
 {
-    std::vector<std::string> names{ std::string (nameOf (PlantedFault::kNone)) };
+    std::vector<std::string> names{ std::string (toString (PlantedFault::kNone)) };
     for (const PlantedFault fault : allPlantedFaults())
-        names.emplace_back (nameOf (fault));
+        names.emplace_back (toString (fault));
     return names;
 }
 
@@ -105,7 +105,8 @@
     return report.failures.empty() ? 0 : kViolated;
 }
 
-/// Sweeps once for each planted fault until it is found, and prints what found it.
+/// Runs a sweep for each planted fault until an invariant is violated. Prints the number of seeds
+/// needed and the violated invariant.
 int findPlantedFaults (const Arguments& arguments)
 {
     bool isEachFound = true;
@@ -119,7 +120,7 @@
         options.stopsAtFirstViolation = true;
         const SweepReport report = runSweep (options);
         isEachFound = isEachFound && ! report.failures.empty();
-        const std::string name (nameOf (fault));
+        const std::string name (toString (fault));
         if (report.failures.empty())
         {
             std::printf ("| %s | not found in %lld seeds | |\n", name.c_str(),
--- a/src/sim/SimProgram.h
+++ b/src/sim/SimProgram.h
@@ -1,12 +1,13 @@
 #pragma once
 
-/// The program `fernlift-sim`: sweeps over seeds and replays of one.
+/// Command line of the program `fernlift-sim`, which runs sweeps over seeds and replays single
+/// seeds.
 
 namespace fernlift::sim
 {
 
-/// Runs the program; its exit code: 0, 1 when an invariant was violated, 2 on wrong usage, 3 on
-/// wrong settings.
+/// Runs the program and returns its exit code: 0 on success, 1 when an invariant was violated, 2 on
+/// wrong usage, 3 on invalid settings.
 int runSimProgram (int argc, char** argv);
 
 }  // namespace fernlift::sim
--- a/src/sim/SimulatedDisk.cpp
+++ b/src/sim/SimulatedDisk.cpp
@@ -30,9 +30,9 @@
     return record;
 }
 
-/// The value of a call that may not fail in a simulation.
+/// Returns the value of `call`; throws if it fails, which is a bug of the simulation.
 template <class Value, class Call>
-Value must (const char* what, Call&& call)
+Value valueOrThrow (const char* what, Call&& call)
 {
     return base::handleErrors (
         [&]() -> base::Result<Value> { return call(); },
@@ -78,12 +78,12 @@
 
 void SimulatedDisk::apply (const storage::WriteBatch& batch)
 {
-    must<bool> ("disk",
-                [&]() -> base::Result<bool>
-                {
-                    BOOST_LEAF_CHECK (m_image.apply (toRecord (batch)));
-                    return true;
-                });
+    valueOrThrow<bool> ("disk",
+                        [&]() -> base::Result<bool>
+                        {
+                            BOOST_LEAF_CHECK (m_image.apply (toRecord (batch)));
+                            return true;
+                        });
     if (! batch.hasSnapshot)
         return;
     m_image.applySnapshot (batch.snapshot.lastIndex);
@@ -106,7 +106,7 @@
         hasSnapshot |= batch.hasSnapshot;
     m_writing.clear();
     const std::string record = std::exchange (m_unsynced, {});
-    // A snapshot is written aside: before its rename it is as if it had not been.
+    // A snapshot is written to a temporary file and has no effect before the file is renamed.
     if (hasSnapshot)
         return false;
     const auto kept = random.uniformInteger (0, static_cast<std::int64_t> (record.size()));
@@ -131,26 +131,27 @@
             break;
         }
         if (record.verdict != RecordVerdict::kWhole)
-            throw std::logic_error ("disk: damaged record");
+            throw std::logic_error ("simulated disk: damaged record found during recovery");
         offset = record.nextOffset;
-        must<bool> ("recovery",
-                    [&]() -> base::Result<bool>
-                    {
-                        if (record.kind == RecordKind::kSegmentHeader)
-                        {
-                            BOOST_LEAF_AUTO (
-                                header, wire::decodeValue<storage::SegmentHeader> (record.payload));
-                            BOOST_LEAF_CHECK (m_image.load (header));
-                            return true;
-                        }
-                        BOOST_LEAF_AUTO (
-                            batches, wire::decodeValue<storage::BatchesRecord> (record.payload));
-                        for (const storage::BatchRecord& batch : batches.batches)
-                        {
-                            BOOST_LEAF_CHECK (m_image.apply (batch));
-                        }
-                        return true;
-                    });
+        valueOrThrow<bool> (
+            "recovery",
+            [&]() -> base::Result<bool>
+            {
+                if (record.kind == RecordKind::kSegmentHeader)
+                {
+                    BOOST_LEAF_AUTO (header,
+                                     wire::decodeValue<storage::SegmentHeader> (record.payload));
+                    BOOST_LEAF_CHECK (m_image.load (header));
+                    return true;
+                }
+                BOOST_LEAF_AUTO (batches,
+                                 wire::decodeValue<storage::BatchesRecord> (record.payload));
+                for (const storage::BatchRecord& batch : batches.batches)
+                {
+                    BOOST_LEAF_CHECK (m_image.apply (batch));
+                }
+                return true;
+            });
     }
     storage::Recovered recovered;
     recovered.hardState = m_image.hardState();
@@ -160,7 +161,7 @@
         recovered.snapshot.lastIndex = m_image.snapshotIndex();
         recovered.snapshot.data = std::string (storage::readRecord (m_snapshot, 0).payload);
     }
-    return must<consensus::RecoveredState> (
+    return valueOrThrow<consensus::RecoveredState> (
         "recovery", [&] { return consensus::toRecoveredState (recovered, {}); });
 }
 
--- a/src/sim/SimulatedDisk.h
+++ b/src/sim/SimulatedDisk.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The disk of one controller: bytes in the format of the file storage, of which those that are not
-/// synced are lost, or torn, when the process or its machine ends.
+/// Simulated disk of a controller. Stores bytes in the format of the file storage; when the process
+/// or its machine ends, a record that is not synced is lost or torn.
 
 #include <deque>
 #include <string>
@@ -18,32 +18,33 @@
 class SimulatedDisk
 {
 public:
-    /// Adds a write that is not yet begun.
+    /// Queues a write request.
     void submit (consensus::PersistRequest request) { m_waiting.push_back (std::move (request)); }
     [[nodiscard]] bool isIdle() const { return m_writing.empty(); }
     [[nodiscard]] bool hasWaiting() const { return ! m_waiting.empty(); }
-    /// Begins to write everything that waits, as one record.
+    /// Begins to write all queued requests as one record.
     void beginWrite();
-    /// The record is synced; the sequence of its last request.
+    /// Marks the record as synced and returns the sequence number of its last request.
     std::uint64_t endWrite();
 
-    /// The process ends: of a write under way a part may be on disk. True when a record was torn.
+    /// Simulates the end of the process: a random part of the record being written stays on disk.
+    /// Returns true when the record was torn.
     bool crash (base::Random& random);
-    /// Everything is lost.
+    /// Erases the disk.
     void wipe();
-    /// What a start reads back; an empty state from an empty disk.
+    /// Reads the stored state; an empty disk gives an empty state.
     [[nodiscard]] consensus::RecoveredState recover();
-    /// Stores the first entry of a new cell.
+    /// Stores the first log entry of a new cell.
     void bootstrap (const consensus::MemberSet& members);
 
 private:
     void apply (const storage::WriteBatch& batch);
     void rewrite();
 
-    std::string m_segment;      ///< Synced bytes since the last checkpoint, which they begin with.
+    std::string m_segment;      ///< Synced bytes, beginning with the last checkpoint.
     std::string m_unsynced;     ///< The record being written.
-    std::string m_snapshot;     ///< Record of the latest snapshot; empty: none.
-    storage::LogImage m_image;  ///< What the synced bytes stand for.
+    std::string m_snapshot;     ///< Record of the latest snapshot; empty when there is none.
+    storage::LogImage m_image;  ///< Decoded state of the synced bytes.
     std::vector<storage::WriteBatch> m_writing;
     std::uint64_t m_writingSequence = 0;
     std::deque<consensus::PersistRequest> m_waiting;
--- a/src/sim/Simulation.cpp
+++ b/src/sim/Simulation.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-/// Small ones too, so that memory is short and loads compete for it.
+/// Most runners are small, so that memory is scarce and loads compete for it.
 constexpr std::array<engine::Megabytes, 6> kRunnerMemory = { 80'000, 24'000, 24'000,
                                                              24'000, 24'000, 24'000 };
 constexpr base::Duration kCallersAfterFaults = base::seconds (5);
@@ -117,13 +117,14 @@
     world.queue.runUntil (world.now() + duration);
 }
 
-/// The leader is silently cut off from everything but its operators; the others go on without it.
+/// Drops all traffic between the leader and everything but its operators; the other members elect a
+/// new leader.
 void cutLeaderOffForAnHour (World& world)
 {
     const ControllerNode* leader = world.leader();
     if (leader == nullptr)
         return;
-    world.note ("the leader is cut off for an hour");
+    world.addToTrace ("the leader is cut off for an hour");
     const NodeId last = world.operators->node();
     for (NodeId node = 0; node < last; ++node)
     {
@@ -164,14 +165,14 @@
     World world (options);
     build (world);
     start (world);
-    const base::TimePoint turmoilEnd = world.now() + options.quiet + options.turmoil;
+    const base::TimePoint faultsEnd = world.now() + options.quiet + options.faultPeriod;
     const base::Duration hour = options.hasHourCut ? kHour : base::Duration::zero();
-    world.operators->begin (turmoilEnd + hour);
+    world.operators->begin (faultsEnd + hour);
     runFor (world, options.quiet);
-    world.callers->begin (turmoilEnd + kCallersAfterFaults + hour);
+    world.callers->begin (faultsEnd + kCallersAfterFaults + hour);
     if (options.hasFaults)
-        world.faults->begin (turmoilEnd);
-    runFor (world, options.turmoil);
+        world.faults->begin (faultsEnd);
+    runFor (world, options.faultPeriod);
     world.faults->heal();
     if (options.hasHourCut)
         cutLeaderOffForAnHour (world);
--- a/src/sim/Simulation.h
+++ b/src/sim/Simulation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One run of a whole cell from one seed, in one thread: the same options always give the same run.
+/// Simulates a complete cell from one seed in one thread. Equal options always give equal runs.
 
 #include <cstdint>
 #include <string>
@@ -14,13 +14,13 @@
 namespace fernlift::sim
 {
 
-/// What came out of a run.
+/// Result of a run.
 struct SimulationReport
 {
     std::uint64_t seed = 0;
     std::vector<Violation> violations;
-    std::vector<std::string> trace;  ///< The last events.
-    std::uint64_t digest = 0;        ///< Of all events: equal for equal runs.
+    std::vector<std::string> trace;  ///< Latest trace lines.
+    std::uint64_t digest = 0;        ///< Digest of all trace lines; equal for equal runs.
     FaultCounts faults{};
     RequestTotals requests;
     std::uint64_t events = 0;
--- a/src/sim/SimulationOptions.cpp
+++ b/src/sim/SimulationOptions.cpp
@@ -74,8 +74,8 @@
         for (std::size_t number = 1; number < kPlantedFaultNames.size(); ++number)
         {
             const auto fault = static_cast<PlantedFault> (number);
-            // Not found by sweeps so far (see docs/design/simulation.md); src/cell has a test for
-            // it.
+            // Sweeps have not found this fault so far; a test in src/cell covers it (see
+            // docs/design/simulation.md).
             if (fault == PlantedFault::kMemoryCountedWhenReady)
                 continue;
             all.push_back (fault);
@@ -85,7 +85,7 @@
     return faults;
 }
 
-std::string_view nameOf (PlantedFault fault)
+std::string_view toString (PlantedFault fault)
 {
     return kPlantedFaultNames.at (static_cast<std::size_t> (fault));
 }
@@ -100,7 +100,7 @@
     return std::nullopt;
 }
 
-std::string_view nameOf (FaultKind kind)
+std::string_view toString (FaultKind kind)
 {
     return kFaultKindNames.at (static_cast<std::size_t> (kind));
 }
--- a/src/sim/SimulationOptions.h
+++ b/src/sim/SimulationOptions.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What a simulation is made of: sizes, length, which faults are brought about and which fault is
-/// planted in the code under test.
+/// Options of a simulation: size of the cell, duration, kinds of injected faults, and the fault
+/// that is planted in the code under test.
 
 #include <cstdint>
 #include <optional>
@@ -14,8 +14,8 @@
 namespace fernlift::sim
 {
 
-/// Faults in the code under test that a sweep must find. Each is set through the test-only option
-/// of the module named; kIdentityReused is a fault of the simulated operator.
+/// Faults in the code under test that a sweep must find. Each is enabled by the test-only option of
+/// the module named beside it; kIdentityReused is a fault of the simulated operator.
 enum class PlantedFault : std::uint8_t
 {
     kNone,
@@ -30,36 +30,36 @@
     kStaleRead,                   // cell
     kMemoryCountedWhenReady,      // cell
     kClaimsNotSnapshotted,        // cell
-    kIdentityReused,              // a member whose disk was lost comes back under its old id
+    kIdentityReused,              // operator: a member whose disk was lost rejoins with its old id
     kRetrySentUnrepeatable,       // router
     kPassDuplicateChunks,         // router
     kDropRefusal,                 // router
     kIgnoreLease,                 // router
     kNotRunAfterBytes,            // router
     kDispatchToLeaving,           // router
-    kClockStopsInSuspension,      // the clock of a process doesn't count the time it stood still
+    kClockStopsInSuspension,      // process: its clock stops while it is frozen
 };
 [[nodiscard]] const std::vector<PlantedFault>& allPlantedFaults();
-[[nodiscard]] std::string_view nameOf (PlantedFault fault);
+[[nodiscard]] std::string_view toString (PlantedFault fault);
 [[nodiscard]] std::optional<PlantedFault> plantedFaultNamed (std::string_view name);
 
-/// Kinds of faults that a simulation brings about.
+/// Kinds of faults that a simulation injects.
 enum class FaultKind : std::uint8_t
 {
     kControllerKilled,
     kControllerFrozen,
     kControllerStopped,  ///< Planned stop and restart.
     kAllControllersKilled,
-    kLeaderCutOff,        ///< Silently, in both directions, from everything but its operators.
-    kLeaderAndMemberCut,  ///< One member no longer hears the leader, the others do.
+    kLeaderCutOff,        ///< Traffic dropped in both directions, except with operators.
+    kLeaderAndMemberCut,  ///< Link between the leader and one member cut.
     kOneWayCut,
     kPartition,
     kConnectionReset,
-    kTurbulence,  ///< Loss, duplication and lateness of messages between members.
+    kTurbulence,  ///< Loss and duplication of datagrams, delay of all traffic.
     kSlowLink,
     kSlowDisk,
-    kVoterKilled,  ///< Right after it sent its vote.
-    kDiskLost,     ///< And the member replaced under a new identity.
+    kVoterKilled,  ///< Killed right after it sent its vote.
+    kDiskLost,     ///< The member is replaced by one with a new identity.
     kClockStep,
     kRouterKilled,
     kRouterFrozen,
@@ -68,7 +68,7 @@
     kEngineKilled,
     kEngineFrozen,
     kEngineSilent,
-    kEngineMisbehaves,  ///< Chunks repeated or reordered, answers broken, loads failing or slow.
+    kEngineMisbehaves,  ///< Repeated or reordered chunks, broken answers, failed or slow loads.
     kEngineCutOff,
     kMachineLeaves,
     kApplicationKilled,
@@ -79,25 +79,26 @@
     kCount,
 };
 constexpr std::size_t kFaultKinds = static_cast<std::size_t> (FaultKind::kCount);
-[[nodiscard]] std::string_view nameOf (FaultKind kind);
+[[nodiscard]] std::string_view toString (FaultKind kind);
 
 struct SimulationOptions
 {
     std::uint64_t seed = 1;
     PlantedFault plantedFault = PlantedFault::kNone;
     bool hasFaults = true;
-    std::optional<FaultKind> onlyFault;  ///< Brings about just this kind.
-    bool hasHourCut = false;             ///< Ends with a leader cut off for an hour.
+    std::optional<FaultKind> onlyFault;  ///< Injects only this kind of fault.
+    bool hasHourCut = false;             ///< Cuts the leader off for an hour after the faults.
 
     std::size_t controllers = 5;
     std::size_t routers = 6;
     std::size_t engines = 20;
     std::size_t applications = 3;
-    base::Duration quiet = base::seconds (3);      ///< Before the first fault.
-    base::Duration turmoil = base::seconds (20);   ///< While faults come.
-    base::Duration recovery = base::seconds (25);  ///< From the last fault to the end.
+    base::Duration quiet = base::seconds (3);         ///< Time before the first fault.
+    base::Duration faultPeriod = base::seconds (20);  ///< Time during which faults are injected.
+    base::Duration recovery = base::seconds (25);     ///< Time from the last fault to the end.
     base::Duration meanFaultInterval = base::milliseconds (450);
-    base::Duration meanRequestInterval = base::milliseconds (600);  ///< At each router.
+    base::Duration meanRequestInterval =
+        base::milliseconds (600);  ///< Mean interval at each router.
     std::size_t traceLines = 400;
 };
 
--- a/src/sim/Sweep.cpp
+++ b/src/sim/Sweep.cpp
@@ -24,7 +24,7 @@
     sum.requests.served += report.requests.served;
     sum.requests.refusedNotRun += report.requests.refusedNotRun;
     sum.requests.failedUnknown += report.requests.failedUnknown;
-    sum.requests.callersLeft += report.requests.callersLeft;
+    sum.requests.callersDisconnected += report.requests.callersDisconnected;
     sum.requests.lostWithRouter += report.requests.lostWithRouter;
     sum.events += report.events;
     sum.committedEntries += report.committedEntries;
@@ -97,7 +97,7 @@
     std::string command = "fernlift-sim replay --seed " + std::to_string (seed);
     if (options.plantedFault != PlantedFault::kNone)
     {
-        command += " --planted-fault " + std::string (nameOf (options.plantedFault));
+        command += " --planted-fault " + std::string (toString (options.plantedFault));
     }
     if (options.hasHourCut)
         command += " --hour-cut";
@@ -118,11 +118,11 @@
          << "requests: " << report.requests.sent << " sent, " << report.requests.served
          << " served, " << report.requests.refusedNotRun << " refused (not run), "
          << report.requests.failedUnknown << " failed (ran or unknown), "
-         << report.requests.callersLeft << " callers left, " << report.requests.lostWithRouter
-         << " lost with their router\nfaults brought about:\n";
+         << report.requests.callersDisconnected << " callers left, "
+         << report.requests.lostWithRouter << " lost with their router\nfaults brought about:\n";
     for (std::size_t kind = 0; kind < kFaultKinds; ++kind)
     {
-        text << "  " << nameOf (static_cast<FaultKind> (kind)) << ": " << report.faults[kind]
+        text << "  " << toString (static_cast<FaultKind> (kind)) << ": " << report.faults[kind]
              << "\n";
     }
     text << "seeds with violations: " << report.failures.size() << "\n";
--- a/src/sim/Sweep.h
+++ b/src/sim/Sweep.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Runs many seeds, in several threads, and adds their reports up. What comes out does not depend
-/// on the number of threads.
+/// Runs many seeds in several threads and sums their reports. The result does not depend on the
+/// number of threads.
 
 #include <cstdint>
 #include <functional>
@@ -22,7 +22,7 @@
     bool stopsAtFirstViolation = false;
 };
 
-/// One seed that failed.
+/// A seed whose run violated an invariant.
 struct FailedSeed
 {
     std::uint64_t seed = 0;
@@ -33,7 +33,7 @@
 struct SweepReport
 {
     std::uint64_t seedsRun = 0;
-    std::vector<FailedSeed> failures;  ///< In the order of their seeds.
+    std::vector<FailedSeed> failures;  ///< Failed seeds in ascending order.
     FaultCounts faults{};
     RequestTotals requests;
     std::uint64_t events = 0;
@@ -46,15 +46,15 @@
     std::uint64_t backEndsLeft = 0;
 };
 
-/// `onProgress` is called from time to time with the number of seeds run so far, by one thread at a
-/// time.
+/// Runs a sweep. Calls `onProgress` after each seed with the number of seeds run so far; the calls
+/// do not overlap.
 [[nodiscard]] SweepReport runSweep (
     const SweepOptions& options,
     const std::function<void (std::uint64_t, const SimulationReport&)>& onProgress = {});
 
-/// The command that runs one seed again.
+/// Returns the command line that replays one seed.
 [[nodiscard]] std::string replayCommand (const SimulationOptions& options, std::uint64_t seed);
-/// Everything a person wants to know of a sweep.
+/// Returns a summary of a sweep as readable text.
 [[nodiscard]] std::string describe (const SweepReport& report, const SweepOptions& options);
 
 }  // namespace fernlift::sim
--- a/src/sim/SweepTest.cpp
+++ b/src/sim/SweepTest.cpp
@@ -19,7 +19,7 @@
     return options;
 }
 
-TEST (SimulationTest, TheSameSeedGivesTheSameRun)
+TEST (SimulationTest, SameSeedGivesSameRun)
 {
     SimulationOptions options;
     options.seed = 17;
@@ -31,7 +31,7 @@
     EXPECT_NE (simulate (options).digest, first.digest);
 }
 
-TEST (SimulationTest, WithoutFaultsNearlyEverythingIsServed)
+TEST (SimulationTest, ServesNearlyAllRequestsWithoutFaults)
 {
     SweepOptions options = sweepOf (6);
     options.simulation.hasFaults = false;
@@ -41,28 +41,28 @@
     EXPECT_GT (report.requests.served * 10, report.requests.sent * 8);
 }
 
-TEST (SimulationTest, NoInvariantIsViolatedOverManySeeds)
+TEST (SimulationTest, HoldsInvariantsOverManySeeds)
 {
     constexpr std::uint64_t kSeeds = 200;
     const SweepOptions options = sweepOf (kSeeds);
     const SweepReport report = runSweep (options);
     EXPECT_TRUE (report.failures.empty()) << describe (report, options);
     EXPECT_EQ (report.seedsRun, kSeeds);
-    // The run is worth something only if every kind of fault came about and requests were served.
+    // The check is meaningful only if every kind of fault was injected and requests were served.
     for (std::size_t kind = 0; kind < kFaultKinds; ++kind)
     {
-        EXPECT_GT (report.faults[kind], 0U) << nameOf (static_cast<FaultKind> (kind));
+        EXPECT_GT (report.faults[kind], 0U) << toString (static_cast<FaultKind> (kind));
     }
     EXPECT_GT (report.requests.served, report.requests.sent / 3);
     EXPECT_GT (report.membersReplaced, 0U);
 }
 
-TEST (SimulationTest, ALeaderCutOffForAnHourDoesNothingThatCounts)
+TEST (SimulationTest, LeaderIsolatedForAnHourHasNoEffect)
 {
     SweepOptions options = sweepOf (1);
     options.simulation.hasHourCut = true;
     options.simulation.hasFaults = false;
-    // A small cell is enough for this, and quick.
+    // A small cell is sufficient for this test and runs faster.
     options.simulation.routers = 2;
     options.simulation.engines = 6;
     options.simulation.applications = 1;
@@ -77,19 +77,19 @@
 
 TEST_P (PlantedFaultTest, IsFound)
 {
-    // The rarest is found at seed 110; without a finding every seed is run.
+    // The fault that is hardest to find is found at seed 110. All seeds run only if none finds it.
     constexpr std::uint64_t kMaximumSeeds = 300;
     SweepOptions options = sweepOf (kMaximumSeeds);
     options.simulation.plantedFault = GetParam();
     options.stopsAtFirstViolation = true;
     const SweepReport report = runSweep (options);
-    EXPECT_FALSE (report.failures.empty()) << nameOf (GetParam());
+    EXPECT_FALSE (report.failures.empty()) << toString (GetParam());
 }
 
 INSTANTIATE_TEST_SUITE_P (Sweep, PlantedFaultTest, testing::ValuesIn (allPlantedFaults()),
                           [] (const auto& parameter)
                           {
-                              std::string name (nameOf (parameter.param));
+                              std::string name (toString (parameter.param));
                               std::erase (name, '-');
                               return name;
                           });
--- a/src/sim/Trace.h
+++ b/src/sim/Trace.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The last notable events of a run, and a digest over all of them that tells whether two runs were
-/// the same.
+/// Keeps the latest notable events of a run and a digest over all of them, which shows whether two
+/// runs were equal.
 
 #include <cstddef>
 #include <cstdint>
@@ -20,7 +20,7 @@
     explicit Trace (std::size_t maximumLines) : m_maximumLines (maximumLines) {}
 
     void add (base::TimePoint at, std::string line);
-    /// The latest lines, oldest first, with their times in seconds.
+    /// Returns the latest lines, oldest first, with their times in seconds.
     [[nodiscard]] std::vector<std::string> lines() const;
     [[nodiscard]] std::uint64_t digest() const { return m_digest; }
 
--- a/src/sim/Violations.h
+++ b/src/sim/Violations.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What broke in a run.
+/// Collects the invariant violations of a run.
 
 #include <string>
 #include <vector>
@@ -15,7 +15,7 @@
 struct Violation
 {
     base::TimePoint at{};
-    std::string invariant;  ///< Short name, the same for every run.
+    std::string invariant;  ///< Short name, equal in every run.
     std::string detail;
 };
 
@@ -29,7 +29,7 @@
     [[nodiscard]] bool isEmpty() const { return m_list.empty(); }
 
 private:
-    /// More are counted as one and the same failure.
+    /// Later violations are dropped, as they usually follow from the first ones.
     static constexpr std::size_t kMaximumKept = 20;
 
     const EventQueue& m_queue;
--- a/src/sim/World.h
+++ b/src/sim/World.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Everything that the parts of one simulation share, and where they find each other.
+/// Shared state of one simulation, through which its parts find each other.
 
 #include <map>
 #include <memory>
@@ -40,10 +40,10 @@
     World& operator= (const World&) = delete;
 
     [[nodiscard]] base::TimePoint now() const { return queue.now(); }
-    void note (std::string text) { trace.add (queue.now(), std::move (text)); }
+    void addToTrace (std::string text) { trace.add (queue.now(), std::move (text)); }
     [[nodiscard]] ControllerNode* controllerAt (const std::string& address) const;
     [[nodiscard]] BackEnd* backEndAt (const std::string& address) const;
-    /// The controller that leads with a lease; null when none does.
+    /// The controller that holds the leader's lease; null when there is none.
     [[nodiscard]] ControllerNode* leader() const;
 
     SimulationOptions options;
@@ -70,7 +70,7 @@
     std::map<std::string, BackEnd*> backEndsByAddress;
 };
 
-/// Drift of the clock of a process, drawn for each.
+/// Draws the clock drift of a process, at most 500 ppm in either direction.
 [[nodiscard]] double drawDrift (base::Random& random);
 
 }  // namespace fernlift::sim
