--- a/src/standin/AnswerText.cpp
+++ b/src/standin/AnswerText.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// Spreads the bits of a counter (the finalizer of the SplitMix64 generator).
+/// Mixes the bits of a counter with the finalizer of the SplitMix64 generator.
 std::uint64_t mix (std::uint64_t value)
 {
     value += 0x9e3779b97f4a7c15ULL;
--- a/src/standin/AnswerText.h
+++ b/src/standin/AnswerText.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The text that stand-in engines generate: a function of model and prompt alone, so that whoever
-/// receives an answer can tell whether it is whole and its own.
+/// Text that stand-in engines generate. It depends only on model and prompt, so that the receiver
+/// can check that an answer is complete and belongs to its request.
 
 #include <cstdint>
 #include <string>
@@ -14,19 +14,19 @@
 class AnswerText
 {
 public:
-    /// `model` is the model or adapter that the caller named.
+    /// `model` is the model or adapter named in the request.
     AnswerText (std::string_view model, std::string_view prompt);
 
-    /// Text of the token at `offset`, 0 for the first.
+    /// Returns the text of the token at `offset`; the first token has offset 0.
     [[nodiscard]] std::string token (std::uint64_t offset) const;
-    /// Text of `count` tokens from `offset` on.
+    /// Returns the text of `count` tokens from `offset` on.
     [[nodiscard]] std::string tokens (std::uint64_t offset, std::uint64_t count) const;
 
 private:
     std::uint64_t m_seed;
 };
 
-/// The whole answer to a request for `maxTokens` tokens.
+/// Returns the complete answer to a request for `maxTokens` tokens.
 [[nodiscard]] std::string expectedAnswer (std::string_view model, std::string_view prompt,
                                           std::uint64_t maxTokens);
 
--- a/src/standin/ApplicationModel.cpp
+++ b/src/standin/ApplicationModel.cpp
@@ -14,7 +14,7 @@
     if (m_isLeaving)
         return refuse (base::ErrorKind::kStopping, "the back end is leaving");
     if (m_faults.refusesAll)
-        return refuse (base::ErrorKind::kNoCapacity, "refused on command");
+        return refuse (base::ErrorKind::kNoCapacity, "refused by an injected fault");
     if (m_waiting.size() >= m_options.maximumWaiting)
     {
         return refuse (base::ErrorKind::kQueueFull, "too many requests wait at the back end");
--- a/src/standin/ApplicationModel.h
+++ b/src/standin/ApplicationModel.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// An application back end as a pure state machine: requests take a slot for the service time and
-/// are entered in a ledger.
+/// Application back end as a state machine without I/O. A request occupies a slot for the service
+/// time and is recorded in a ledger.
 
 #include <cstdint>
 #include <deque>
@@ -28,8 +28,8 @@
 
 struct ApplicationFaults
 {
-    bool closesAfterBody = false;  ///< Performs requests and closes without an answer.
-    bool isSilent = false;         ///< Performs requests and never answers.
+    bool closesAfterBody = false;  ///< Runs requests and closes the connection without an answer.
+    bool isSilent = false;         ///< Runs requests and never answers.
     bool refusesAll = false;
     double slowdown = 1.0;  ///< Factor on the service time.
 };
@@ -41,7 +41,7 @@
     std::string path;
 };
 
-/// A request is performed; answer it (or close, by the faults).
+/// A completed request, to be answered, or to be closed without an answer if a fault demands it.
 struct ApplicationDone
 {
     RequestHandle handle = 0;
@@ -55,7 +55,7 @@
     explicit ApplicationModel (const ApplicationOptions& options) : m_options (options) {}
 
     SubmitOutcome submit (const ApplicationRequest& request, base::TimePoint now);
-    /// The caller's connection closed. A request that has begun runs on.
+    /// Removes a waiting request whose caller disconnected. A request that has begun keeps running.
     void cancel (RequestHandle handle);
     void advance (base::TimePoint now);
     [[nodiscard]] std::optional<base::TimePoint> nextEvent() const;
@@ -63,7 +63,7 @@
 
     [[nodiscard]] engine::Report report() const;
     [[nodiscard]] const std::vector<LedgerEntry>& ledger() const { return m_ledger; }
-    /// How often each idempotency key was run.
+    /// Number of executions of each idempotency key.
     [[nodiscard]] const std::map<std::string, std::uint64_t>& keyCounts() const
     {
         return m_keyCounts;
@@ -92,7 +92,7 @@
     bool m_isLeaving = false;
     RequestHandle m_lastHandle = 0;
     std::deque<Waiting> m_waiting;
-    std::multimap<base::TimePoint, Running> m_running;  ///< By the end of the service.
+    std::multimap<base::TimePoint, Running> m_running;  ///< Running requests by completion time.
     std::vector<LedgerEntry> m_ledger;
     std::map<std::string, std::uint64_t> m_keyCounts;
     std::vector<ApplicationDone> m_done;
--- a/src/standin/ApplicationServer.cpp
+++ b/src/standin/ApplicationServer.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Lets the caller check that the answer belongs to its own request.
+/// Returns the request as JSON, so that the caller can check that the answer belongs to it.
 std::string echoJson (const http::Request& request)
 {
     QJsonObject object;
@@ -32,7 +32,7 @@
 
 ApplicationServer::ApplicationServer (const ApplicationOptions& options,
                                       const SimulatedClock& clock)
-    : m_clock (clock), m_model (options), m_timer (clock, [this] { settle(); })
+    : m_clock (clock), m_model (options), m_timer (clock, [this] { advanceModel(); })
 {
 }
 
@@ -52,7 +52,7 @@
     {
         perform (request, responder);
     }
-    settle();
+    advanceModel();
 }
 
 std::string ApplicationServer::ledgerJson() const
@@ -62,7 +62,7 @@
     {
         counts[QString::fromStdString (key)] = engine::jsonInteger (count);
     }
-    // The entries are an object already; the counts go beside them.
+    // toJson() returns a complete object; the key counts are added as a second member.
     std::string json = toJson (m_model.ledger());
     json.pop_back();
     return json + ",\"keys\":" + engine::writeJson (counts) + "}";
@@ -123,7 +123,7 @@
         });
 }
 
-void ApplicationServer::settle()
+void ApplicationServer::advanceModel()
 {
     m_model.advance (m_clock.now());
     for (const auto& done : m_model.takeDone())
--- a/src/standin/ApplicationServer.h
+++ b/src/standin/ApplicationServer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// HTTP side of the stand-in application back end.
+/// HTTP interface of the stand-in application back end.
 
 #include <map>
 
@@ -11,7 +11,7 @@
 namespace fernlift::standin
 {
 
-/// Answers any request under its own paths with a JSON echo of it.
+/// Answers every request, except those to its management paths, with a JSON echo of the request.
 class ApplicationServer final : public StandinServer
 {
 public:
@@ -32,7 +32,7 @@
 
     void routeStandin (const http::Request& request, http::Responder& responder);
     void perform (const http::Request& request, const std::shared_ptr<http::Responder>& responder);
-    void settle();
+    void advanceModel();
     void answer (const ApplicationDone& done);
     [[nodiscard]] http::Headers commonHeaders() const;
 
--- a/src/standin/BatchScheduler.h
+++ b/src/standin/BatchScheduler.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Continuous batching: requests take slots by priority, generate one token a step, and are paused
-/// when a more urgent one needs the slot.
+/// Continuous batching. Requests get slots by priority, generate one token per step, and are
+/// preempted when a more urgent request needs the slot.
 
 #include <cstdint>
 #include <deque>
@@ -18,22 +18,22 @@
 namespace fernlift::standin
 {
 
-/// Requests of one engine that wait, run or are paused.
+/// Schedules the waiting, running and preempted requests of one engine.
 class BatchScheduler
 {
 public:
     explicit BatchScheduler (const EngineOptions& options);
 
-    /// Takes a request for a ready replica, or refuses it when too many wait.
+    /// Accepts a request for a ready replica, or refuses it when the queue is full.
     SubmitOutcome submit (const EngineRequest& request, base::ReplicaId replica,
                           base::TimePoint now);
-    /// Stops a request; nothing more comes of it. Unknown handles are ignored.
+    /// Stops a request without further effects. Unknown handles are ignored.
     void cancel (RequestHandle handle);
     void cancelById (const std::string& requestId);
-    /// Refuses the requests of a replica that never ran; the others finish.
+    /// Refuses the requests of a replica that have not started yet; the others finish.
     void refuseWaiting (base::ReplicaId replica);
 
-    /// Runs the steps that are due.
+    /// Runs all steps that are due at `now`.
     void advance (base::TimePoint now, const EngineFaults& faults);
     [[nodiscard]] std::optional<base::TimePoint> nextEvent() const { return m_nextStep; }
 
@@ -44,9 +44,11 @@
     [[nodiscard]] PrefixCache& prefixCache() { return m_cache; }
     [[nodiscard]] const PrefixCache& prefixCache() const { return m_cache; }
 
-    /// KV cache of a request that runs or ended lately, as opaque bytes; empty when there is none.
+    /// Returns the KV cache of a running or recently ended request as opaque bytes; empty when
+    /// there is none.
     [[nodiscard]] std::string exportCache (const std::string& requestId) const;
-    /// Keeps imported bytes for a later request with that id; false when they are damaged.
+    /// Stores an exported KV cache for a later request with that id; false when the bytes are
+    /// invalid.
     bool importCache (const std::string& requestId, const std::string& bytes);
 
     [[nodiscard]] std::vector<EngineEffect> takeEffects();
@@ -61,13 +63,13 @@
         std::size_t blocksToPrefill = 0;
         std::uint64_t nextToken = 0;
         bool isRunning = false;
-        std::optional<std::size_t> ledgerIndex;  ///< Set once it has run.
-        std::optional<TokenChunk> delayedChunk;  ///< Held back by a fault.
+        std::optional<std::size_t> ledgerIndex;  ///< Set once the request has started.
+        std::optional<TokenChunk> delayedChunk;  ///< Chunk held back by a fault.
 
         [[nodiscard]] bool hasRun() const { return ledgerIndex.has_value(); }
         [[nodiscard]] std::size_t kvBlocks() const;
     };
-    /// What an export holds: the prompt whose blocks need no computing again.
+    /// Content of an exported KV cache: identifies the prompt that needs no prefill.
     struct KeptCache
     {
         std::string target;
@@ -80,7 +82,7 @@
     [[nodiscard]] Requests::iterator mostUrgentWaiting();
     [[nodiscard]] Requests::iterator leastUrgentRunning();
     void runStep (base::TimePoint now, const EngineFaults& faults);
-    /// One step of one request; true when it is finished.
+    /// Runs one step of a request; true when the request is finished.
     bool advanceRequest (RequestHandle handle, Request& request, const EngineFaults& faults,
                          base::TimePoint now);
     void emitToken (RequestHandle handle, Request& request, const EngineFaults& faults);
@@ -92,11 +94,11 @@
 
     EngineOptions m_options;
     PrefixCache m_cache;
-    Requests m_requests;  ///< In the order of arrival.
+    Requests m_requests;  ///< Requests in order of arrival.
     RequestHandle m_lastHandle = 0;
     std::optional<base::TimePoint> m_nextStep;
     std::vector<LedgerEntry> m_ledger;
-    std::map<std::string, KeptCache> m_keptCaches;  ///< By request id.
+    std::map<std::string, KeptCache> m_keptCaches;  ///< Exportable caches by request id.
     std::deque<std::string> m_keptOrder;
     std::vector<EngineEffect> m_effects;
 };
--- a/src/standin/CheckpointCache.h
+++ b/src/standin/CheckpointCache.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Checkpoints that a machine keeps on its disk and in its memory, each with limited room.
+/// Checkpoints that a machine caches on disk and in main memory, each with a limited capacity.
 
 #include <list>
 #include <string>
@@ -13,7 +13,7 @@
 
 using engine::Megabytes;
 
-/// One kept checkpoint.
+/// A cached checkpoint.
 struct Checkpoint
 {
     std::string artifact;  ///< Model or adapter name.
@@ -23,15 +23,16 @@
     bool operator== (const Checkpoint&) const = default;
 };
 
-/// Checkpoints in one place; the least recently used go first when room is needed.
+/// Least recently used cache of checkpoints in one place.
 class CheckpointTier
 {
 public:
     explicit CheckpointTier (Megabytes capacity) : m_capacity (capacity) {}
 
-    /// True when that version is here; marks it as used.
+    /// Returns true and marks the checkpoint as used if that version is cached.
     bool use (const std::string& artifact, const std::string& version);
-    /// Adds a checkpoint, replacing another version of it. One above the capacity is not kept.
+    /// Adds a checkpoint and removes other versions of it. A checkpoint larger than the capacity is
+    /// not cached.
     void put (const Checkpoint& checkpoint);
     [[nodiscard]] const std::list<Checkpoint>& checkpoints() const { return m_checkpoints; }
 
@@ -43,7 +44,7 @@
     std::list<Checkpoint> m_checkpoints;  ///< Most recently used first.
 };
 
-/// Disk and memory of one machine.
+/// The disk and memory caches of one machine.
 class CheckpointCache
 {
 public:
@@ -52,11 +53,11 @@
     {
     }
 
-    /// The fastest place that holds the checkpoint; marks it as used there.
+    /// Returns the fastest place that holds the checkpoint and marks it as used.
     engine::CheckpointPlace use (const std::string& artifact, const std::string& version);
     void putOnDisk (const Checkpoint& checkpoint) { m_disk.put (checkpoint); }
     void putInMemory (const Checkpoint& checkpoint) { m_memory.put (checkpoint); }
-    /// Each kept checkpoint once, at its fastest place.
+    /// Lists each cached checkpoint once, with its fastest place.
     [[nodiscard]] std::vector<engine::CheckpointReport> report() const;
     [[nodiscard]] const std::list<Checkpoint>& onDisk() const { return m_disk.checkpoints(); }
 
--- a/src/standin/CompletionFormat.h
+++ b/src/standin/CompletionFormat.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// JSON of the completions API as an engine reads and writes it.
+/// Parses and writes the JSON of the completions API for an engine.
 
 #include <cstdint>
 #include <string>
@@ -12,12 +12,12 @@
 namespace fernlift::standin
 {
 
-/// What the engine needs of a request body.
+/// Fields of a request body that the engine uses.
 struct CompletionRequest
 {
     bool isChat = true;
     std::string model;
-    std::string prompt;  ///< For chat the messages as chatPrompt() joins them.
+    std::string prompt;  ///< For chat requests the result of chatPrompt().
     std::uint64_t maxTokens = 16;
     bool isStreaming = false;
 };
@@ -28,18 +28,18 @@
     std::string content;
 };
 
-/// The prompt that stands for a chat: "role: content" and a line feed for each message.
+/// Returns the prompt of a chat: "role: content" and a line feed for each message.
 [[nodiscard]] std::string chatPrompt (const std::vector<ChatMessage>& messages);
 
-/// Reads a body of /v1/chat/completions (isChat) or /v1/completions; fails with kMessageInvalid.
+/// Parses a body of /v1/chat/completions (isChat) or /v1/completions; fails with kMessageInvalid.
 [[nodiscard]] base::Result<CompletionRequest> parseCompletion (std::string_view json, bool isChat);
 
-/// One server-sent event with part of the answer.
+/// Returns a server-sent event with a part of the answer.
 [[nodiscard]] std::string streamEvent (const CompletionRequest& request, const std::string& id,
                                        std::uint64_t offset, const std::string& text);
-/// The event that ends a whole stream.
+/// Returns the event that ends a complete stream.
 [[nodiscard]] std::string lastStreamEvent();
-/// The body of a whole answer.
+/// Returns the body of an answer that is not streamed.
 [[nodiscard]] std::string wholeAnswer (const CompletionRequest& request, const std::string& id,
                                        const std::string& text, std::uint64_t tokens);
 
--- a/src/standin/EngineModel.cpp
+++ b/src/standin/EngineModel.cpp
@@ -20,7 +20,7 @@
 {
     advance (now);
     const auto answer = m_replicas.onOrder (order, m_faults, now);
-    settle (now);
+    advanceReplicas (now);
     return answer;
 }
 
@@ -45,7 +45,7 @@
     if (m_isLeaving)
         return refuse (base::ErrorKind::kStopping, "the engine is leaving");
     if (m_faults.refusesAll)
-        return refuse (base::ErrorKind::kNoCapacity, "refused on command");
+        return refuse (base::ErrorKind::kNoCapacity, "refused by an injected fault");
     const auto* replica = m_replicas.findReady (request.replica, request.target);
     if (replica == nullptr)
     {
@@ -58,24 +58,24 @@
 {
     advance (now);
     m_scheduler.cancel (handle);
-    settle (now);
+    advanceReplicas (now);
 }
 
 void EngineModel::cancelById (const std::string& requestId, base::TimePoint now)
 {
     advance (now);
     m_scheduler.cancelById (requestId);
-    settle (now);
+    advanceReplicas (now);
 }
 
 void EngineModel::advance (base::TimePoint now)
 {
     m_scheduler.advance (now, m_faults);
-    settle (now);
+    advanceReplicas (now);
     publishReports (now);
 }
 
-void EngineModel::settle (base::TimePoint now)
+void EngineModel::advanceReplicas (base::TimePoint now)
 {
     for (const auto& closed : m_replicas.takeClosed())
     {
--- a/src/standin/EngineModel.h
+++ b/src/standin/EngineModel.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// A model engine as a pure state machine: orders, requests, time and answers of the weight store
-/// in; answers, tokens and requests to the weight store out. The stand-in process and the simulator
-/// run this same class.
+/// Model engine as a state machine without I/O. Its inputs are orders, requests, time and answers
+/// of the weight store; its outputs are answers, tokens and requests to the weight store. The
+/// stand-in process and the simulator use the same class.
 
 #include <optional>
 #include <string>
@@ -14,7 +14,7 @@
 namespace fernlift::standin
 {
 
-/// Single-threaded. Every call may produce effects, taken by takeEffects().
+/// Single-threaded. Every call may produce effects, which takeEffects() returns.
 class EngineModel
 {
 public:
@@ -26,31 +26,31 @@
 
     SubmitOutcome submit (const EngineRequest& request, base::TimePoint now);
     void cancel (RequestHandle handle, base::TimePoint now);
-    /// Cancels by the id that the caller gave.
+    /// Cancels all requests with the id that the caller sent.
     void cancelById (const std::string& requestId, base::TimePoint now);
 
-    /// Does all that is due at `now`. Time never goes back.
+    /// Processes everything that is due at `now`, which must not decrease between calls.
     void advance (base::TimePoint now);
-    /// When advance() has to be called next.
+    /// Time at which advance() must be called next.
     [[nodiscard]] base::TimePoint nextEvent() const;
 
-    /// The report as seen from outside: late, or frozen by a fault.
+    /// The published report, which is delayed, or frozen by a fault.
     [[nodiscard]] const engine::Report& report() const { return m_publishedReport; }
-    /// The state at this moment.
+    /// Report of the current state, without delay.
     [[nodiscard]] engine::Report currentReport() const;
     [[nodiscard]] std::vector<CacheEvent> cacheEventsAfter (std::uint64_t sequence,
                                                             base::TimePoint now) const;
     [[nodiscard]] const std::vector<LedgerEntry>& ledger() const { return m_scheduler.ledger(); }
     [[nodiscard]] std::string exportCache (const std::string& requestId) const;
     bool importCache (const std::string& requestId, const std::string& bytes);
-    /// Checkpoints on disk, which outlive a restart.
+    /// Checkpoints on disk, which survive a restart.
     [[nodiscard]] std::vector<Checkpoint> checkpointsOnDisk() const;
 
     void setFaults (const EngineFaults& faults) { m_faults = faults; }
     [[nodiscard]] const EngineFaults& faults() const { return m_faults; }
-    /// Loses the next `count` cache events.
+    /// Drops the next `count` cache events.
     void dropCacheEvents (std::uint64_t count) { m_scheduler.prefixCache().dropEvents (count); }
-    /// The machine is about to be reclaimed (or no longer): new requests are refused.
+    /// Sets whether the machine is about to be reclaimed; new requests are refused while it is.
     void setLeaving (bool isLeaving) { m_isLeaving = isLeaving; }
     [[nodiscard]] bool isLeaving() const { return m_isLeaving; }
     [[nodiscard]] const EngineOptions& options() const { return m_options; }
@@ -58,7 +58,7 @@
     [[nodiscard]] std::vector<EngineEffect> takeEffects();
 
 private:
-    void settle (base::TimePoint now);
+    void advanceReplicas (base::TimePoint now);
     void publishReports (base::TimePoint now);
 
     EngineOptions m_options;
--- a/src/standin/EngineModelTest.cpp
+++ b/src/standin/EngineModelTest.cpp
@@ -17,7 +17,7 @@
 
 constexpr base::TimePoint kStart{};
 
-/// An engine with a weight store that answers each fetch after a fixed time.
+/// Engine model with a simulated weight store that answers each fetch after a fixed time.
 class EngineHarness
 {
 public:
@@ -48,7 +48,7 @@
         EXPECT_TRUE (outcome.accepted) << outcome.refusal.message;
         return outcome.handle;
     }
-    /// Lets time pass, event by event.
+    /// Advances time by `duration`, event by event.
     void run (base::Duration duration)
     {
         const base::TimePoint end = now + duration;
@@ -163,7 +163,7 @@
     return request;
 }
 
-/// An engine that serves model "m" as replica 1.
+/// Returns an engine that has loaded model "m" as replica 1.
 EngineHarness servingEngine (const EngineOptions& options = smallEngine())
 {
     EngineHarness engine (options);
@@ -173,7 +173,7 @@
     return engine;
 }
 
-TEST (EngineModel, LoadsFromTheStoreThenFromMemory)
+TEST (EngineModel, LoadsFromWeightStoreThenFromMemory)
 {
     EngineHarness engine (smallEngine());
     EXPECT_TRUE (engine.order (OrderKind::kLoadModel, 1, 1, "m").accepted);
@@ -216,7 +216,7 @@
     EXPECT_FALSE (engine.has (4));
 }
 
-TEST (EngineModel, ARefusedLoadStaysRefusedWhenSentAgain)
+TEST (EngineModel, RefusedLoadStaysRefusedWhenResent)
 {
     EngineHarness engine (smallEngine());
     engine.order (OrderKind::kLoadModel, 1, 1, "a", 2500);
@@ -251,7 +251,7 @@
         EXPECT_NE (entry.requestId, "c");
 }
 
-TEST (EngineModel, AnAdapterWaitsForItsBaseAndGoesBeforeIt)
+TEST (EngineModel, AdapterLoadsAfterItsBaseAndUnloadsBeforeIt)
 {
     EngineHarness engine (smallEngine());
     engine.order (OrderKind::kLoadModel, 1, 1, "m");
@@ -282,7 +282,7 @@
     EXPECT_EQ (engine.model.currentReport().usedMemory, 0U);
 }
 
-TEST (EngineModel, UrgentRequestsPauseOthers)
+TEST (EngineModel, UrgentRequestsPreemptOthers)
 {
     EngineHarness engine = servingEngine();
     const auto longOne = engine.submit (request ("long1", 200, 9));
@@ -298,7 +298,7 @@
     EXPECT_EQ (engine.text (longTwo), expectedAnswer ("m", "prompt of long2", 200));
 }
 
-TEST (EngineModel, CancelStopsTheTokens)
+TEST (EngineModel, CancelStopsTokenGeneration)
 {
     EngineHarness engine = servingEngine();
     const auto handle = engine.submit (request ("a", 1000));
@@ -312,7 +312,7 @@
     EXPECT_EQ (engine.model.ledger()[0].state, LedgerState::kCancelled);
 }
 
-TEST (EngineModel, AnImportedCacheSparesThePrefill)
+TEST (EngineModel, ImportedCacheSkipsPrefill)
 {
     EngineOptions options = smallEngine();
     options.prefillBlocksPerStep = 1;
@@ -332,7 +332,7 @@
     EXPECT_EQ (second.ended[handle], 1) << "without the import the prompt alone takes 50 steps";
 }
 
-TEST (EngineModel, FaultsOfStreams)
+TEST (EngineModel, InjectsStreamFaults)
 {
     EngineHarness engine = servingEngine();
     EngineFaults faults;
@@ -367,7 +367,7 @@
     EXPECT_TRUE (engine.chunks[silent].empty());
 }
 
-TEST (EngineModel, FaultsOfLoads)
+TEST (EngineModel, InjectsLoadFaults)
 {
     EngineHarness engine (smallEngine());
     EngineFaults faults;
@@ -387,7 +387,7 @@
     EXPECT_TRUE (engine.hasExited);
 }
 
-TEST (EngineModel, ReportsLagAndFreeze)
+TEST (EngineModel, ReportsAreDelayedAndCanBeFrozen)
 {
     EngineHarness engine (smallEngine());
     engine.run (milliseconds (50));
@@ -404,7 +404,7 @@
     EXPECT_EQ (engine.model.report().replicas[0].phase, ReplicaPhase::kLoading);
 }
 
-TEST (EngineModel, ALeavingEngineRefusesNewWorkAndFinishesTheOld)
+TEST (EngineModel, LeavingEngineRefusesNewRequestsAndFinishesAcceptedOnes)
 {
     EngineHarness engine = servingEngine();
     const auto handle = engine.submit (request ("a", 50));
@@ -461,7 +461,7 @@
     }
 }
 
-RC_GTEST_PROP (EngineModel, AnyResumedAnswerIsTheRestOfTheWhole, ())
+RC_GTEST_PROP (EngineModel, ResumedAnswerEqualsRemainderOfFullAnswer, ())
 {
     EngineHarness engine = servingEngine();
     const auto tokens = *rc::gen::inRange<std::uint64_t> (1, 60);
@@ -483,7 +483,7 @@
                == expectedAnswer ("m", input.prompt, tokens));
 }
 
-RC_GTEST_PROP (EngineModel, EveryRequestEndsOnceAndTheLedgerAgrees, ())
+RC_GTEST_PROP (EngineModel, EveryRequestEndsOnceAndMatchesLedger, ())
 {
     EngineHarness engine = servingEngine();
     std::map<RequestHandle, EngineRequest> submitted;
--- a/src/standin/EngineServer.cpp
+++ b/src/standin/EngineServer.cpp
@@ -16,10 +16,10 @@
 constexpr int kConflict = 409;
 constexpr int kInsufficientStorage = 507;
 constexpr int kExitByFault = 70;
-/// Wait after a fetch that the weight store did not answer.
+/// Retry delay when the weight store did not answer a fetch or stated no delay.
 constexpr base::Duration kFetchRetry = base::milliseconds (500);
 constexpr base::Duration kFetchTimeout = base::seconds (3600);
-/// Speed of transfers when no weight store is configured.
+/// Transfer speed when no weight store is configured.
 constexpr std::uint64_t kPlainMegabytesPerSecond = 1000;
 
 constexpr std::string_view kStreamsPrefix = "/engine/streams/";
@@ -74,7 +74,7 @@
     return engine::writeJson ({ { QLatin1String ("events"), array } });
 }
 
-/// Wait that the weight store asks for, in simulated time.
+/// Returns the retry delay stated by the weight store, in simulated time.
 base::Duration retryAfterOf (const http::WholeResponse& response)
 {
     std::uint64_t milliseconds = 0;
@@ -99,15 +99,15 @@
     : m_clock (clock),
       m_weightStore (std::move (weightStore)),
       m_model (options, clock.now()),
-      m_timer (clock, [this] { settle(); })
+      m_timer (clock, [this] { advanceModel(); })
 {
-    settle();
+    advanceModel();
 }
 
 void EngineServer::beginStop()
 {
     m_model.setLeaving (true);
-    settle();
+    advanceModel();
 }
 
 bool EngineServer::isIdle() const { return m_answers.empty(); }
@@ -128,7 +128,7 @@
     {
         route (request, responder);
     }
-    settle();
+    advanceModel();
 }
 
 void EngineServer::route (const http::Request& request, const ResponderPointer& responder)
@@ -235,7 +235,7 @@
             if (m_answers.erase (handle) == 0)
                 return;
             m_model.cancel (handle, m_clock.now());
-            settle();
+            advanceModel();
         });
 }
 
@@ -246,7 +246,7 @@
     {
         if (! m_model.importCache (id, request.body))
         {
-            answerInvalid (responder, "the bytes are not an exported cache");
+            answerInvalid (responder, "body is not an exported KV cache");
             return;
         }
         sendJson (responder, 200, "{}");
@@ -313,7 +313,7 @@
     return headers;
 }
 
-void EngineServer::settle()
+void EngineServer::advanceModel()
 {
     m_model.advance (m_clock.now());
     auto effects = m_model.takeEffects();
@@ -338,7 +338,7 @@
                             [this, fetch = effect.fetch]
                             {
                                 m_model.onFetched (fetch, m_clock.now());
-                                settle();
+                                advanceModel();
                             });
         return;
     }
@@ -369,14 +369,14 @@
     }
     m_fetches.erase (fetch);
     m_model.onFetched (fetch, m_clock.now());
-    settle();
+    advanceModel();
 }
 
 void EngineServer::onFetchRefused (FetchId fetch, base::Duration retryAfter)
 {
     m_fetches.erase (fetch);
     m_model.onFetchRefused (fetch, retryAfter, m_clock.now());
-    settle();
+    advanceModel();
 }
 
 void EngineServer::apply (const CancelFetch& effect)
--- a/src/standin/EngineServer.h
+++ b/src/standin/EngineServer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// HTTP side of the stand-in engine.
+/// HTTP interface of the stand-in engine.
 
 #include <map>
 #include <optional>
@@ -20,7 +20,7 @@
 class EngineServer final : public StandinServer
 {
 public:
-    /// Without a weight store, remote checkpoints arrive after the time of a plain transfer.
+    /// Without a weight store, remote checkpoints arrive after a transfer at a fixed speed.
     EngineServer (const EngineOptions& options, const SimulatedClock& clock,
                   std::optional<base::SocketAddress> weightStore);
 
@@ -32,15 +32,14 @@
 
 private:
     using ResponderPointer = std::shared_ptr<http::Responder>;
-    /// An accepted request whose answer is not finished.
+    /// An accepted request whose answer is not complete.
     struct OpenAnswer
     {
         CompletionRequest request;
         std::string id;
         ResponderPointer responder;
         bool hasBegun = false;
-        std::map<std::uint64_t, std::string>
-            parts;  ///< Of an answer that isn't streamed, by offset.
+        std::map<std::uint64_t, std::string> parts;  ///< Parts of a non-streamed answer by offset.
     };
 
     void route (const http::Request& request, const ResponderPointer& responder);
@@ -57,8 +56,8 @@
     void sendJson (http::Responder& responder, int status, const std::string& json) const;
     [[nodiscard]] http::Headers commonHeaders (const std::string& contentType) const;
 
-    /// Carries out what the model wants and sets the timer anew.
-    void settle();
+    /// Advances the model, applies its effects and restarts the timer.
+    void advanceModel();
     void apply (const FetchWeights& effect);
     void apply (const CancelFetch& effect);
     void apply (const TokenChunk& effect);
@@ -76,8 +75,8 @@
     http::Client m_client;
     std::map<RequestHandle, OpenAnswer> m_answers;
     std::map<FetchId, std::shared_ptr<http::Exchange>> m_fetches;
-    bool m_isHanging = false;                    ///< Nothing is answered at all.
-    std::vector<ResponderPointer> m_unanswered;  ///< Requests that came while hanging.
+    bool m_isHanging = false;                    ///< Set by a fault: requests get no answer.
+    std::vector<ResponderPointer> m_unanswered;  ///< Requests received while hanging.
 };
 
 }  // namespace fernlift::standin
--- a/src/standin/Faults.cpp
+++ b/src/standin/Faults.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// Factors below this would make the divided speed useless.
+/// Lower limit of factors; a speed divided by a smaller one would be out of any useful range.
 constexpr double kSmallestFactor = 0.001;
 
 double factorOf (const FaultCommand& command)
--- a/src/standin/Faults.h
+++ b/src/standin/Faults.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Bodies of POST /standin/faults: {"fault": NAME, ...}. docs/standins.md lists them.
+/// Parses and applies the bodies of POST /standin/faults: {"fault": NAME, ...}. docs/standins.md
+/// lists the faults.
 
 #include <cstdint>
 #include <string>
@@ -13,7 +14,7 @@
 namespace fernlift::standin
 {
 
-/// One command, with the fields that some faults use.
+/// A fault command; each fault uses only some of the fields.
 struct FaultCommand
 {
     std::string fault;
@@ -23,10 +24,10 @@
     double factor = 1.0;       ///< "factor"
 };
 
-/// Fails with kMessageInvalid.
+/// Parses a fault command; fails with kMessageInvalid.
 [[nodiscard]] base::Result<FaultCommand> parseFaultCommand (std::string_view json);
 
-/// Changes the faults in force; false when this kind of stand-in has no such fault.
+/// Changes the faults in force; false when this kind of stand-in does not support the fault.
 bool applyFault (const FaultCommand& command, EngineFaults& faults);
 bool applyFault (const FaultCommand& command, ApplicationFaults& faults);
 bool applyFault (const FaultCommand& command, WeightStoreFaults& faults);
--- a/src/standin/Ledger.cpp
+++ b/src/standin/Ledger.cpp
@@ -5,7 +5,7 @@
 namespace fernlift::standin
 {
 
-std::string_view nameOf (LedgerState state)
+std::string_view toString (LedgerState state)
 {
     switch (state)
     {
@@ -37,7 +37,7 @@
             static_cast<qint64> (base::toMilliseconds (entry.startedAt.time_since_epoch()));
         object[QLatin1String ("resume_from")] = jsonInteger (entry.resumeFrom);
         object[QLatin1String ("tokens")] = jsonInteger (entry.tokens);
-        object[QLatin1String ("state")] = jsonText (nameOf (entry.state));
+        object[QLatin1String ("state")] = jsonText (toString (entry.state));
         array.append (object);
     }
     QJsonObject ledger;
--- a/src/standin/Ledger.h
+++ b/src/standin/Ledger.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What a back end has run, kept for checks against the histories of callers.
+/// Ledger of the requests that a back end ran, to be compared with the histories of callers.
 
 #include <cstdint>
 #include <string>
@@ -15,12 +15,12 @@
 enum class LedgerState : std::uint8_t
 {
     kRunning,
-    kEnded,      ///< The whole answer was generated.
-    kCancelled,  ///< Stopped on request, or the caller's connection closed.
-    kBroken,     ///< A fault on command cut the stream.
+    kEnded,      ///< The complete answer was generated.
+    kCancelled,  ///< Cancelled by a request, or the caller disconnected.
+    kBroken,     ///< An injected fault broke the stream.
 };
 
-/// One request that was begun. Requests that only waited have no entry.
+/// A request that started to run. Requests that only waited have no entry.
 struct LedgerEntry
 {
     std::string requestId;
@@ -33,8 +33,8 @@
     LedgerState state = LedgerState::kRunning;
 };
 
-[[nodiscard]] std::string_view nameOf (LedgerState state);
-/// {"entries":[...]}, times in milliseconds.
+[[nodiscard]] std::string_view toString (LedgerState state);
+/// Returns {"entries":[...]} with times in milliseconds.
 [[nodiscard]] std::string toJson (const std::vector<LedgerEntry>& entries);
 
 }  // namespace fernlift::standin
--- a/src/standin/MachineListModel.h
+++ b/src/standin/MachineListModel.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The platform's machine list as a pure state machine: changes show after a lag.
+/// The platform's machine list as a state machine without I/O. Changes become visible after a lag.
 
 #include <deque>
 #include <optional>
@@ -19,24 +19,24 @@
 public:
     MachineListModel (engine::MachineList machines, base::Duration lag);
 
-    /// Adds a machine or replaces the one with its id.
+    /// Adds a machine, or replaces the one with the same id.
     void put (const engine::Machine& machine, base::TimePoint now);
     /// Changes the state of a machine; false when there is none with that id.
     bool setState (const base::RunnerId& runner, engine::MachineState state, base::TimePoint now);
-    /// Takes a machine off the list; false when there is none with that id.
+    /// Removes a machine from the list; false when there is none with that id.
     bool remove (const base::RunnerId& runner, base::TimePoint now);
     void setLag (base::Duration lag) { m_lag = lag; }
 
-    /// The list as it shows at `now`.
+    /// Returns the list that is visible at `now`.
     [[nodiscard]] const engine::MachineList& visible (base::TimePoint now);
-    /// The list without the lag.
+    /// Returns the list with all changes, regardless of the lag.
     [[nodiscard]] const engine::MachineList& current() const { return m_history.back().second; }
 
 private:
     engine::MachineList& change (base::TimePoint now);
 
     base::Duration m_lag;
-    /// Lists with the time of their making, oldest first; the first is visible.
+    /// Lists with their creation times, oldest first; the first one is visible.
     std::deque<std::pair<base::TimePoint, engine::MachineList>> m_history;
 };
 
--- a/src/standin/MachineListServer.cpp
+++ b/src/standin/MachineListServer.cpp
@@ -10,8 +10,9 @@
 namespace
 {
 
-/// Body of POST /standin/machines: {"machine": FLAG TEXT} adds or replaces one;
-/// {"id","state":"live"|"leaving"|"gone"} changes one; {"lag_ms"} changes the lag.
+/// Body of POST /standin/machines: {"machine": FLAG TEXT} adds or replaces a machine,
+/// {"id","state":"live"|"leaving"|"gone"} changes its state or removes it, {"lag_ms"} changes the
+/// lag.
 struct MachineChange
 {
     std::string id;
--- a/src/standin/MachineListServer.h
+++ b/src/standin/MachineListServer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// HTTP side of the stand-in machine list.
+/// HTTP interface of the stand-in machine list.
 
 #include "standin/MachineListModel.h"
 #include "standin/SimulatedClock.h"
--- a/src/standin/PlatformModelsTest.cpp
+++ b/src/standin/PlatformModelsTest.cpp
@@ -1,4 +1,5 @@
-// Tests of the smaller models: weight store, machine list, application, prefix cache, formats.
+// Tests of the weight store, machine list, application and prefix cache models, of completion
+// parsing and of fault commands.
 
 #include <gtest/gtest.h>
 
@@ -29,7 +30,7 @@
     return options;
 }
 
-TEST (WeightStoreModel, SharesItsSpeedAboveTheLimit)
+TEST (WeightStoreModel, SharesBandwidthAboveTransferLimit)
 {
     WeightStoreModel store (twoAtOnce(), kStart);
     for (TransferId id = 1; id <= 4; ++id)
@@ -41,7 +42,7 @@
     EXPECT_EQ (store.takeFinished().size(), 4U);
 }
 
-TEST (WeightStoreModel, RefusesAboveTheRate)
+TEST (WeightStoreModel, RefusesTransfersAboveRateLimit)
 {
     WeightStoreModel store (twoAtOnce(), kStart);
     for (TransferId id = 1; id <= 4; ++id)
@@ -54,7 +55,7 @@
     EXPECT_TRUE (store.begin (6, 1));
 }
 
-TEST (WeightStoreModel, SlowsAndStallsOnCommand)
+TEST (WeightStoreModel, AppliesSlowdownAndStallFaults)
 {
     WeightStoreModel store (twoAtOnce(), kStart);
     store.begin (1, 1000);
@@ -68,7 +69,7 @@
     EXPECT_EQ (store.takeFinished(), std::vector<TransferId>{ 1 });
 }
 
-TEST (MachineListModel, ChangesShowAfterTheLag)
+TEST (MachineListModel, ChangesBecomeVisibleAfterLag)
 {
     engine::MachineList list;
     list.machines.resize (1);
@@ -136,7 +137,7 @@
     EXPECT_FALSE (model.submit ({ "q4", "", "/d" }, kStart + seconds (1)).accepted);
 }
 
-TEST (ApplicationModel, PerformsAndClosesOnCommand)
+TEST (ApplicationModel, ClosesWithoutAnswerAfterPerforming)
 {
     ApplicationModel model (ApplicationOptions{});
     ApplicationFaults faults;
@@ -150,7 +151,7 @@
     EXPECT_EQ (model.keyCounts().at ("k1"), 1U);
 }
 
-TEST (PrefixCache, EvictsTheLeastRecentlyUsedAndTellsLate)
+TEST (PrefixCache, EvictsLeastRecentlyUsedAndDelaysEvents)
 {
     PrefixCache cache (4, milliseconds (500));
     cache.store ("m", { 1, 2 }, kStart);
@@ -168,7 +169,7 @@
     EXPECT_EQ (events[1].block, 3U);
 }
 
-TEST (PrefixCache, LosesEventsOnCommand)
+TEST (PrefixCache, DropsEventsOnFault)
 {
     PrefixCache cache (4, {});
     cache.store ("m", { 1 }, kStart);
@@ -179,7 +180,7 @@
     EXPECT_EQ (events[1].sequence, 4U);
 }
 
-TEST (PrefixCache, ShrinksByWhatRequestsNeed)
+TEST (PrefixCache, ShrinksByBlocksReservedForRequests)
 {
     PrefixCache cache (4, {});
     cache.store ("m", { 1, 2, 3, 4 }, kStart);
@@ -187,7 +188,7 @@
     EXPECT_EQ (cache.size(), 1U);
 }
 
-TEST (PromptBlocks, ABlockDependsOnAllTextBeforeIt)
+TEST (PromptBlocks, BlockHashDependsOnAllPrecedingText)
 {
     const std::string block (engine::kPromptBlockBytes, 'x');
     const std::string other (engine::kPromptBlockBytes, 'y');
@@ -217,7 +218,7 @@
     EXPECT_FALSE (parseCompletion (R"({"model":"m","prompt":"p","max_tokens":"7"})", false));
 }
 
-TEST (Faults, UnknownNamesAreRefused)
+TEST (Faults, RejectsUnknownFaultNames)
 {
     EngineFaults engineFaults;
     ApplicationFaults applicationFaults;
--- a/src/standin/PrefixCache.h
+++ b/src/standin/PrefixCache.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Prefix cache of an engine: blocks of prompts whose KV entries are kept, with limited room, and
-/// the events that tell of changes.
+/// Prefix cache of an engine: prompt blocks whose KV entries are cached with a limited capacity,
+/// and the events that report its changes.
 
 #include <cstdint>
 #include <deque>
@@ -16,10 +16,10 @@
 namespace fernlift::standin
 {
 
-/// A block was stored or removed.
+/// Reports that a block was stored or removed.
 struct CacheEvent
 {
-    std::uint64_t sequence = 0;  ///< A jump tells that events are missing.
+    std::uint64_t sequence = 0;  ///< A gap between events shows that some were dropped.
     bool isStored = true;
     std::string model;
     std::uint64_t block = 0;
@@ -30,25 +30,26 @@
 class PrefixCache
 {
 public:
-    /// `capacity` in blocks; events show `eventDelay` after the change.
+    /// `capacity` is in blocks; events become visible `eventDelay` after the change.
     PrefixCache (std::size_t capacity, base::Duration eventDelay)
         : m_capacity (capacity), m_eventDelay (eventDelay)
     {
     }
 
-    /// Number of leading blocks that are cached; marks them as used.
+    /// Returns the number of leading blocks that are cached and marks them as used.
     std::size_t match (const std::string& model, const std::vector<std::uint64_t>& blocks);
-    /// Stores the blocks of a prompt that was computed.
+    /// Stores the blocks of a prompt after its prefill.
     void store (const std::string& model, const std::vector<std::uint64_t>& blocks,
                 base::TimePoint now);
     /// Removes all blocks of a model that is being unloaded.
     void removeModel (const std::string& model, base::TimePoint now);
-    /// Blocks that running requests need: the cache shrinks by them.
+    /// Sets the number of blocks that requests occupy, by which the capacity of the cache is
+    /// reduced.
     void setReserved (std::size_t blocks, base::TimePoint now);
-    /// Loses the next `count` events, leaving a gap.
+    /// Drops the next `count` events, which leaves a gap in the sequence numbers.
     void dropEvents (std::uint64_t count) { m_eventsToDrop += count; }
 
-    /// Visible events after `sequence`, oldest first, at most 1000.
+    /// Returns at most 1000 visible events after `sequence`, oldest first.
     [[nodiscard]] std::vector<CacheEvent> eventsAfter (std::uint64_t sequence,
                                                        base::TimePoint now) const;
     [[nodiscard]] std::size_t size() const { return m_order.size(); }
--- a/src/standin/ReplicaTable.cpp
+++ b/src/standin/ReplicaTable.cpp
@@ -27,7 +27,7 @@
         return answer (false, base::ErrorKind::kFenceStale);
     if (order.fence == m_highestFence && m_lastAnswer)
         return *m_lastAnswer;
-    // A refused order uses up its fence as well: sent again later it must not be carried out.
+    // A refused order also uses its fence, so that it is not executed if it is resent later.
     m_highestFence = order.fence;
     m_slowdown = faults.loadSlowdown;
     m_lastAnswer = take (order, now);
--- a/src/standin/ReplicaTable.h
+++ b/src/standin/ReplicaTable.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Replicas of one engine: fenced orders, phases of loads and unloads, and accelerator memory.
+/// Replicas of one stand-in engine: fenced orders, steps of loads and unloads, accelerator memory.
 
 #include <cstdint>
 #include <functional>
@@ -14,8 +14,8 @@
 namespace fernlift::standin
 {
 
-/// Takes orders and carries them out as time passes. Memory is reserved from the acceptance of a
-/// load until the replica is unloaded; a load without room is refused.
+/// Accepts orders and executes them as time advances. Memory is reserved from the acceptance of a
+/// load until the replica is unloaded; a load is refused when too little memory is free.
 class ReplicaTable
 {
 public:
@@ -23,41 +23,42 @@
 
     engine::OrderAnswer onOrder (const engine::Order& order, const EngineFaults& faults,
                                  base::TimePoint now);
-    /// The artifact arrived; it is now on disk.
+    /// Called when an artifact has arrived; stores it on disk.
     void onFetched (FetchId fetch, base::TimePoint now);
-    /// The weight store did not take the request; it is asked again after `retryAfter`.
+    /// Called when the weight store refused a request, which is sent again after `retryAfter`.
     void onFetchRefused (FetchId fetch, base::Duration retryAfter, base::TimePoint now);
 
-    /// Carries out what is due. `isBusy` tells whether a replica still has requests; `faults` may
-    /// be used up by loads.
+    /// Executes all steps that are due. `isBusy` returns whether a replica still has requests;
+    /// loads count down the number of loads to fail in `faults`.
     void advance (base::TimePoint now, const std::function<bool (base::ReplicaId)>& isBusy,
                   EngineFaults& faults);
-    /// When advance() has to be called next; unloads that wait for requests are not counted.
+    /// Time at which advance() must be called next, without unloads that wait for requests.
     [[nodiscard]] std::optional<base::TimePoint> nextEvent() const;
 
-    /// The ready replica with that id, or with id 0 any ready replica of that model or adapter.
+    /// Returns the ready replica of `target` (a model or adapter) with that id, or any of them for
+    /// id 0; null when there is none.
     [[nodiscard]] const engine::ReplicaReport* findReady (base::ReplicaId id,
                                                           const std::string& target) const;
     [[nodiscard]] Megabytes usedMemory() const;
     [[nodiscard]] base::Fence highestFence() const { return m_highestFence; }
     [[nodiscard]] std::vector<engine::ReplicaReport> replicas() const;
     [[nodiscard]] const CheckpointCache& checkpoints() const { return m_checkpoints; }
-    /// Replicas that became unavailable for new requests since the last call.
+    /// Returns the replicas that became unavailable for new requests since the last call.
     [[nodiscard]] std::vector<engine::ReplicaReport> takeClosed();
     [[nodiscard]] std::vector<EngineEffect> takeEffects();
 
 private:
     enum class Step : std::uint8_t
     {
-        kWaitForBase,  ///< An adapter whose base model is still loading.
-        kWaitToFetch,  ///< The weight store refused; asked again at `stepEnds`.
-        kFetch,        ///< The weight store is sending.
-        kReadDisk,     ///< Disk to main memory.
-        kReadMemory,   ///< Main memory to the accelerator.
-        kServe,        ///< Ready.
-        kFinish,       ///< Unloading; requests still run.
-        kRelease,      ///< Unloading; memory is being freed.
-        kNone,         ///< Failed.
+        kWaitForBase,  ///< Adapter that waits until its base model is loaded.
+        kWaitToFetch,  ///< Refused by the weight store; requested again at `stepEnds`.
+        kFetch,        ///< Transfer from the weight store.
+        kReadDisk,     ///< Read from disk to main memory.
+        kReadMemory,   ///< Copy from main memory to the accelerator.
+        kServe,        ///< Ready for requests.
+        kFinish,       ///< Unloading, with requests still running.
+        kRelease,      ///< Unloading, memory being freed.
+        kNone,         ///< Load failed.
     };
     struct Replica
     {
@@ -65,7 +66,7 @@
         base::ReplicaId baseReplica = 0;
         Megabytes size = 0;
         Step step = Step::kServe;
-        std::optional<base::TimePoint> stepEnds;  ///< Unset while the end depends on others.
+        std::optional<base::TimePoint> stepEnds;  ///< Unset while the step waits for another event.
         FetchId fetch = 0;
     };
 
@@ -91,9 +92,10 @@
     CheckpointCache m_checkpoints;
     std::map<base::ReplicaId, Replica> m_replicas;
     base::Fence m_highestFence = 0;
-    std::optional<engine::OrderAnswer> m_lastAnswer;  ///< To the order with the highest fence.
+    std::optional<engine::OrderAnswer>
+        m_lastAnswer;  ///< Answer to the order with the highest fence.
     FetchId m_lastFetch = 0;
-    double m_slowdown = 1.0;  ///< Factor on the time of steps that begin now.
+    double m_slowdown = 1.0;  ///< Factor on the duration of steps that begin now.
     std::vector<EngineEffect> m_effects;
     std::vector<engine::ReplicaReport> m_closed;
 };
--- a/src/standin/SimulatedClock.h
+++ b/src/standin/SimulatedClock.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Time of a stand-in process: the system's monotonic clock, with durations stretched or shrunk by
-/// one factor.
+/// Time of a stand-in process: the monotonic clock of the system with durations scaled by a
+/// constant factor.
 
 #include <QTimer>
 #include <functional>
@@ -11,7 +11,7 @@
 namespace fernlift::standin
 {
 
-/// Converts between real and simulated time. With factor 0.1 everything is ten times quicker.
+/// Converts between real and simulated time. With factor 0.1 simulated time runs ten times faster.
 class SimulatedClock
 {
 public:
@@ -27,7 +27,7 @@
     base::TimePoint m_start;
 };
 
-/// Calls back at a simulated time; setting a new time replaces the former.
+/// Single-shot timer in simulated time; setting a new time replaces the previous one.
 class SimulatedTimer
 {
 public:
--- a/src/standin/StandinProcess.cpp
+++ b/src/standin/StandinProcess.cpp
@@ -27,13 +27,13 @@
     "Kinds: engine, application, weights, machines.\n"
     "fernlift-standin KIND --help lists the flags of a kind.\n";
 constexpr int kIdleCheckMilliseconds = 20;
-/// How long connections may take to close after the last answer.
+/// Maximum time that connections may take to close after the last answer.
 constexpr base::Duration kCloseLimit = base::seconds (1);
 
 using ServerFactory =
     std::function<base::Result<std::unique_ptr<StandinServer>> (const SimulatedClock&)>;
 
-/// One kind: its settings and how to make its server from them.
+/// A kind of stand-in: its settings and a factory for its server.
 struct Kind
 {
     config::SettingsSchema schema;
@@ -104,7 +104,8 @@
              } };
 }
 
-/// Ends the event loop once the server is idle and the grace time has passed.
+/// Ends the event loop once the server is idle and the grace period has passed; a second signal
+/// ends it at once.
 class PlannedStop
 {
 public:
@@ -152,7 +153,7 @@
     QTimer m_timer;
 };
 
-/// Adds the ledger as one line of JSON, so that it outlives the process.
+/// Appends the ledger to a file as one line of JSON, so that it survives the process.
 base::Result<void> appendLedger (const std::string& path, const std::string& json)
 {
     if (path.empty() || json.empty())
--- a/src/standin/StandinServer.h
+++ b/src/standin/StandinServer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What all stand-in processes have in common.
+/// Common interface and HTTP answers of all stand-in servers.
 
 #include <memory>
 #include <string>
@@ -12,7 +12,7 @@
 namespace fernlift::standin
 {
 
-/// One kind of stand-in behind an HTTP server.
+/// Base class of the request handlers of all kinds of stand-ins.
 class StandinServer
 {
 public:
@@ -23,29 +23,30 @@
 
     virtual void handle (const http::Request& request,
                          const std::shared_ptr<http::Responder>& responder) = 0;
-    /// Begins a planned stop: new work is refused, open work finishes.
+    /// Begins a planned stop: new requests are refused, accepted ones finish.
     virtual void beginStop() {}
     [[nodiscard]] virtual bool isIdle() const { return true; }
-    /// What it has run, as GET /standin/ledger answers; empty for kinds that run no requests.
+    /// Returns the ledger as in GET /standin/ledger; empty for kinds that run no requests.
     [[nodiscard]] virtual std::string ledgerJson() const { return {}; }
 };
 
-/// Name of the header that says whether a request was performed.
+/// Name of the header that states whether a request was run.
 inline constexpr const char* kExecutionHeader = "X-Fernlift-Execution";
-/// Name of the header that says that a runner is leaving.
+/// Name of the header that states that a runner is leaving.
 inline constexpr const char* kLeavingHeader = "X-Fernlift-Leaving";
 
-/// Answers 404 with the error object.
+/// Sends status 404 with an error object.
 void answerNotFound (http::Responder& responder, const std::string& path);
-/// Answers 400 with the error object.
+/// Sends status 400 with an error object.
 void answerInvalid (http::Responder& responder, const std::string& message);
-/// Answers 429 (queue full) or 503 with "not_run"; `isLeaving` adds the header for it.
+/// Sends status 429 (queue full) or 503 with execution "not_run"; `isLeaving` adds the leaving
+/// header.
 void answerRefused (http::Responder& responder, const base::Error& refusal, bool isLeaving);
-/// Answers {"done":true}.
+/// Sends status 200 with {"done":true}.
 void answerDone (http::Responder& responder);
 
-/// Parses a JSON body and passes it to `use`, or answers 400. `use` returns false when the body
-/// asks for something this stand-in does not have, which is answered 400 too.
+/// Parses a JSON body and passes it to `use`, or sends status 400. `use` returns false when the
+/// body names something that this stand-in does not have, which also gives status 400.
 template <class Parse, class Use>
 void withBody (http::Responder& responder, const Parse& parse, const Use& use)
 {
@@ -57,7 +58,7 @@
             if (! parsed)
                 return parsed.error();
             if (! use (parsed.value()))
-                problem = "this stand-in does not know that name";
+                problem = "request names something that this stand-in does not support";
             return {};
         },
         [&] (const base::Error& error) { problem = error.message; });
--- a/src/standin/StandinServerTest.cpp
+++ b/src/standin/StandinServerTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the stand-ins over real sockets, all in one event loop.
+// Tests of the stand-ins over real sockets in one event loop.
 
 #include <gtest/gtest.h>
 
@@ -21,7 +21,7 @@
 constexpr double kTimeScale = 0.02;
 constexpr base::Duration kHangGuard = base::seconds (60);
 
-/// An event loop, a client and any number of stand-ins behind real listeners.
+/// Fixture with an HTTP client and any number of stand-ins behind real listeners.
 class StandinServerTest : public testing::Test
 {
 protected:
@@ -47,7 +47,7 @@
         ASSERT_TRUE (isTrue());
     }
 
-    /// One whole exchange; status 0 when it broke.
+    /// Sends a request and waits for the response; status 0 when the exchange failed.
     http::WholeResponse exchange (http::ClientRequest request)
     {
         std::optional<http::WholeResponse> answer;
@@ -76,7 +76,7 @@
         return exchange (request);
     }
 
-    /// Loads model "m" as replica 1 and waits until it serves.
+    /// Loads model "m" as replica 1 and waits until it is ready.
     void loadModel (const base::SocketAddress& engine)
     {
         const auto report = engine::parseReport (get (engine, "/engine/report").body);
@@ -120,7 +120,7 @@
            + (isStreaming ? "true}" : "false}");
 }
 
-TEST_F (StandinServerTest, AnEngineLoadsThroughTheStoreAndAnswers)
+TEST_F (StandinServerTest, EngineLoadsThroughWeightStoreAndAnswers)
 {
     WeightStoreServer store (WeightStoreOptions{}, m_clock);
     EngineServer server (engineOptions(), m_clock, serve (store));
@@ -139,7 +139,7 @@
     EXPECT_NE (ledger.find ("\"ended\""), std::string::npos);
 }
 
-TEST_F (StandinServerTest, AnEngineBreaksStreamsAndRefusesOnCommand)
+TEST_F (StandinServerTest, EngineInjectsBrokenStreamsAndRefusals)
 {
     EngineServer server (engineOptions(), m_clock, std::nullopt);
     const auto engine = serve (server);
@@ -157,7 +157,7 @@
     EXPECT_EQ (refused.headers.value (kLeavingHeader), "1");
 }
 
-TEST_F (StandinServerTest, ACallerThatLeavesCancelsItsRequest)
+TEST_F (StandinServerTest, CallerDisconnectCancelsItsRequest)
 {
     EngineServer server (engineOptions(), m_clock, std::nullopt);
     const auto engine = serve (server);
@@ -177,7 +177,7 @@
     EXPECT_NE (get (engine, "/standin/ledger").body.find ("\"cancelled\""), std::string::npos);
 }
 
-TEST_F (StandinServerTest, AnApplicationEchoesAndCountsKeys)
+TEST_F (StandinServerTest, ApplicationEchoesRequestsAndCountsKeys)
 {
     ApplicationOptions options;
     options.runner.value = "a1";
@@ -199,7 +199,7 @@
     EXPECT_NE (ledger.find ("\"keys\":{\"k1\":1}"), std::string::npos) << ledger;
 }
 
-TEST_F (StandinServerTest, TheMachineListChangesOnCommand)
+TEST_F (StandinServerTest, MachineListAppliesChanges)
 {
     engine::MachineList list;
     list.machines.resize (1);
--- a/src/standin/StandinSettings.h
+++ b/src/standin/StandinSettings.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Settings of the four kinds of stand-ins.
+/// Command-line settings of the four kinds of stand-ins.
 
 #include <string>
 #include <vector>
@@ -15,19 +15,20 @@
 namespace fernlift::standin
 {
 
-/// Settings that every kind has.
+/// Settings common to all kinds.
 struct CommonSettings
 {
     base::SocketAddress httpAddress{ "127.0.0.1", 0 };
     double timeScale = 1.0;
-    base::Duration stopGrace{};  ///< Least time between a stop signal and the end.
-    std::string ledgerFile;      ///< Gets the ledger as a line at a planned stop; empty: none.
+    base::Duration stopGrace{};  ///< Minimum time between a stop signal and the end.
+    std::string ledgerFile;      ///< File to which a planned stop appends the ledger; empty: none.
     log::Options log;
 
     void declare (config::SettingsSchema& schema);
 };
 
-/// Settings of `engine`. Integers as the schema takes them; see EngineOptions for their meaning.
+/// Settings of `engine`. Integers have the type of the settings schema; EngineOptions describes
+/// them.
 struct EngineSettings
 {
     std::string runner;
@@ -43,7 +44,7 @@
     EngineOptions options;
 
     void declare (config::SettingsSchema& schema);
-    /// The options, with a random incarnation. Fails with kSettingsInvalid.
+    /// Returns the options with a random incarnation; fails with kSettingsInvalid.
     [[nodiscard]] base::Result<EngineOptions> toOptions() const;
 };
 
@@ -73,11 +74,11 @@
     base::Duration lag = base::seconds (1);
 
     void declare (config::SettingsSchema& schema);
-    /// Fails with kSettingsInvalid.
+    /// Parses the machines; fails with kSettingsInvalid.
     [[nodiscard]] base::Result<engine::MachineList> toList() const;
 };
 
-/// A random number below 2^53, drawn anew at each start.
+/// Draws a random incarnation below 2^53, to be called once per start.
 [[nodiscard]] base::Incarnation drawIncarnation();
 
 }  // namespace fernlift::standin
--- a/src/standin/WeightStoreModel.cpp
+++ b/src/standin/WeightStoreModel.cpp
@@ -10,7 +10,7 @@
 {
 
 constexpr double kMicrosecondsPerSecond = 1e6;
-/// Megabytes below which a transfer counts as whole; covers rounding.
+/// Remaining megabytes at which a transfer counts as complete; allows for rounding errors.
 constexpr double kNegligible = 1e-6;
 
 }  // namespace
@@ -38,7 +38,8 @@
 void WeightStoreModel::advance (base::TimePoint now)
 {
     const double elapsed = static_cast<double> ((now - m_now).count());
-    // The speed is constant in between: calls come at each end and before each change.
+    // The speed was constant since the last call, because advance() is called at the end of each
+    // transfer and before each change.
     const double received = elapsed * speed();
     m_now = now;
     m_tokens = std::min (std::max (1.0, m_options.loadsPerSecond),
--- a/src/standin/WeightStoreModel.h
+++ b/src/standin/WeightStoreModel.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The weight store as a pure state machine: a limited rate of new transfers, and a number of
-/// transfers that run at full speed; more than that share it.
+/// The weight store as a state machine without I/O. It limits the rate of new transfers; transfers
+/// beyond a certain number share the total bandwidth.
 
 #include <cstdint>
 #include <map>
@@ -20,7 +20,7 @@
 {
     double loadsPerSecond = 3.0;
     std::uint32_t fullSpeedTransfers = 6;
-    double megabytesPerSecond = 2000;  ///< Of each transfer at full speed.
+    double megabytesPerSecond = 2000;  ///< Full speed of one transfer.
 };
 
 struct WeightStoreFaults
@@ -35,29 +35,29 @@
 public:
     WeightStoreModel (const WeightStoreOptions& options, base::TimePoint now);
 
-    /// Begins a transfer. Empty on success, else the time after which to ask again.
+    /// Begins a transfer. Returns nothing on success, otherwise the time after which to retry.
     std::optional<base::Duration> begin (TransferId transfer, engine::Megabytes size);
     void cancel (TransferId transfer);
     void setFaults (const WeightStoreFaults& faults) { m_faults = faults; }
     [[nodiscard]] const WeightStoreFaults& faults() const { return m_faults; }
 
-    /// Moves time on.
+    /// Advances the transfers to `now`.
     void advance (base::TimePoint now);
-    /// When the next transfer ends if nothing changes; empty when none will.
+    /// Time at which the next transfer ends if nothing changes; none when no transfer will end.
     [[nodiscard]] std::optional<base::TimePoint> nextEvent() const;
-    /// Transfers that ended since the last call.
+    /// Returns the transfers that ended since the last call.
     [[nodiscard]] std::vector<TransferId> takeFinished();
     [[nodiscard]] std::size_t transfers() const { return m_remaining.size(); }
 
 private:
-    /// Megabytes each transfer receives in a microsecond.
+    /// Speed of each transfer in megabytes per microsecond.
     [[nodiscard]] double speed() const;
 
     WeightStoreOptions m_options;
     WeightStoreFaults m_faults;
     base::TimePoint m_now;
-    double m_tokens;                           ///< Transfers that may begin now.
-    std::map<TransferId, double> m_remaining;  ///< Megabytes.
+    double m_tokens;                           ///< Number of transfers that may begin now.
+    std::map<TransferId, double> m_remaining;  ///< Megabytes left of each transfer.
     std::vector<TransferId> m_finished;
 };
 
--- a/src/standin/WeightStoreServer.cpp
+++ b/src/standin/WeightStoreServer.cpp
@@ -39,7 +39,7 @@
 
 WeightStoreServer::WeightStoreServer (const WeightStoreOptions& options,
                                       const SimulatedClock& clock)
-    : m_clock (clock), m_model (options, clock.now()), m_timer (clock, [this] { settle(); })
+    : m_clock (clock), m_model (options, clock.now()), m_timer (clock, [this] { advanceModel(); })
 {
 }
 
@@ -67,7 +67,7 @@
     {
         answerNotFound (*responder, request.path);
     }
-    settle();
+    advanceModel();
 }
 
 void WeightStoreServer::handleFetch (const http::Request& request,
@@ -106,7 +106,7 @@
                 return;
             m_model.advance (m_clock.now());
             m_model.cancel (transfer);
-            settle();
+            advanceModel();
         });
 }
 
@@ -126,7 +126,7 @@
         });
 }
 
-void WeightStoreServer::settle()
+void WeightStoreServer::advanceModel()
 {
     m_model.advance (m_clock.now());
     for (const TransferId transfer : m_model.takeFinished())
--- a/src/standin/WeightStoreServer.h
+++ b/src/standin/WeightStoreServer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// HTTP side of the stand-in weight store.
+/// HTTP interface of the stand-in weight store.
 
 #include <map>
 
@@ -24,7 +24,7 @@
                       const std::shared_ptr<http::Responder>& responder);
     void begin (engine::Megabytes size, const std::shared_ptr<http::Responder>& responder);
     void handleFault (const http::Request& request, http::Responder& responder);
-    void settle();
+    void advanceModel();
 
     const SimulatedClock& m_clock;
     WeightStoreModel m_model;
