--- a/src/sim/CallerRequest.h
+++ b/src/sim/CallerRequest.h
@@ -23,9 +23,8 @@
     int repetition = 0;  ///< Number of earlier requests with the same idempotency key.
 
     // Outcome.
-    std::size_t router = 0;  ///< Index of the receiving router.
-    std::uint64_t routerRunNumber =
-        0;  ///< Run number of the router process at the time of sending.
+    std::size_t router = 0;             ///< Index of the receiving router.
+    std::uint64_t routerRunNumber = 0;  ///< Router's run number when sent.
     bool hasReachedRouter = false;
     bool isFirstAttemptMade = false;
     bool hasCallerDisconnected = false;
--- a/src/sim/Callers.cpp
+++ b/src/sim/Callers.cpp
@@ -84,7 +84,7 @@
 {
     const auto& targets = simulatedTargets();
     const bool isApplication = m_world.random.chance (kApplicationShare);
-    // The product of two uniform numbers favours the first targets of the list.
+    // The product of two uniform numbers makes a few models popular and most of them rare.
     const double skewed = m_world.random.uniformReal() * m_world.random.uniformReal();
     const auto models = static_cast<double> (targets.size() - 2);
     const std::size_t number = isApplication
--- a/src/sim/ConsensusChecker.h
+++ b/src/sim/ConsensusChecker.h
@@ -2,8 +2,8 @@
 
 /// Checks invariants of consensus: the committed log is equal at all members, each term has at most
 /// one leader, at most one leader's lease exists at a time, and a replaced leader grants no leases
-/// and sends no orders or tables. Applies the committed log to a state machine of its own, which
-/// the other checkers use as reference.
+/// and sends no orders, configurations or replica tables. Applies the committed log to a state
+/// machine of its own, which the other checkers use as reference.
 
 #include <map>
 #include <optional>
--- a/src/sim/LeavingChecker.h
+++ b/src/sim/LeavingChecker.h
@@ -40,8 +40,7 @@
     void onLeavingReport (ControllerNode& controller, const RunnerIncarnation& runner);
 
     World& m_world;
-    std::set<RunnerIncarnation>
-        m_awaitingCommit;  ///< Reported to a leader; the commit is being checked.
+    std::set<RunnerIncarnation> m_awaitingCommit;  ///< Reported to a leader.
     std::map<RunnerIncarnation, base::TimePoint> m_committedAt;
     std::set<std::tuple<std::string, std::uint64_t, RunnerIncarnation>> m_reportedByRouter;
 };
--- a/src/sim/Network.h
+++ b/src/sim/Network.h
@@ -23,8 +23,7 @@
 {
     double loss = 0;
     double duplication = 0;
-    base::Duration
-        extraDelay{};  ///< Maximum; a random delay is drawn for each datagram and segment.
+    base::Duration extraDelay{};  ///< Maximum; drawn for each datagram or segment.
 };
 
 class Network;
@@ -47,7 +46,8 @@
     /// Sends a segment; `action` runs at the other end when it arrives.
     void send (Side from, Action action);
     /// Closes the connection from one side; the end handler of the other side runs when the close
-    /// arrives there. Segments held back by a cut link are discarded, or delivered before it.
+    /// arrives there. Segments held back by a cut link are discarded if `discardsUnsent` is
+    /// set, otherwise delivered before it.
     void close (Side from, bool discardsUnsent);
     /// Resets the connection: segments in flight are lost, and both sides are notified.
     void reset();
--- a/src/sim/SimulationOptions.h
+++ b/src/sim/SimulationOptions.h
@@ -50,7 +50,7 @@
     kControllerFrozen,
     kControllerStopped,  ///< Planned stop and restart.
     kAllControllersKilled,
-    kLeaderCutOff,        ///< Traffic dropped in both directions, except with operators.
+    kLeaderCutOff,        ///< Silently, in both directions, but never from its operators.
     kLeaderAndMemberCut,  ///< Link between the leader and one member cut.
     kOneWayCut,
     kPartition,
@@ -97,8 +97,7 @@
     base::Duration faultPeriod = base::seconds (20);  ///< Time during which faults are injected.
     base::Duration recovery = base::seconds (25);     ///< Time from the last fault to the end.
     base::Duration meanFaultInterval = base::milliseconds (450);
-    base::Duration meanRequestInterval =
-        base::milliseconds (600);  ///< Mean interval at each router.
+    base::Duration meanRequestInterval = base::milliseconds (600);  ///< Per router.
     std::size_t traceLines = 400;
 };
 
--- a/src/sim/Violations.h
+++ b/src/sim/Violations.h
@@ -29,7 +29,7 @@
     [[nodiscard]] bool isEmpty() const { return m_list.empty(); }
 
 private:
-    /// Later violations are dropped, as they usually follow from the first ones.
+    /// Violations beyond this number are not listed, as the run counts as one failure anyway.
     static constexpr std::size_t kMaximumKept = 20;
 
     const EventQueue& m_queue;
