--- a/src/sim/SimProgram.cpp
+++ b/src/sim/SimProgram.cpp
@@ -105,7 +105,8 @@
     return report.failures.empty() ? 0 : kViolated;
 }
 
-/// Sweeps once for each planted fault until it is found, and prints what found it.
+/// Runs a sweep for each planted fault until an invariant is violated. Prints the number of seeds
+/// needed and the violated invariant.
 int findPlantedFaults (const Arguments& arguments)
 {
     bool isEachFound = true;
--- a/src/sim/SimulationOptions.cpp
+++ b/src/sim/SimulationOptions.cpp
@@ -74,8 +74,8 @@
         for (std::size_t number = 1; number < kPlantedFaultNames.size(); ++number)
         {
             const auto fault = static_cast<PlantedFault> (number);
-            // Not found by sweeps so far (see docs/design/simulation.md); src/cell has a test for
-            // it.
+            // Sweeps have not found this fault so far; a test in src/cell covers it (see
+            // docs/design/simulation.md).
             if (fault == PlantedFault::kMemoryCountedWhenReady)
                 continue;
             all.push_back (fault);
