--- a/src/base/DeadPeerDetection.h
+++ b/src/base/DeadPeerDetection.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
- * Detects TCP connections whose peer is gone without a reset, because its machine failed or a
- * device on the path dropped the connection's state.
+ * Detects TCP connections whose peer has disappeared without a reset, because its machine failed or
+ * a device on the path dropped the connection's state.
  *
  * Without this detection, a connection that is idle or waits for a response stays open for hours.
- * The owner of the socket sees a dead connection end like one that was reset.
+ * A connection that is detected as dead ends for the owner of its socket like one that was reset.
  */
 
 #include "base/Time.h"
--- a/src/base/Digest.h
+++ b/src/base/Digest.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// Digests of bytes: a cryptographic hash that identifies contents, a checksum that detects damage,
-/// and a stable hash for selection.
+/// and a hash by which all processes and versions make the same selection.
 
 #include <cstdint>
 #include <string>
--- a/src/cell/ReleasedMessagesTestSupport.h
+++ b/src/cell/ReleasedMessagesTestSupport.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Test support: one sample of each message and command that the last release knows. Each list has
-/// an element, so that the layout of the elements is checked, too.
+/// Test support: one sample of each message and command of the last release. Each list in a sample
+/// has an element, so that the layout of the elements is checked, too.
 
 #include <string>
 #include <utility>
--- a/src/cell/RouterMessages.h
+++ b/src/cell/RouterMessages.h
@@ -424,8 +424,9 @@
     }
 };
 
-/// Sent only after the claims are committed. Without a reply, their outcome is unknown: the router
-/// then treats each claim as its own, sends none of the requests, and reports kNotRun.
+/// Sent only after the claims are committed. Without a reply, the router cannot determine whether
+/// they were committed: it sends none of the requests and reports kNotRun for each claim, as if it
+/// held them all.
 struct ClaimReply
 {
     std::uint64_t sequence = 0;
--- a/src/config/CatalogueLimits.h
+++ b/src/config/CatalogueLimits.h
@@ -28,7 +28,8 @@
 constexpr double kMinLoadsPerSecond = 0.001;
 constexpr double kMaxLoadsPerSecond = 10'000;
 constexpr std::int64_t kMaxConcurrentLoads = 10'000;
-/// Maximum number of problems reported for one file; one more entry says that others were omitted.
+/// Maximum number of problems reported for one file; one more entry states that others were
+/// omitted.
 constexpr std::size_t kMaxProblems = 1000;
 
 }  // namespace fernlift::config
--- a/src/dispatch/RetryBudget.h
+++ b/src/dispatch/RetryBudget.h
@@ -14,9 +14,10 @@
     /// Allows `share` retries per first attempt, and `reserve` retries before any first attempt.
     explicit RetryBudget (double share, double reserve = 10);
 
-    /// Bounds the retries that may accumulate to `reserve`, however many first attempts there were.
-    /// Within any period the number of retries is then at most `share` of the first attempts in it
-    /// plus the reserve. Budgets that each have a part of one reserve stay within it together.
+    /// Sets the maximum number of unused retries to `reserve`, however many first attempts there
+    /// were. The number of retries within any period is then at most `share` of the first attempts
+    /// in that period plus `reserve`. When one reserve is divided among several budgets, the sum of
+    /// their retries stays within that reserve.
     void limitReserve (double reserve);
 
     void onFirstAttempt();
@@ -24,8 +25,8 @@
     [[nodiscard]] bool allowsRetry() const { return m_balance >= 1; }
     /// Takes one retry from the budget; false if the budget is spent.
     bool tryRetry();
-    /// Takes one retry from the budget, down to an empty budget. For retries that are made whether
-    /// or not the budget allows them.
+    /// Takes one retry from the budget; an empty budget stays empty. For retries that are made
+    /// whether or not the budget allows them.
     void chargeRetry();
 
 private:
@@ -34,9 +35,9 @@
     double m_balance;
 };
 
-/// Part of a reserve of retries for the sharer called `name`. In large cells the equal part is
-/// below one retry, which would allow none; whole retries are then assigned to some of the sharers
-/// by a hash of their names.
+/// Part that the sharer called `name` has of a common reserve of retries. In large cells an equal
+/// part is less than one retry and would allow none; each sharer then has one retry or none,
+/// depending on a hash of its name.
 [[nodiscard]] double partOfReserve (double reserve, std::uint32_t sharers, std::string_view name);
 
 }  // namespace fernlift::dispatch
--- a/src/router/RouterModelTest.cpp
+++ b/src/router/RouterModelTest.cpp
@@ -73,7 +73,7 @@
     EXPECT_FALSE (violation) << *violation;
 }
 
-/// A planted fault and part of the text of the invariant whose check must detect it.
+/// A planted fault, and part of the violation text by which the checks must report it.
 struct FaultCase
 {
     PlantedFault fault;
