--- a/src/proxy/EngineDemands.h
+++ b/src/proxy/EngineDemands.h
@@ -37,7 +37,7 @@
     void onWaiting (const EngineTarget& target);
     void onWaitEnd (const EngineTarget& target);
     /// Called when a request was refused at once because no runner could take it in time. The next
-    /// report counts it as waiting, since placement would not see the demand otherwise.
+    /// report counts it as waiting, since its demand would not reach placement otherwise.
     void onRefusedAtOnce (const EngineTarget& target);
     void onRunning (const EngineTarget& target);
     /// Called when the prefill ended or the attempt failed before that.
--- a/src/proxy/ExchangeTest.cpp
+++ b/src/proxy/ExchangeTest.cpp
@@ -152,13 +152,13 @@
     ASSERT_TRUE (runner.waitForRequest());
 }
 
-// Guards against a suspect request that crashes a runner beyond the limit. Another router had seen
-// the third crash, but without a leader this router was not notified of it. It found the isolation
-// runner gone, sent the request to the next runner and crashed that one too.
+// Guards against a suspect request that crashes a runner beyond the limit. Another router had
+// detected the third crash, but without a leader this router was not notified of it. This router
+// found the isolation runner gone and sent the request to the next runner, which crashed too.
 class ExchangeOfSuspectTest : public ExchangeTest
 {
 protected:
-    /// Two runners crashed under the request; the third one, its isolation runner, is gone.
+    /// Two runners crashed under the request. Its isolation runner refuses connections.
     void SetUp() override
     {
         proxy.addRunner ("i-1", runner);
--- a/src/proxy/InstanceDirectory.cpp
+++ b/src/proxy/InstanceDirectory.cpp
@@ -286,7 +286,8 @@
     View& view = m_views[row.instance.id];
     dropFromIndex (view);
     resetIfRestarted (view, row);
-    // A new leader does not know the models of a runner before its first report.
+    // A new leader sends the row of a runner without models until the runner has reported to it.
+    // The models of the previous row stay in effect until then.
     std::vector<cell::HeldModel> known = std::move (view.row.instance.models);
     view.row = row;
     view.address =
@@ -298,8 +299,8 @@
         return;
     }
     addToIndex (view);
-    // A missing model is trusted again only when the runner newly reports it. Other changes of the
-    // row do not outweigh the runner's answer that it does not hold the model.
+    // After a runner has answered that it does not hold a model, a changed row overrides that
+    // answer only if it lists the model and the previous row did not.
     std::erase_if (
         view.notHeldUntil, [&] (const auto& entry)
         { return isListed (row.instance.models, entry.first) && ! isListed (known, entry.first); });
@@ -431,9 +432,9 @@
 {
     InstanceChoice choice;
     choice.reason = NoRunnerReason::kNotLoaded;
-    // Runners that may have failed come last. Otherwise, requests of a crashed runner could be sent
-    // by their key alone to another silent runner of the same rack and wait for a second runner in
-    // vain.
+    // Runners that may have failed rank last. Otherwise the key alone could select another failed
+    // runner, such as one in the rack of the crashed runner, and the request would wait for a
+    // failed runner a second time.
     std::pair<int, double> best;
     RateCapacity capacity;
     for (const auto& [id, view] : viewsFor (query.service, query.model))
@@ -561,8 +562,8 @@
         return rateLimited (*later);
     if (candidates.empty())
         return { reasonWithout (query, now) };
-    // Without loads of other routers, each router knows only its own load, so two routers never
-    // share the same view.
+    // Without the loads of other routers, the view of each router contains only its own load, so
+    // the views of two routers differ anyway.
     const bool spreads = query.draw && hasLoadsOfOthers (now);
     const Candidate& lowest = *std::ranges::min_element (candidates, {}, &Candidate::milliseconds);
     const Candidate& chosen = spreads ? pickAmongBest (candidates, lowest, *query.draw) : lowest;
--- a/src/proxy/InstanceLoadReporter.cpp
+++ b/src/proxy/InstanceLoadReporter.cpp
@@ -15,7 +15,7 @@
 /// Bounds a controller to 330 reports per second, which take 10 ms of its time at 30 us each.
 constexpr base::Duration kReportIntervalPerRouter = base::milliseconds (3);
 /// Slowdowns change within some tenths of a second, so gaps observed later than this after the
-/// statement say nothing about the speed of the runner.
+/// statement are no measure of the runner's speed.
 constexpr base::Duration kSlowdownLifetime = base::milliseconds (400);
 
 }  // namespace
--- a/src/proxy/ProxyProcess.cpp
+++ b/src/proxy/ProxyProcess.cpp
@@ -21,8 +21,8 @@
 /// answered. A refusal reaches its caller within some milliseconds; a request that ends with the
 /// process gets no answer.
 constexpr base::Duration kAnswerBeforeStop = base::milliseconds (300);
-/// Part of the cell's retry reserve that its routers use. The rest covers changes in the number of
-/// routers, which they learn at different times.
+/// Part of the cell's retry reserve that its routers use. The rest is a margin for changes in the
+/// number of routers, which reach the routers at different times.
 constexpr double kUsedReserveShare = 0.8;
 
 std::vector<base::SocketAddress> peersOf (const ProxySettings& settings)
--- a/src/proxy/ProxyProcess.h
+++ b/src/proxy/ProxyProcess.h
@@ -85,7 +85,7 @@
     void applyRates (const cell::ControllerToRouter& message);
     /// Reports the rates stated by runners to the controller and requests permits.
     void reportRates();
-    /// Reports runners that crashed under requests to the controller, if it does not know of them.
+    /// Reports to the controller the runner crashes that the cell's table does not contain yet.
     void reportSuspects();
     void onRunnerChecked (const std::string& instance, RunnerProbeResult probeResult);
     void onTick();
--- a/src/proxy/ProxyServer.h
+++ b/src/proxy/ProxyServer.h
@@ -55,8 +55,8 @@
     static void refuseStopping (CallerConnection& connection);
     /// Calls `visit` for each open exchange. `visit` may end exchanges.
     void visitExchanges (const std::function<void (Exchange& exchange)>& visit);
-    /// Destroys ended exchanges and closed connections from the event loop, outside of their own
-    /// calls.
+    /// Destroys ended exchanges and closed connections from the event loop, when none of their
+    /// functions is on the call stack.
     void scheduleSweep();
 
     ProxyContext& m_context;
--- a/src/proxy/ReadinessServer.cpp
+++ b/src/proxy/ReadinessServer.cpp
@@ -28,7 +28,7 @@
         const auto found = m_connections.find (&connection);
         if (found == m_connections.end())
             return;
-        // Deferred because the connection may be in a call of its own.
+        // Deferred because functions of the connection may still be on the call stack.
         QTimer::singleShot (0, &m_server, [closed = std::move (found->second)] {});
         m_connections.erase (found);
     };
--- a/src/proxy/RunnerProbes.cpp
+++ b/src/proxy/RunnerProbes.cpp
@@ -59,7 +59,7 @@
     const auto found = m_open.find (instance);
     if (found == m_open.end())
         return;
-    // The probe is in a call of its own, so it is destroyed from the event loop.
+    // The probe is still on the call stack, so it is destroyed from the event loop.
     const std::shared_ptr<Probe> ended = std::move (found->second);
     m_open.erase (found);
     QTimer::singleShot (0, [ended] {});
--- a/src/proxy/RunnerRates.cpp
+++ b/src/proxy/RunnerRates.cpp
@@ -20,8 +20,8 @@
 constexpr base::Duration kRetryDelay = base::milliseconds (100);
 /// Wait after a refusal that states no time.
 constexpr base::Duration kMinWait = base::milliseconds (5);
-/// The leader needs regular reports that a runner still states a rate, to tell newer answers from
-/// reordered ones, but not one report per answer.
+/// The leader needs regular reports that a runner still states a rate, to distinguish newer answers
+/// from reordered ones, but not one report per answer.
 constexpr base::Duration kReportInterval = base::milliseconds (500);
 /// A limit that the leader has not added to its table within this time is dropped, because the
 /// runner has left the table of instances.
--- a/src/proxy/SharedLoadsTest.cpp
+++ b/src/proxy/SharedLoadsTest.cpp
@@ -291,7 +291,7 @@
 */
 struct Scenario
 {
-    bool sharesLoads = true;  ///< Otherwise each router knows only its own requests.
+    bool sharesLoads = true;  ///< Otherwise each router counts only its own requests.
     bool spreads = true;      ///< Otherwise each router takes the best runner in its view.
     double perSecond = 75;
     std::size_t cutOffRouters = 0;  ///< Routers that neither send nor receive reports.
--- a/src/quarantine/SuspectRequests.cpp
+++ b/src/quarantine/SuspectRequests.cpp
@@ -203,7 +203,7 @@
     m_rows.erase (digest);
     m_clearances.erase (digest);
     m_goneIsolationRunners.erase (digest);
-    // Crashes that were reported go too: the cell has dropped the request since.
+    // Crashes that were reported are dropped as well, since the cell has removed the request.
     std::erase_if (m_ownCrashes,
                    [&] (const OwnCrash& crash)
                    {
