--- a/src/controller/CellFormation.cpp
+++ b/src/controller/CellFormation.cpp
@@ -9,7 +9,8 @@
 {
 
 constexpr std::uint64_t kPortBits = 16;
-/// Drawn identities are above all that follow from an address and within the range of the setting.
+/// Drawn identities are greater than every identity derived from an address, and within the range
+/// of the setting.
 constexpr std::uint64_t kDrawnIdBase = 1ULL << 49U;
 constexpr std::uint64_t kDrawnIdRange = 1ULL << 49U;
 
--- a/src/controller/CellFormation.h
+++ b/src/controller/CellFormation.h
@@ -26,9 +26,10 @@
 [[nodiscard]] std::vector<base::SocketAddress> seedPeers (const ControllerSettings& settings);
 
 /// Fills in id, members and kind of start of a controller whose cell forms itself from seeds. A
-/// folder with an identity keeps it. With an empty folder, a seed at the first start of the cell
-/// founds it; every other controller draws a new identity with `randomId` and joins. This holds
-/// also at the address of an earlier member, since the record of its votes was lost with its disk.
+/// folder with an identity keeps it. With an empty folder, a seed founds the cell at the first
+/// start of the cell; every other controller draws a new identity with `randomId` and joins. It
+/// does so even at the address of an earlier member, since the record of that member's votes was
+/// lost with its disk.
 [[nodiscard]] ControllerSettings withIdentity (const ControllerSettings& settings,
                                                const storage::Recovered& recovered,
                                                std::uint64_t randomId);
--- a/src/controller/ControlRequests.h
+++ b/src/controller/ControlRequests.h
@@ -29,7 +29,7 @@
     std::vector<std::string> onDisk;    ///< Models that it can load from its own disk.
 };
 
-/// Message of a runner that ends.
+/// Message by which a runner deregisters when it ends.
 struct InstanceDeregistration
 {
     std::string instance;
--- a/src/controller/ControllerCore.cpp
+++ b/src/controller/ControllerCore.cpp
@@ -166,9 +166,10 @@
     sendToUnknownMember (message);
 }
 
-/// A member that missed a membership change may not know the leader that the change added, and must
-/// answer it to catch up. The leader may use the address of the member that it replaced, so the
-/// message goes to all known addresses; the other members drop what is not addressed to them.
+/// A member that missed a membership change must answer the leader to catch up, but if the change
+/// added that leader, it does not have the leader's address. The leader may use the address of the
+/// member that it replaced, so the message is sent to all known addresses; the other members drop
+/// messages that are not addressed to them.
 void ControllerCore::Implementation::sendToUnknownMember (const consensus::Message& message)
 {
     std::set<std::string> addresses;
@@ -231,7 +232,8 @@
         endLeadership();
     if (! m_leader && isLeader && holdsLease())
         beginLeadership();
-    // The address of a new leader is announced only once the leader may answer.
+    // A member that becomes leader announces itself only once its leadership has begun, since it
+    // must not answer before it holds its lease.
     const bool mayBeAnnounced = ! isLeader || m_leader.has_value();
     if (! isLeaderChanged || ! mayBeAnnounced)
         return;
--- a/src/controller/ControllerCore.h
+++ b/src/controller/ControllerCore.h
@@ -63,7 +63,7 @@
     /// Whether models of which no registered engine has a copy are loaded before they are
     /// requested.
     bool fetchesAhead = true;
-    /// Time without heartbeats after which routers are sent a registered runner as silent.
+    /// Time without heartbeats after which a registered runner is shown as silent to routers.
     base::Duration instanceSilence = base::milliseconds (3500);
     /// Clock that measures work limited to a share of the processor time. Without one, the work is
     /// throttled as if it took no time.
--- a/src/controller/ControllerEngines.cpp
+++ b/src/controller/ControllerEngines.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/// Time after its decision within which an order is sent, or else dropped. A new leader adds it to
-/// the time it waits before it sends orders.
+/// Maximum time between the decision on an order and its sending; later orders are dropped. A new
+/// leader adds this time to its wait before it sends orders.
 constexpr base::Duration kMaxOrderDelay = base::milliseconds (400);
 
 constexpr std::size_t kUnknownStoreLoads = 8;
@@ -212,7 +212,8 @@
         }
         else
         {
-            // The order was not sent; a report will state the sequence before the next one.
+            // The order was not sent. It is recorded as refused by a busy engine, so that the
+            // engine is polled for its sequence before its next order.
             m_leader->engines.onOrderAnswer (order.order, engine::OrderOutcome::kBusy, m_now);
         }
     }
--- a/src/controller/ControllerImplementation.h
+++ b/src/controller/ControllerImplementation.h
@@ -272,9 +272,9 @@
     ConfigurationRollout rollout;
     std::vector<PendingConfiguration> pendingConfigurations;
     std::map<LeavingInstance, PendingLeave> pendingLeaves;
-    /// First version of the instance table without the instances whose leaving is or will be
-    /// acknowledged. It is a version of this leader, so that a table of an earlier leader does not
-    /// satisfy it.
+    /// First version of the instance table that reflects every drain and removal of an instance
+    /// that has been or will be acknowledged. It is a version of this leader, so that a table of an
+    /// earlier leader does not satisfy it.
     std::uint64_t requiredInstanceVersion = 0;
     ThrottledWork instanceTable;  ///< Changes of the instances may have to be sent to routers.
     ThrottledWork wholeTable;     ///< Some routers need the whole instance table.
--- a/src/controller/ControllerInstances.cpp
+++ b/src/controller/ControllerInstances.cpp
@@ -19,7 +19,7 @@
 constexpr base::Duration kRemovalInterval = base::seconds (1);
 /// Rate of heartbeats up to which the leader keeps the runners that send to it; above it, runners
 /// are sent to other controllers. A heartbeat takes about 0.1 ms of processor time, and runners
-/// whose controller had no leader for a while all turn to the leader: a third of 3,000 did.
+/// whose controller had no leader for a while all connect to the leader: a third of 3,000 did.
 constexpr double kMaxHeartbeatsPerSecond = 40;
 constexpr base::Duration kHeartbeatRateWindow = base::seconds (2);
 /// Minimum interval between changes of the table, for each router that receives them.
@@ -87,8 +87,8 @@
     }
     else if (heartbeat.instance.isDraining)
     {
-        // The drain is already known, perhaps from an earlier leader, but routers may not have it
-        // yet.
+        // The drain is already committed, perhaps by an earlier leader, but routers may not have
+        // received it yet.
         awaitLeaveConfirmation (ticket, leaving);
     }
     else
--- a/src/controller/ControllerProcess.cpp
+++ b/src/controller/ControllerProcess.cpp
@@ -17,8 +17,9 @@
 {
 
 constexpr base::milliseconds kTickInterval (10);
-/// Longest time between ticks. Timers fire late in an event loop with hundreds of ready sockets;
-/// after this time an input ticks too, so that heartbeats to the other members are sent in time.
+/// An input that arrives later than this after the last tick is preceded by a tick. Timers fire
+/// late in an event loop with hundreds of ready sockets, and heartbeats to the other members must
+/// be sent in time.
 constexpr base::Duration kMaxTickPause = base::milliseconds (30);
 constexpr base::Duration kLeaderlessTimeBeforeJoinRequest = base::seconds (2);
 constexpr base::Duration kEngineCallTimeout = base::milliseconds (300);
--- a/src/controller/ControllerQuarantine.cpp
+++ b/src/controller/ControllerQuarantine.cpp
@@ -19,11 +19,11 @@
 /// requests of one runner, are sent together.
 constexpr base::Duration kSuspectInterval = base::milliseconds (10);
 /// Time after which routers are notified of a crash that is not committed yet. A commit takes about
-/// 20 ms, but as long as the disks when these are slow: 0.85 s beside a busy disk, in which two
+/// 20 ms, but longer when the disks are slow: with a busy disk it took 0.85 s, during which two
 /// more runners crashed.
 constexpr base::Duration kAnnouncementDelay = base::milliseconds (30);
 /// A crash that was not applied within this time will not be applied: the router reports it again
-/// unless it has given up.
+/// or has dropped it.
 constexpr base::Duration kUnappliedCrashLifetime = base::seconds (5);
 /// Interval of the search for expired suspects, whose lifetime is minutes.
 constexpr base::Duration kExpiryInterval = base::seconds (10);
@@ -45,7 +45,7 @@
     {
         const cell::Suspect* known = table.find (crash.request.digest);
         const bool isNew = known == nullptr || ! known->contains (crash.instance);
-        // The end of a runner that was leaving is no crash.
+        // A runner that ended while it was leaving did not crash.
         if (! isNew || isLeaving (crash.instance))
             continue;
         m_leader->unappliedCrashes.push_back ({ crash, m_now, false });
--- a/src/controller/InstanceRateLedger.h
+++ b/src/controller/InstanceRateLedger.h
@@ -23,9 +23,8 @@
 namespace fernlift::controller
 {
 
-/** A router sends a request within this time after it requested the permit, or not under that
-   permit. A grant takes about 5 ms through two controllers; a busy router is delayed by about 50
-   ms.
+/** Time for which a permit is valid after the router requested it. A grant takes about 5 ms through
+   two controllers; a busy router is delayed by about 50 ms.
 */
 constexpr base::Duration kPermitLifetime = base::milliseconds (200);
 
--- a/src/controller/InstanceTable.h
+++ b/src/controller/InstanceTable.h
@@ -107,7 +107,8 @@
         base::TimePoint unreachableAt{};
         std::uint64_t sequence = 0;
         bool isReported = false;
-        bool isPlaced = false;  ///< Set by setModels(), which is more accurate.
+        bool isPlaced = false;  ///< Whether `models` was set by setModels(), which is
+                                ///< more accurate than heartbeats.
         std::vector<cell::HeldModel> models;
     };
 
--- a/src/controller/MemberAdmission.cpp
+++ b/src/controller/MemberAdmission.cpp
@@ -32,7 +32,7 @@
     return changed;
 }
 
-/// Liveness of the members as the leader sees it.
+/// Liveness of the members according to their replies to the leader.
 class Liveness
 {
 public:
--- a/src/controller/MemberAdmission.h
+++ b/src/controller/MemberAdmission.h
@@ -25,10 +25,9 @@
 
     /// The member set to propose next; nothing when no change is due. `status` is the leader's.
     ///  - A caught-up learner becomes a voter.
-    ///  - A silent voter is removed when an alive voter has its address (its disk was lost), or
-    ///  when
-    ///    there are more voters than the target size: one of them is its successor. The voter that
-    ///    has been silent longest is removed first.
+    ///  - A silent voter is removed when an alive voter has its address, since its disk was lost.
+    ///  - A silent voter is removed when there are more voters than the target size, since one of
+    ///    them is its successor. The voter that has been silent longest is removed first.
     ///  - A silent learner is removed.
     ///  - A controller that requested to join becomes a learner.
     [[nodiscard]] std::optional<consensus::MemberSet> nextChange (
--- a/src/controller/OrderQueue.h
+++ b/src/controller/OrderQueue.h
@@ -40,8 +40,8 @@
                                                      base::TimePoint now);
     /// Records the final answer of a runner; the order is not sent again.
     void onAnswered (const base::RunnerId& runner, base::Fence fence);
-    /// Schedules the order to be sent again after a delay: it was not answered, or the runner asked
-    /// for a retry.
+    /// Schedules the order to be sent again after a delay: it was not answered, or the runner
+    /// requested a retry.
     void onFailed (const base::RunnerId& runner, base::Fence fence, base::TimePoint now);
     /// Returns the runners with an order that is not answered yet or waits to be sent again.
     [[nodiscard]] std::vector<base::RunnerId> waitingRunners() const;
--- a/src/placement/EngineNeeds.cpp
+++ b/src/placement/EngineNeeds.cpp
@@ -105,8 +105,8 @@
     const ReplicaTargets targets = replicaTargets (view, spec->second.spec());
     if (supply < targets.needed)
     {
-        // Number of engines busy with prefill for the model, beyond the share its holders may
-        // spend.
+        // Prefill work for the model as a number of fully occupied engines, less the part that its
+        // holders may do within kMaxPrefillShare of their time.
         const double prefillingEngines = demand.tokensPerSecond / kPrefillTokensPerSecond
                                          - kMaxPrefillShare * static_cast<double> (supply);
         const double excess = view.holders() == 0 ? 0 : view.requests() - view.capacity;
--- a/src/placement/EnginePlacement.cpp
+++ b/src/placement/EnginePlacement.cpp
@@ -141,7 +141,7 @@
 {
     if (m_index.update (engine))
     {
-        // Models with copies only need a view, too.
+        // Models of which the engine only has copies need a view as well.
         for (const std::string& model : engine.indexed.copies)
             viewFor (engine.service, model);
     }
@@ -449,7 +449,8 @@
     Engine& engine = found->second;
     endPoll (engine);
     engine.pollAt = now + kPollInterval;
-    // The plan was made before the engine was known to answer; another engine may take it over.
+    // The engine was chosen while its sequence was unknown, and does not answer. Dropping the plan
+    // allows another engine to load the model.
     if (! engine.sequence && ! engine.reservedFor.empty())
         dropPlan (engine);
 }
--- a/src/placement/Needs.cpp
+++ b/src/placement/Needs.cpp
@@ -45,7 +45,8 @@
            + " running with " + std::to_string (present) + " usable replicas";
 }
 
-/// Urgency of a need; never more urgent than what protects a replica of the target once loaded.
+/// Urgency of a need. Never more urgent than the urgency that protects a loaded replica of the
+/// target from eviction.
 int urgencyOf (const Plan& plan, const Target& target, const TargetDemand& demand)
 {
     return demand.waiting > 0 ? demand.mostUrgent : plan.urgencyOf (target.name());
--- a/src/placement/StoreConcurrency.cpp
+++ b/src/placement/StoreConcurrency.cpp
@@ -38,8 +38,8 @@
         return;
     if (taken <= kSlowFactor * base::toSeconds (nominal))
     {
-        // Before the first slow load, one for each load, which doubles the limit with each full
-        // round; afterwards one for each full round.
+        // Before the first slow load, the limit grows by one for each load and thus doubles with
+        // each full round; afterwards it grows by one for each full round.
         if (load.sawLimitReached)
             m_limit += m_hasSlowed ? 1 / m_limit : 1;
         return;
--- a/src/placement/StoreConcurrency.h
+++ b/src/placement/StoreConcurrency.h
@@ -6,8 +6,8 @@
  * Above some number of concurrent loads the bandwidth of the store is shared: all loads end later
  * and none sooner. This number is not configured anywhere and may change, so it is estimated from
  * the durations of the loads. A load that takes its nominal time while the limit was reached shows
- * that the store has capacity for another one. From a longer duration and the number of concurrent
- * loads follows how many loads the store serves at full speed.
+ * that the store has capacity for another one. A longer duration, together with the number of
+ * concurrent loads, gives the number of loads that the store serves at full speed.
  *
  * The rate at which loads may begin is a separate limit, enforced by EnginePlacement.
  */
