--- a/src/controller/ConfigurationRollout.h
+++ b/src/controller/ConfigurationRollout.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /**
- * Rollout of configurations from the commit to the routers, as one leader sees it.
+ * Rollout of configurations from the commit to the routers, as recorded by one leader.
  *
  * A configuration is committed, sent to every router, and confirmed once no router may serve under
  * an earlier one. This class records the time of each step, so that logs and metrics show where a
--- a/src/controller/ControllerConfiguration.cpp
+++ b/src/controller/ControllerConfiguration.cpp
@@ -27,7 +27,7 @@
     std::string digest = base::sha256Hex (request.text);
     if (digest == inForce.digest)
     {
-        // The change was sent again: it is committed, but may not be in force everywhere yet.
+        // The operator repeated the change: it is committed, but may not be in force everywhere.
         awaitRollout ({ ticket, inForce.version, m_now });
         return;
     }
@@ -137,7 +137,8 @@
         pacing.request();
     if (! pacing.takeDue (m_now, kConfigurationInterval))
         return;
-    std::map<std::uint64_t, std::vector<RouterConnection>> behind;  // By what they hold; 0: other.
+    // Routers by the kept version that they hold; 0: routers that need the whole text.
+    std::map<std::uint64_t, std::vector<RouterConnection>> behind;
     for (auto& [connection, session] : sessions.sessions())
     {
         if (! sessions.needsConfiguration (session, inForce, m_now))
--- a/src/controller/ControllerCore.h
+++ b/src/controller/ControllerCore.h
@@ -114,7 +114,7 @@
 };
 struct AdminRelease
 {
-    std::string digest;  ///< Fingerprint of the request; empty: all.
+    std::string digest;  ///< Digest of the request; empty: all.
 };
 using AdminRequest =
     std::variant<AdminApply, AdminStatus, AdminExplain, AdminMembers, AdminAddMember,
--- a/src/controller/ControllerFiguresTest.cpp
+++ b/src/controller/ControllerFiguresTest.cpp
@@ -20,8 +20,8 @@
 
 constexpr int kOk = 200;
 
-/// Simulated time until another runner serves a target after the runner that held it died. The
-/// machine list still contains the dead machine for `listLag`.
+/// Simulated time until another runner serves a target after the runner that held it crashed.
+/// The machine list still contains the crashed machine for `listLag`.
 base::Duration timeWithoutReplica (const std::string& target, base::Duration listLag)
 {
     TestCell cell (testOptions (3));
@@ -67,7 +67,7 @@
     }
 }
 
-/// Simulated time during which a router does not admit requests after the leader died.
+/// Simulated time during which a router does not admit requests after the leader crashed.
 base::Duration timeWithoutLease (std::uint64_t seed, base::Duration lease)
 {
     TestCell::Options options = testOptions();
--- a/src/controller/ControllerInstances.cpp
+++ b/src/controller/ControllerInstances.cpp
@@ -118,8 +118,8 @@
     return address;
 }
 
-/// A runner that states a service that does not exist would replace the runner whose address it
-/// states.
+/// A heartbeat with a wrong service is rejected, since registering its instance would remove the
+/// runner that is registered at the address in the heartbeat.
 bool ControllerCore::Implementation::isUsable (const InstanceHeartbeat& heartbeat)
 {
     const cell::ServiceInstance& instance = heartbeat.instance;
@@ -164,10 +164,10 @@
     requestPlacement();
 }
 
-/// Without this removal, routers kept sending to crashed runners that had come back under another
-/// id for as long as the old ids were only silent: after a crash of a quarter of 140 runners the
-/// wrong instance answered 75 requests a second, and models that only the crashed runners had held
-/// were not loaded again.
+/// Guards against sending requests under the old id of a crashed runner that restarted under
+/// another id. Without this removal the old ids were only marked as silent: after a crash of a
+/// quarter of 140 runners the wrong instance answered 75 requests a second, and models that only
+/// the crashed runners had held were not loaded again.
 void ControllerCore::Implementation::removePredecessors (const cell::ServiceInstance& instance)
 {
     for (std::string& id : m_leader->instances.predecessorsOf (instance))
--- a/src/controller/ControllerMembers.cpp
+++ b/src/controller/ControllerMembers.cpp
@@ -48,7 +48,7 @@
             m_leader->proposals.emplace (index, ForAutomaticMembers{});
             return {};
         },
-        [] (const base::Error&) {});  // The change is not possible now; the next routine retries.
+        [] (const base::Error&) {});  // The change is not possible now; the next call retries.
 }
 
 void ControllerCore::Implementation::finish (const ForAutomaticMembers& /*purpose*/,
--- a/src/controller/ControllerQuarantine.cpp
+++ b/src/controller/ControllerQuarantine.cpp
@@ -95,7 +95,7 @@
     if (! isAnyLate)
         return;
     std::map<std::string, std::set<std::string>>
-        instances;  // Crashed instances by fingerprint of the request.
+        instances;  // Crashed instances by digest of the request.
     for (const UnappliedCrash& crash : m_leader->unappliedCrashes)
         instances[crash.report.request.digest].insert (crash.report.instance);
     cell::SuspectReport hint;
--- a/src/controller/ControllerRelay.cpp
+++ b/src/controller/ControllerRelay.cpp
@@ -22,8 +22,8 @@
 /// after the other. It is well below the 3.5 s after which the leader considers a runner silent, in
 /// case this member is cut off.
 constexpr base::Duration kHeartbeatRetention = base::milliseconds (1500);
-/// The same time while consensus has a leader. Otherwise the runners of all members would turn to
-/// the new leader while it is still collecting what it needs to serve.
+/// The same time while consensus has a leader. Otherwise the runners of all members would connect
+/// to the new leader while it is still collecting what it needs to serve.
 constexpr base::Duration kHeartbeatRetentionWithLeader = base::milliseconds (3000);
 
 }  // namespace
--- a/src/http/Server.h
+++ b/src/http/Server.h
@@ -45,7 +45,7 @@
     virtual void begin (int status, const Headers& headers) = 0;
     virtual void write (std::string_view data) = 0;
     virtual void end() = 0;
-    /// Closes the connection at once; the caller sees a truncated answer.
+    /// Closes the connection at once; the caller receives a truncated answer.
     virtual void abort() = 0;
 
     /// Bytes written but not yet passed to the operating system.
--- a/src/lab/CallRecord.h
+++ b/src/lab/CallRecord.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Record of one call as its caller saw it, and the call history as JSON lines.
+/// Record of one call as observed by its caller, and the call history as JSON lines.
 
 #include <cstdint>
 #include <string>
--- a/src/placement/EngineNeeds.cpp
+++ b/src/placement/EngineNeeds.cpp
@@ -106,7 +106,7 @@
     if (supply < targets.needed)
     {
         // Prefill work for the model as a number of fully occupied engines, less the part that its
-        // holders may do within kMaxPrefillShare of their time.
+        // present and planned holders may do within kMaxPrefillShare of their time.
         const double prefillingEngines = demand.tokensPerSecond / kPrefillTokensPerSecond
                                          - kMaxPrefillShare * static_cast<double> (supply);
         const double excess = view.holders() == 0 ? 0 : view.requests() - view.capacity;
--- a/src/placement/EnginePlacementFigures.h
+++ b/src/placement/EnginePlacementFigures.h
@@ -34,7 +34,8 @@
 constexpr std::size_t kMaxHoldersForAdapter = 64;
 /// An order without an answer counts as unconfirmed after this time.
 constexpr base::Duration kOrderTimeout = base::milliseconds (500);
-/// The engine is polled when a model order has not been seen to complete within this time.
+/// The engine is polled when the completion of a model order has not been observed within this
+/// time.
 constexpr base::Duration kModelOrderTimeout = base::seconds (6);
 /// Expected duration of an adapter load.
 constexpr base::Duration kAdapterLoadTime = base::milliseconds (30);
--- a/src/proxy/RunnerRates.cpp
+++ b/src/proxy/RunnerRates.cpp
@@ -257,7 +257,8 @@
     }
     for (auto& [instance, limit] : earlier)
     {
-        // Within one term the leader removed the limit; a new leader may not have received it yet.
+        // The leader of the same term has removed a limit that its earlier table contained; a new
+        // leader may not have received the limit yet.
         if (m_limits.contains (instance) || (limit.isInTable && ! isNewTerm))
             continue;
         if (std::exchange (limit.isInTable, false))
--- a/src/quarantine/SuspectRequests.cpp
+++ b/src/quarantine/SuspectRequests.cpp
@@ -13,8 +13,8 @@
 /// A report that the table does not contain after this interval is sent again: a commit takes some
 /// 20 ms, the election of a leader up to 0.6 s.
 constexpr base::Duration kResendInterval = base::milliseconds (500);
-/// Within this time a crashed runner is registered again under another id, or its missing
-/// heartbeats were detected.
+/// Time after which an interrupted answer without proof of a crash is dropped. By then a crashed
+/// runner has registered again under another id, or its missing heartbeats have been detected.
 constexpr base::Duration kProofLifetime = base::seconds (10);
 /// A crash that no controller accepted within this time is dropped: by then it is of no use to the
 /// other routers.
--- a/src/routing/PrefixIndex.h
+++ b/src/routing/PrefixIndex.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Index of the prompt prefix blocks that the runners' caches are believed to hold. It is built
+/// Index of the prompt prefix blocks that the runners' caches are expected to hold. It is built
 /// from this router's own requests and from the engines' cache events, which arrive late and with
 /// gaps.
 
@@ -48,7 +48,7 @@
     /// Drops all blocks of a runner that no longer exists.
     void forget (const base::RunnerId& runner);
 
-    /// Number of leading blocks the runner is believed to hold.
+    /// Number of leading blocks the runner is expected to hold.
     [[nodiscard]] std::size_t matchingBlocks (const base::RunnerId& runner,
                                               const std::string& target,
                                               const std::vector<PrefixHash>& blocks) const;
