--- a/src/dispatch/RetryBudget.h
+++ b/src/dispatch/RetryBudget.h
@@ -16,8 +16,8 @@
 
     /// Sets the maximum number of unused retries to `reserve`, however many first attempts there
     /// were. The number of retries within any period is then at most `share` of the first attempts
-    /// in that period plus `reserve`. When one reserve is divided among several budgets, the sum of
-    /// their retries stays within that reserve.
+    /// in that period plus `reserve`. When one reserve is divided among several budgets, the same
+    /// bound with the whole reserve holds for all of them together.
     void limitReserve (double reserve);
 
     void onFirstAttempt();
