--- a/src/base/SilentPeers.cpp
+++ b/src/base/DeadPeerDetection.cpp
@@ -1,4 +1,4 @@
-#include "base/SilentPeers.h"
+#include "base/DeadPeerDetection.h"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -18,18 +18,18 @@
 
 }  // namespace
 
-bool endWhenSilent (int descriptor, Duration limit)
+bool enableDeadPeerDetection (int descriptor, Duration limit)
 {
     const auto limitMs = static_cast<int> (toMilliseconds (limit));
     const auto interval =
         static_cast<int> (std::chrono::duration_cast<seconds> (kProbeInterval).count());
     const auto probes = static_cast<int> (std::max<std::int64_t> (limit / kProbeInterval, 1));
     const bool hasLimit = setOption (descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, limitMs);
-    const bool probesOften = setOption (descriptor, IPPROTO_TCP, TCP_KEEPIDLE, interval)
-                             && setOption (descriptor, IPPROTO_TCP, TCP_KEEPINTVL, interval)
-                             && setOption (descriptor, IPPROTO_TCP, TCP_KEEPCNT, probes);
-    const bool probesAtAll = setOption (descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
-    return hasLimit && probesOften && probesAtAll;
+    const bool hasProbeInterval = setOption (descriptor, IPPROTO_TCP, TCP_KEEPIDLE, interval)
+                                  && setOption (descriptor, IPPROTO_TCP, TCP_KEEPINTVL, interval)
+                                  && setOption (descriptor, IPPROTO_TCP, TCP_KEEPCNT, probes);
+    const bool hasKeepAlive = setOption (descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
+    return hasLimit && hasProbeInterval && hasKeepAlive;
 }
 
 }  // namespace fernlift::base
--- a/src/base/SilentPeersTest.cpp
+++ b/src/base/DeadPeerDetectionTest.cpp
@@ -1,5 +1,5 @@
-// The system acknowledges on loopback whatever the process behind a connection does, so that no
-// peer there can fall silent: what is asked of the system is checked, not what it makes of it.
+// On loopback the system acknowledges data whatever the peer process does, so a dead peer cannot be
+// produced there. The tests check the socket options that are set, not their effect.
 
 #include <gtest/gtest.h>
 #include <netinet/in.h>
@@ -7,7 +7,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "base/SilentPeers.h"
+#include "base/DeadPeerDetection.h"
 
 namespace fernlift::base
 {
@@ -22,11 +22,11 @@
     return value;
 }
 
-TEST (SilentPeersTest, AConnectionIsProbedAndEndsWithinTheLimit)
+TEST (DeadPeerDetectionTest, SetsProbesAndTimeoutForTheLimit)
 {
     const int descriptor = ::socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     ASSERT_GE (descriptor, 0);
-    EXPECT_TRUE (endWhenSilent (descriptor, milliseconds (4000)));
+    EXPECT_TRUE (enableDeadPeerDetection (descriptor, milliseconds (4000)));
     EXPECT_EQ (optionOf (descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT), 4000);
     EXPECT_EQ (optionOf (descriptor, SOL_SOCKET, SO_KEEPALIVE), 1);
     EXPECT_EQ (optionOf (descriptor, IPPROTO_TCP, TCP_KEEPIDLE), 1);
@@ -35,16 +35,19 @@
     ::close (descriptor);
 }
 
-TEST (SilentPeersTest, AShortLimitLeavesOneProbe)
+TEST (DeadPeerDetectionTest, SetsOneProbeForAShortLimit)
 {
     const int descriptor = ::socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     ASSERT_GE (descriptor, 0);
-    EXPECT_TRUE (endWhenSilent (descriptor, milliseconds (300)));
+    EXPECT_TRUE (enableDeadPeerDetection (descriptor, milliseconds (300)));
     EXPECT_EQ (optionOf (descriptor, IPPROTO_TCP, TCP_KEEPCNT), 1);
     ::close (descriptor);
 }
 
-TEST (SilentPeersTest, WhatIsNoConnectionIsTold) { EXPECT_FALSE (endWhenSilent (-1, seconds (1))); }
+TEST (DeadPeerDetectionTest, ReportsAnInvalidDescriptor)
+{
+    EXPECT_FALSE (enableDeadPeerDetection (-1, seconds (1)));
+}
 
 }  // namespace
 }  // namespace fernlift::base
--- a/src/cell/CellState.cpp
+++ b/src/cell/CellState.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-std::string_view nameOf (ConfigurationOutcome outcome)
+std::string_view toString (ConfigurationOutcome outcome)
 {
     switch (outcome)
     {
@@ -28,17 +28,18 @@
     return "unknown";
 }
 
-/// First bytes of a snapshot: a change of StoredState's layout needs another number.
+/// First bytes of a snapshot. Any change to the layout of StoredState requires a new number.
 constexpr std::string_view kSnapshotFormat = "fernlift cell 4\n";
-/// The same without the starts of instances, which their own layouts tell.
+/// Format without start times of instances. The class versions of the instance types tell the two
+/// layouts apart, so that both formats are decoded in the same way.
 constexpr std::string_view kFormatWithoutStarts = "fernlift cell 3\n";
-/// Without the table of suspects, too.
+/// Format without start times of instances and without the table of suspects.
 constexpr std::string_view kFormatWithoutSuspects = "fernlift cell 2\n";
 static_assert (kFormatWithoutStarts.size() == kSnapshotFormat.size());
 static_assert (kFormatWithoutSuspects.size() == kSnapshotFormat.size());
 
-/// Layout of a snapshot.
-/// The members are written from where they are: a copy of a large claim table takes long.
+/// Layout of a snapshot, for writing. Refers to the members of the state instead of copying them,
+/// because copying a large claim table is slow.
 struct StoredStateView
 {
     const ConfigurationIdentity& configuration;
@@ -59,7 +60,7 @@
     }
 };
 
-/// The layout before, to read into.
+/// Layout of format 2, for reading.
 struct EarlierStoredState
 {
     ConfigurationIdentity configuration;
@@ -79,7 +80,7 @@
     }
 };
 
-/// The same layout, to read into.
+/// Layout of formats 3 and 4, for reading.
 struct StoredState : EarlierStoredState
 {
     QuarantineTable quarantine;
@@ -99,7 +100,7 @@
     if (! bytes.starts_with (kFormatWithoutSuspects))
     {
         return base::fail (base::ErrorKind::kStorageFormatUnknown,
-                           "the state was not stored in format 2, 3 or 4 of this program");
+                           "snapshot has an unknown format; expected format 2, 3 or 4");
     }
     BOOST_LEAF_AUTO (earlier,
                      wire::decodeValue<EarlierStoredState> (bytes.substr (kSnapshotFormat.size())));
@@ -125,7 +126,8 @@
 ApplyResult CellState::applyCommand (base::LogIndex index, const ApplyConfiguration& command)
 {
     ConfigurationResult result = m_configuration.apply (index, command);
-    note (index, command.proposedAt, DecisionKind::kConfiguration, nullptr, nameOf (result.outcome),
+    note (index, command.proposedAt, DecisionKind::kConfiguration, nullptr,
+          toString (result.outcome),
           "version " + std::to_string (command.version) + " digest " + command.digest);
     return result;
 }
@@ -145,7 +147,7 @@
                         + std::to_string (command.incarnation);
         m_journal.add (std::move (record));
     }
-    noteReleased (index, command.proposedAt, released, "the runner restarted");
+    recordReleased (index, command.proposedAt, released, "the runner restarted");
     return ChangeResult{ changed };
 }
 
@@ -158,7 +160,7 @@
         m_journal.add ({ index, command.proposedAt, DecisionKind::kRunnerRemoved, "",
                          command.runner, 0, "granted", "the machine list no longer names it" });
     }
-    noteReleased (index, command.proposedAt, released, "the machine is gone");
+    recordReleased (index, command.proposedAt, released, "the machine is gone");
     return ChangeResult{ changed };
 }
 
@@ -169,7 +171,7 @@
         command.adapter.empty() ? command.model.value : command.adapter.value;
     m_journal.add ({ index, command.proposedAt, DecisionKind::kLoad, target, command.runner,
                      refusal == LoadRefusal::kNone ? index : 0,
-                     std::string (cell::nameOf (refusal)), command.reason });
+                     std::string (cell::toString (refusal)), command.reason });
     return LoadResult{ refusal };
 }
 
@@ -177,7 +179,7 @@
 {
     const UnloadRefusal refusal = m_replicas.unload (index, command.replica);
     note (index, command.proposedAt, DecisionKind::kUnload,
-          m_replicas.findReplica (command.replica), cell::nameOf (refusal), command.reason);
+          m_replicas.findReplica (command.replica), cell::toString (refusal), command.reason);
     return UnloadResult{ refusal };
 }
 
@@ -200,7 +202,7 @@
     const Replica replica = *found;
     const bool changed = m_replicas.release (command.replica);
     if (changed)
-        noteReleased (index, command.proposedAt, { replica }, command.reason);
+        recordReleased (index, command.proposedAt, { replica }, command.reason);
     return ChangeResult{ changed };
 }
 
@@ -253,29 +255,30 @@
                                              command.startedAt) };
 }
 
-ApplyResult CellState::applyCommand (base::LogIndex /*index*/, const NoteOrders& /*command*/)
+ApplyResult CellState::applyCommand (base::LogIndex /*index*/, const RecordOrders& /*command*/)
 {
     return ChangeResult{ false };
 }
 
-ApplyResult CellState::applyCommand (base::LogIndex /*index*/, const NoteHoldings& command)
+ApplyResult CellState::applyCommand (base::LogIndex /*index*/, const RecordHeldModels& command)
 {
     bool changed = false;
-    for (const InstanceHoldings& holdings : command.holdings)
+    for (const InstanceHeldModels& heldModels : command.heldModels)
     {
-        changed = m_instances.noteModels (holdings.instance, holdings.models, holdings.startedAt)
-                  || changed;
+        changed =
+            m_instances.setModels (heldModels.instance, heldModels.models, heldModels.startedAt)
+            || changed;
     }
     return ChangeResult{ changed };
 }
 
-ApplyResult CellState::applyCommand (base::LogIndex index, const NoteSuspects& command)
+ApplyResult CellState::applyCommand (base::LogIndex index, const RecordSuspects& command)
 {
     bool changed = m_quarantine.expire (index, m_time);
-    for (const std::string& digest : command.acquitted)
+    for (const std::string& digest : command.cleared)
         changed = m_quarantine.release (index, digest) || changed;
-    for (const RunnerEnd& end : command.ends)
-        changed = m_quarantine.note (index, end) || changed;
+    for (const RunnerCrash& crash : command.crashes)
+        changed = m_quarantine.note (index, crash) || changed;
     return ChangeResult{ changed };
 }
 
@@ -307,8 +310,8 @@
     m_journal.add (std::move (record));
 }
 
-void CellState::noteReleased (base::LogIndex index, base::UnixMilliseconds at,
-                              const std::vector<Replica>& released, const std::string& reason)
+void CellState::recordReleased (base::LogIndex index, base::UnixMilliseconds at,
+                                const std::vector<Replica>& released, const std::string& reason)
 {
     for (const Replica& replica : released)
     {
@@ -338,7 +341,8 @@
     if (! m_configuration.restore (std::move (stored.configuration),
                                    std::move (stored.configurationText)))
     {
-        return base::fail (base::ErrorKind::kMessageInvalid, "stored configuration does not parse");
+        return base::fail (base::ErrorKind::kMessageInvalid,
+                           "configuration in the snapshot cannot be parsed");
     }
     m_replicas.replaceWith (std::move (stored.replicas));
     m_instances = std::move (stored.instances);
--- a/src/cell/ClaimTableTest.cpp
+++ b/src/cell/ClaimTableTest.cpp
@@ -63,12 +63,12 @@
     EXPECT_EQ (answer.httpStatus, 201);
     EXPECT_EQ (claim (claimOf ("lost", "second")), kOutcomeUnknown);
     EXPECT_EQ (claim (claimOf ("free", "second")), kGranted);
-    // A late outcome of the request that gave the key back does not touch its next holder.
+    // A late outcome of the request that released the key does not affect the next holder.
     EXPECT_FALSE (m_table.record (outcomeOf ("free", "first", ClaimOutcome::kNotRun)));
     EXPECT_EQ (claim (claimOf ("free", "third")), kInProgress);
 }
 
-TEST_F (ClaimTableTest, OutcomesOnlyGrowMoreCertain)
+TEST_F (ClaimTableTest, OutcomesOnlyBecomeMoreCertain)
 {
     claim (claimOf ("k", "first"));
     EXPECT_FALSE (m_table.record (outcomeOf ("k", "second", ClaimOutcome::kNotRun)));
@@ -82,13 +82,13 @@
 TEST_F (ClaimTableTest, ClaimOutsideTheWindowIsRefused)
 {
     EXPECT_EQ (claim (claimOf ("late", "first", kNow - 1)), kWindowPassed);
-    EXPECT_EQ (claim (claimOf ("far", "first", kNow + ClaimTable::kMaximumLifetime + 1)),
+    EXPECT_EQ (claim (claimOf ("far", "first", kNow + ClaimTable::kMaxLifetime + 1)),
                kWindowPassed);
     EXPECT_EQ (claim (claimOf ("edge", "first", kNow)), kGranted);
     EXPECT_EQ (m_table.size(), 1U);
 }
 
-TEST_F (ClaimTableTest, KeyLivesUntilItsExpiryAndNoLonger)
+TEST_F (ClaimTableTest, KeyIsKeptExactlyUntilItsExpiry)
 {
     claim (claimOf ("k", "first"));
     EXPECT_EQ (claim (claimOf ("k", "second"), kExpiry), kInProgress);
@@ -98,23 +98,24 @@
 
 TEST_F (ClaimTableTest, MemoryIsBounded)
 {
-    const std::string longKey (ClaimTable::kMaximumKeyBytes + 1, 'k');
+    const std::string longKey (ClaimTable::kMaxKeyBytes + 1, 'k');
     EXPECT_EQ (claim (claimOf (longKey, "first")), kWindowPassed);
-    Claim longFields = claimOf ("k", std::string (ClaimTable::kMaximumFieldBytes + 1, 'r'));
+    Claim longFields = claimOf ("k", std::string (ClaimTable::kMaxFieldBytes + 1, 'r'));
     EXPECT_EQ (claim (longFields), kWindowPassed);
-    for (std::size_t number = 0; number < ClaimTable::kMaximumKeys; ++number)
+    for (std::size_t number = 0; number < ClaimTable::kMaxKeys; ++number)
     {
         m_table.claim (claimOf (std::to_string (number), "first", kExpiry + (number == 0 ? 0 : 1)),
                        kNow);
     }
-    ASSERT_EQ (m_table.size(), ClaimTable::kMaximumKeys);
+    ASSERT_EQ (m_table.size(), ClaimTable::kMaxKeys);
     EXPECT_EQ (claim (claimOf ("one more", "first")), kTableFull);
-    EXPECT_EQ (claim (claimOf ("1", "first")), kGranted) << "a held key still gets its verdict";
+    EXPECT_EQ (claim (claimOf ("1", "first")), kGranted)
+        << "a claim of a held key must be answered even if the table is full";
     EXPECT_EQ (claim (claimOf ("one more", "first", kExpiry + 9), kExpiry + 1), kGranted);
 }
 
-/// Runs claims, outcomes and restarts from a snapshot; true when two requests got the same key
-/// without the first giving it back or its time running out.
+/// Runs claims, outcomes and restarts from a snapshot. Returns whether two requests were granted
+/// the same key although the first had not released it and it had not expired.
 bool grantsTwice (PlantedFault fault, const std::vector<std::uint32_t>& words)
 {
     CellState state (&test::parseTestCatalogue, fault);
--- a/src/cell/CommandCodec.cpp
+++ b/src/cell/CommandCodec.cpp
@@ -20,7 +20,7 @@
 std::string encodeCommand (const Command& command)
 {
     std::string bytes = wire::encodeMessage (command);
-    if (bytes.size() < base::kWorthCompressing)
+    if (bytes.size() < base::kCompressionThreshold)
         return bytes;
     return kCompressed + base::compress (bytes);
 }
@@ -30,9 +30,10 @@
     if (! bytes.starts_with (kCompressed))
         return wire::decodeMessage<Command> (bytes);
     const std::optional<std::string> plain =
-        base::decompress (bytes.substr (1), wire::kMaximumFrameBytes);
+        base::decompress (bytes.substr (1), wire::kMaxFrameBytes);
     if (! plain)
-        return base::fail (base::ErrorKind::kMessageInvalid, "a compressed command is damaged");
+        return base::fail (base::ErrorKind::kMessageInvalid,
+                           "compressed command in the log cannot be decompressed");
     return wire::decodeMessage<Command> (*plain);
 }
 
--- a/src/cell/ConfigurationState.cpp
+++ b/src/cell/ConfigurationState.cpp
@@ -9,8 +9,9 @@
 namespace
 {
 
-/// Files that are proposed at once are few; each may be large.
-constexpr std::size_t kMostParsed = 8;
+/// Limit for the catalogues of pending proposals: few files are proposed at the same time, and each
+/// may be large.
+constexpr std::size_t kMaxParsed = 8;
 
 }  // namespace
 
@@ -37,7 +38,7 @@
 
 std::optional<config::Catalogue> ConfigurationState::parse (const ApplyConfiguration& command)
 {
-    // The digest names the text, so that what was parsed before is what would be parsed now.
+    // The digest identifies the text, so that the kept catalogue equals the result of parsing.
     if (auto known = m_parsed.extract (command.digest))
         return std::move (known.mapped());
     return m_parser (command.text).catalogue;
@@ -45,7 +46,7 @@
 
 void ConfigurationState::keepParsed (std::string digest, config::Catalogue catalogue)
 {
-    if (m_parsed.size() >= kMostParsed)
+    if (m_parsed.size() >= kMaxParsed)
         m_parsed.erase (m_parsed.begin());
     m_parsed.insert_or_assign (std::move (digest), std::move (catalogue));
 }
--- a/src/config/TableReader.cpp
+++ b/src/config/TableReader.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr std::size_t kMaximumQuotedLength = 80;
+constexpr std::size_t kMaxQuotedLength = 80;
 
 int lineOf (const toml::node& node) { return static_cast<int> (node.source().begin.line); }
 
@@ -23,7 +23,7 @@
 
 bool isName (std::string_view text)
 {
-    if (text.empty() || text.size() > kMaximumNameLength || ! isLetterOrDigit (text.front()))
+    if (text.empty() || text.size() > kMaxNameLength || ! isLetterOrDigit (text.front()))
     {
         return false;
     }
@@ -38,7 +38,7 @@
 
 std::string allowedName()
 {
-    return "1 to " + std::to_string (kMaximumNameLength)
+    return "1 to " + std::to_string (kMaxNameLength)
            + " characters, letters, digits and . _ - :, the first a letter or digit";
 }
 
@@ -51,8 +51,8 @@
     std::ostringstream stream;
     node.visit ([&] (const auto& value) { stream << value; });
     std::string text = stream.str();
-    if (text.size() > kMaximumQuotedLength)
-        text = text.substr (0, kMaximumQuotedLength) + "...";
+    if (text.size() > kMaxQuotedLength)
+        text = text.substr (0, kMaxQuotedLength) + "...";
     return text;
 }
 
@@ -72,10 +72,10 @@
 
 void ProblemList::report (int line, const std::string& key, std::string message)
 {
-    if (m_problems.size() > kMaximumProblems)
+    if (m_problems.size() > kMaxProblems)
         return;
-    if (m_problems.size() == kMaximumProblems)
-        message = "there are more problems than are shown";
+    if (m_problems.size() == kMaxProblems)
+        message = "further problems are omitted";
     m_problems.push_back (CatalogueProblem{ line, key, std::move (message) });
 }
 
@@ -97,7 +97,7 @@
     : m_table (table), m_path (std::move (path)), m_problems (problems)
 {
     if (! m_path.empty())
-        m_problems.rememberLine (m_path, lineOf (m_table));
+        m_problems.recordLine (m_path, lineOf (m_table));
 }
 
 std::string TableReader::pathOf (std::string_view key) const
@@ -120,7 +120,7 @@
     const std::string path = pathOf (key);
     if (node != nullptr)
     {
-        m_problems.rememberLine (path, lineOf (*node));
+        m_problems.recordLine (path, lineOf (*node));
     }
     else if (presence == Presence::kRequired)
     {
@@ -167,7 +167,7 @@
     {
         const toml::node& element = *array->get (index);
         const std::string elementPath = elementOf (path, index);
-        m_problems.rememberLine (elementPath, lineOf (element));
+        m_problems.recordLine (elementPath, lineOf (element));
         names.push_back (checkName (elementPath, element));
     }
     return names;
--- a/src/consensus/MemberReplication.cpp
+++ b/src/consensus/MemberReplication.cpp
@@ -7,15 +7,15 @@
 namespace
 {
 
-/// Rounds remembered for a member that does not answer; older ones can no longer extend a lease.
-constexpr std::size_t kMaximumUnansweredRounds = 256;
+/// Limit of rounds kept for a member that does not reply; older ones can no longer extend a lease.
+constexpr std::size_t kMaxUnansweredRounds = 256;
 
 }  // namespace
 
 void MemberReplication::beginRound (std::uint64_t round, base::TimePoint now)
 {
     m_unanswered.push_back ({ round, now });
-    if (m_unanswered.size() > kMaximumUnansweredRounds)
+    if (m_unanswered.size() > kMaxUnansweredRounds)
         m_unanswered.pop_front();
 }
 
--- a/src/controller/AdminRequests.cpp
+++ b/src/controller/AdminRequests.cpp
@@ -16,7 +16,7 @@
 constexpr std::string_view kPrefix = "/admin/v1/";
 constexpr std::string_view kExplainPrefix = "explain/";
 constexpr base::Duration kDefaultTimeout = base::seconds (10);
-constexpr std::int64_t kLongestTimeoutMilliseconds = 600'000;
+constexpr std::int64_t kMaxTimeoutMilliseconds = 600'000;
 
 base::Result<QJsonObject> parseObject (const std::string& body)
 {
@@ -34,7 +34,7 @@
     if (! value.isString() || value.toString().isEmpty())
     {
         return base::fail (ErrorKind::kInvalidRequest,
-                           std::string ("'") + name + "' must be a text that is not empty");
+                           std::string ("'") + name + "' must be a non-empty string");
     }
     return value.toString().toStdString();
 }
@@ -66,7 +66,7 @@
     const auto [end, status] =
         std::from_chars (text.data(), text.data() + text.size(), milliseconds);
     const bool isWhole = status == std::errc() && end == text.data() + text.size();
-    if (! isWhole || milliseconds < 1 || milliseconds > kLongestTimeoutMilliseconds)
+    if (! isWhole || milliseconds < 1 || milliseconds > kMaxTimeoutMilliseconds)
     {
         return base::fail (ErrorKind::kInvalidRequest,
                            "'timeout_ms' must be a whole number from 1 to 600000");
@@ -86,7 +86,7 @@
     if (object.size() != 1)
     {
         return base::fail (ErrorKind::kInvalidRequest,
-                           "exactly one of 'add', 'promote' and 'remove' is allowed");
+                           "exactly one of 'add', 'promote' and 'remove' is expected");
     }
     if (object.contains (QLatin1String ("remove")))
     {
@@ -155,7 +155,7 @@
         return parseExplain (resource.substr (kExplainPrefix.size()));
     }
     if (resource == "drain")
-        return base::fail (ErrorKind::kMethodNotAllowed, "drain takes POST");
+        return base::fail (ErrorKind::kMethodNotAllowed, "drain accepts only POST");
     return base::fail (ErrorKind::kNotFound, "no such resource");
 }
 
@@ -171,7 +171,7 @@
         return parseRelease (request);
     if (resource == "status" || resource.starts_with (kExplainPrefix))
     {
-        return base::fail (ErrorKind::kMethodNotAllowed, "this resource takes GET");
+        return base::fail (ErrorKind::kMethodNotAllowed, "this resource accepts only GET");
     }
     return base::fail (ErrorKind::kNotFound, "no such resource");
 }
@@ -190,7 +190,7 @@
         return parseGet (resource);
     if (request.method == "POST")
         return parsePost (resource, request);
-    return base::fail (ErrorKind::kMethodNotAllowed, "only GET and POST are taken");
+    return base::fail (ErrorKind::kMethodNotAllowed, "only GET and POST are accepted");
 }
 
 }  // namespace fernlift::controller
--- a/src/controller/ControllerCore.cpp
+++ b/src/controller/ControllerCore.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-/// A planned stop waits at most this long for another member to take over.
+/// Longest time that a planned stop waits for another member to take over the leadership.
 constexpr base::Duration kStopTimeout = base::seconds (3);
-/// A new leader moves the cell's time forward by at most this, in milliseconds.
-constexpr base::UnixMilliseconds kLargestTimeJump = 10'000;
+/// A new leader moves the cell's time forward by at most this many milliseconds.
+constexpr base::UnixMilliseconds kMaxTimeJump = 10'000;
 
 std::optional<cell::Command> decodeCommand (const std::string& bytes)
 {
@@ -28,8 +28,8 @@
         [] (const base::Error&) { return std::optional<cell::Command>(); });
 }
 
-/// What a restarted member reads to apply the entry again: entries with an operator's file are kept
-/// compressed, but it is the whole file that takes time to read.
+/// Bytes that a restarted member processes to apply the entry again. Entries with an operator's
+/// file are stored compressed, but the time to parse them depends on the uncompressed size.
 std::size_t replayBytes (const consensus::Entry& entry, const cell::Command& command)
 {
     const auto* apply = std::get_if<cell::ApplyConfiguration> (&command);
@@ -48,7 +48,7 @@
       m_unixNow (unixNow),
       m_state (m_options.catalogueParser, m_options.plantedFault),
       m_raft (self, m_options.raft, std::move (recovered), randomSeed, now),
-      m_orderNotes (now),
+      m_orderHistory (now),
       m_relaySeeds (randomSeed + 1)
 {
     beginRelay();
@@ -65,7 +65,7 @@
 {
     m_raft.tick (m_now);
     drain();
-    takeTenants();
+    applyTenants();
     runRelay();
     if (! m_leader)
         return;
@@ -109,11 +109,11 @@
         sendConfigurationIfDue();
         if (holdsLease())
             sendSuspectsTo (m_leader->sessions);
-        followRollout();
+        trackRollout();
         placeOnEngines();
         sendInstancesIfDue();
-        answerLeavingWaits();
-        answerInForceWaits();
+        answerPendingLeaves();
+        answerPendingApplies();
     } while (takeRaftOutput());
     updateLeadership();
     compactIfDue();
@@ -138,13 +138,13 @@
             [&]() -> base::Result<bool>
             {
                 BOOST_LEAF_CHECK (m_state.restore (output.installedSnapshot->data));
-                keepConfiguration();
+                cacheConfiguration();
                 return true;
             },
             [] (const base::Error&) { return false; });
         if (! isRestored)
             m_raft.onStorageFailed();
-        m_orderNotes.forget (m_now);
+        m_orderHistory.forget (m_now);
         m_snapshots.onSnapshot (output.installedSnapshot->data.size());
     }
     for (const consensus::Entry& entry : output.committed)
@@ -166,9 +166,10 @@
     sendToUnknownMember (message);
 }
 
-/// A member that missed a change of the members does not know a leader that came with it, and must
-/// answer it to catch up. The leader may be at the address of the member it replaced; all others
-/// drop what is not for them.
+/// A member that missed a membership change must answer the leader to catch up, but if the change
+/// added that leader, it does not have the leader's address. The leader may use the address of the
+/// member that it replaced, so the message is sent to all known addresses; the other members drop
+/// messages that are not addressed to them.
 void ControllerCore::Implementation::sendToUnknownMember (const consensus::Message& message)
 {
     std::set<std::string> addresses;
@@ -201,20 +202,20 @@
     m_snapshots.onEntry (command ? replayBytes (entry, *command) : entry.data.size());
     if (! command)
     {
-        // A synced and agreed entry that this program cannot read: go no further.
+        // A committed entry that this program cannot decode: stop rather than skip it.
         m_raft.onStorageFailed();
         return;
     }
     const cell::ApplyResult result = m_state.apply (entry.index, *command);
     if (const auto* outcome = std::get_if<cell::ConfigurationResult> (&result))
-        noteConfiguration (*outcome);
-    if (const auto* note = std::get_if<cell::NoteOrders> (&*command))
-        m_orderNotes.onNote (*note, m_now);
+        onConfigurationApplied (*outcome);
+    if (const auto* record = std::get_if<cell::RecordOrders> (&*command))
+        m_orderHistory.onOrdersRecorded (*record, m_now);
     if (! m_leader)
         return;
-    noteAgreedInstances (*command);
-    if (const auto* note = std::get_if<cell::NoteSuspects> (&*command))
-        noteSuspects (*note);
+    recordAppliedInstances (*command);
+    if (const auto* record = std::get_if<cell::RecordSuspects> (&*command))
+        onSuspectsApplied (*record);
     const bool isAboutClaims = std::holds_alternative<cell::ClaimKeys> (*command)
                                || std::holds_alternative<cell::RecordOutcomes> (*command);
     if (! isAboutClaims)
@@ -225,19 +226,20 @@
 void ControllerCore::Implementation::updateLeadership()
 {
     m_status = m_raft.summary();
-    const bool isLeaderNews = m_status.leader != m_toldLeader;
+    const bool isLeaderChanged = m_status.leader != m_announcedLeader;
     const bool isLeader = m_status.role == consensus::Role::kLeader;
     if (m_leader && (! isLeader || m_leader->term != m_status.term))
         endLeadership();
     if (! m_leader && isLeader && holdsLease())
         beginLeadership();
-    // A leader is worth calling once it may answer.
-    const bool mayBeCalled = ! isLeader || m_leader.has_value();
-    if (! isLeaderNews || ! mayBeCalled)
+    // A member that becomes leader announces itself only once its leadership has begun, since it
+    // must not answer before it holds its lease.
+    const bool mayBeAnnounced = ! isLeader || m_leader.has_value();
+    if (! isLeaderChanged || ! mayBeAnnounced)
         return;
-    m_toldLeader = m_status.leader;
-    if (m_toldLeader != 0)
-        tellWatchers();
+    m_announcedLeader = m_status.leader;
+    if (m_announcedLeader != 0)
+        notifyWatchers();
 }
 
 void ControllerCore::Implementation::beginLeadership()
@@ -246,20 +248,21 @@
     const InstanceLoadTable earlierLoads = m_relay ? m_relay->loads : InstanceLoadTable();
     const cell::InstanceRateUpdate earlierRates =
         m_relay ? m_relay->rates.table (m_now) : cell::InstanceRateUpdate();
-    InstanceMirror earlierTable = m_relay ? std::move (m_relay->instances) : InstanceMirror();
+    RelayInstanceTable earlierTable =
+        m_relay ? std::move (m_relay->instances) : RelayInstanceTable();
     endRelay();
     m_leader.emplace (m_options, m_status.term, m_now, engineOptions());
     m_leader->instances.continueFrom (std::move (earlierTable), m_status.term);
     m_leader->instances.refresh (m_state.instances(), m_now);
     m_leader->requiredInstanceVersion = m_leader->instances.version();
     m_leader->placedInstances = m_leader->instances.version();
-    keepEarlierSpeeds (earlierLoads);
+    restoreSpeeds (earlierLoads);
     m_leader->rates.begin (earlierRates.limited, m_now);
     m_leader->unixSince = std::max (m_unixNow, m_state.time());
-    // Claims expire by the cell's time: a wall clock that stepped must not let them go early.
+    // Claims expire by the cell's time: a step of the wall clock must not expire them early.
     if (m_state.time() != 0)
     {
-        m_leader->unixSince = std::min (m_leader->unixSince, m_state.time() + kLargestTimeJump);
+        m_leader->unixSince = std::min (m_leader->unixSince, m_state.time() + kMaxTimeJump);
     }
     m_leader->watch.addKnown (m_state.replicas().runners());
     for (const auto& [id, runner] : m_state.replicas().runners())
@@ -290,19 +293,20 @@
         if (ticket == 0)
             continue;
         answer (ticket,
-                errorAnswer ({ base::ErrorKind::kNoQuorum,
-                               "leadership was lost before the outcome was known; send again" }));
+                errorAnswer (
+                    { base::ErrorKind::kNoQuorum,
+                      "leadership was lost before the outcome was known; repeat the request" }));
     }
-    for (const InForceWait& wait : m_leader->inForceWaits)
+    for (const PendingApply& wait : m_leader->pendingApplies)
     {
         answer (wait.ticket, configurationAnswer (wait.result, false));
     }
-    for (const auto& [leaving, wait] : m_leader->leavingWaits)
+    for (const auto& [leaving, wait] : m_leader->pendingLeaves)
     {
         for (const ControlTicket ticket : wait.tickets)
             answerControl (ticket, { ControlVerdict::kUnavailable, "", "" });
     }
-    for (const ConfigurationWait& wait : m_leader->configurationWaits)
+    for (const PendingConfiguration& wait : m_leader->pendingConfigurations)
         answerConfiguration (wait.purpose, { ControlVerdict::kUnavailable, "", "" });
     for (const auto& [connection, session] : m_leader->sessions.sessions())
     {
@@ -312,7 +316,7 @@
     cell::InstanceRateUpdate rates = rateTable();
     m_leader.reset();
     beginRelay();
-    m_relay->rates.adopt (std::move (rates), m_now);
+    m_relay->rates.setTable (std::move (rates), m_now);
 }
 
 void ControllerCore::Implementation::compactIfDue()
@@ -368,7 +372,7 @@
     return effects;
 }
 
-// The public face.
+// Public interface: forwards to the implementation.
 
 ControllerCore::ControllerCore (base::MemberId self, ControllerOptions options,
                                 consensus::RecoveredState recovered, std::uint64_t randomSeed,
@@ -400,9 +404,9 @@
 {
     m_implementation->onRouterMessage (connection, message);
 }
-void ControllerCore::onRouterGone (RouterConnection connection)
+void ControllerCore::onRouterDisconnected (RouterConnection connection)
 {
-    m_implementation->onRouterGone (connection);
+    m_implementation->onRouterDisconnected (connection);
 }
 void ControllerCore::onLeaderConnected() { m_implementation->onLeaderConnected(); }
 void ControllerCore::onLeaderLost() { m_implementation->onLeaderLost(); }
--- a/src/controller/ControllerPlacement.cpp
+++ b/src/controller/ControllerPlacement.cpp
@@ -1,4 +1,4 @@
-// Runs placement on the leader's view and proposes its decisions.
+// Runs the placement policy on the leader's view of the cell and proposes its decisions.
 
 #include <algorithm>
 #include <utility>
@@ -10,7 +10,8 @@
 namespace
 {
 
-/// Demand of many routers that comes within this time is placed in one round.
+/// Minimum time between placement rounds, so that the demand of many routers that arrives within it
+/// is placed in one round.
 constexpr base::Duration kPlacementSpacing = base::milliseconds (20);
 
 }  // namespace
@@ -44,14 +45,15 @@
         if (m_now < failure.avoidedUntil)
             snapshot.avoided.insert (key);
     }
-    forgetGoneReplicas();
+    removeStaleReplicaRecords();
     addRunnerViews (snapshot);
     addReplicaViews (snapshot);
     if (snapshot.catalogue != nullptr)
     {
-        m_leader->storePace.observe (snapshot.catalogue->weightStore, snapshot.replicas, m_now);
-        snapshot.storeConcurrency = m_leader->storePace.concurrency();
-        snapshot.storeStarts = m_leader->storePace.startsAllowed();
+        m_leader->storeLoadLimiter.observe (snapshot.catalogue->weightStore, snapshot.replicas,
+                                            m_now);
+        snapshot.storeConcurrency = m_leader->storeLoadLimiter.concurrency();
+        snapshot.storeStarts = m_leader->storeLoadLimiter.startsAllowed();
     }
     return snapshot;
 }
@@ -71,11 +73,11 @@
         view.accelerators = std::max (runner.machine.accelerators, 1U);
         view.takesNewWork = runner.takesNewWork();
         view.isResponsive = m_leader->watch.isResponsive (id, m_now);
-        const RunnerSight* sight = m_leader->watch.find (id);
-        if (sight != nullptr && sight->report)
+        const RunnerObservation* observation = m_leader->watch.find (id);
+        if (observation != nullptr && observation->report)
         {
-            view.slots = std::max (sight->report->slots, 1U);
-            view.checkpoints = &sight->checkpoints;
+            view.slots = std::max (observation->report->slots, 1U);
+            view.checkpoints = &observation->checkpoints;
         }
         snapshot.runners.push_back (std::move (view));
     }
@@ -84,11 +86,11 @@
 void ControllerCore::Implementation::addReplicaViews (placement::Snapshot& snapshot)
 {
     std::map<base::ReplicaId, std::uint32_t> active;
-    for (const auto& [runner, sight] : m_leader->watch.sights())
+    for (const auto& [runner, observation] : m_leader->watch.observations())
     {
-        if (! sight.report)
+        if (! observation.report)
             continue;
-        for (const engine::ReplicaReport& replica : sight.report->replicas)
+        for (const engine::ReplicaReport& replica : observation.report->replicas)
         {
             active[replica.replica] = replica.runningRequests + replica.waitingRequests;
         }
@@ -114,7 +116,7 @@
     }
 }
 
-void ControllerCore::Implementation::forgetGoneReplicas()
+void ControllerCore::Implementation::removeStaleReplicaRecords()
 {
     const auto isGone = [&] (const auto& entry)
     { return m_state.replicas().findReplica (entry.first) == nullptr; };
@@ -124,11 +126,12 @@
 
 bool ControllerCore::Implementation::loadsFromStore (const cell::Replica& replica) const
 {
-    const RunnerSight* sight = m_leader->watch.find (replica.runner);
-    // Of a load that began under an earlier leader only the worst can be assumed.
-    if (sight == nullptr || replica.decidedAt < m_leader->unixSince)
+    const RunnerObservation* observation = m_leader->watch.find (replica.runner);
+    // A load that began under an earlier leader is assumed to use the store, which is the worst
+    // case.
+    if (observation == nullptr || replica.decidedAt < m_leader->unixSince)
         return true;
-    return sight->checkpoints.count (replica.target()) == 0;
+    return observation->checkpoints.count (replica.target()) == 0;
 }
 
 void ControllerCore::Implementation::proposeDecision (const placement::Decision& decision)
--- a/src/controller/ControllerProcess.cpp
+++ b/src/controller/ControllerProcess.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "base/Overloaded.h"
-#include "consensus/Durable.h"
+#include "consensus/ConsensusCodec.h"
 #include "consensus/Membership.h"
 #include "controller/CellFormation.h"
 #include "controller/ConfigurationLog.h"
@@ -17,10 +17,11 @@
 {
 
 constexpr base::milliseconds kTickInterval (10);
-/// An event loop with hundreds of ready sockets comes to its timers late: then inputs tick too, so
-/// that heartbeats to the other members leave in time.
-constexpr base::Duration kLongestTickPause = base::milliseconds (30);
-constexpr base::Duration kLeaderlessBeforeAsking = base::seconds (2);
+/// An input that arrives later than this after the last tick is preceded by a tick. Timers fire
+/// late in an event loop with hundreds of ready sockets, and heartbeats to the other members must
+/// be sent in time.
+constexpr base::Duration kMaxTickPause = base::milliseconds (30);
+constexpr base::Duration kLeaderlessTimeBeforeJoinRequest = base::seconds (2);
 constexpr base::Duration kEngineCallTimeout = base::milliseconds (300);
 constexpr double kMicrosecondsInSecond = 1e6;
 
@@ -58,10 +59,10 @@
 void logQuarantine (const cell::Suspect& suspect)
 {
     std::string runners;
-    for (const cell::RunnerEnd& end : suspect.ends)
-        runners.append (runners.empty() ? "" : ",").append (end.instance);
+    for (const cell::RunnerCrash& crash : suspect.crashes)
+        runners.append (runners.empty() ? "" : ",").append (crash.instance);
     log::write (log::Event::kRequestQuarantined, { { "identity", suspect.request.digest },
-                                                   { "ends", suspect.successive },
+                                                   { "ends", suspect.consecutiveCrashCount },
                                                    { "runners", runners } });
 }
 
@@ -83,7 +84,7 @@
             [this] (RouterConnection connection, const cell::RouterToController& message)
             { feed ([&] (ControllerCore& core) { core.onRouterMessage (connection, message); }); },
             [this] (RouterConnection connection)
-            { feed ([&] (ControllerCore& core) { core.onRouterGone (connection); }); } },
+            { feed ([&] (ControllerCore& core) { core.onRouterDisconnected (connection); }); } },
           &m_traffic),
       m_admin ({ [this] (AdminTicket ticket, const AdminRequest& request)
                  { feed ([&] (ControllerCore& core) { core.onAdmin (ticket, request); }); },
@@ -93,7 +94,7 @@
     if (! protocol.control || m_settings.controlAddress.host.empty())
         return;
     const auto onUnusable = [this] (std::string_view source, std::string_view reason)
-    { noteUnusable (source, reason); };
+    { recordUnusable (source, reason); };
     m_engines = std::make_unique<EngineClient> (protocol.engine, kEngineCallTimeout, onUnusable);
     m_control = std::make_unique<ControlHttp> (
         protocol.control,
@@ -119,8 +120,8 @@
                       {
                           if (! m_isFinished)
                               tick();
-                          noteLeadership();
-                          noteRelay();
+                          logLeadershipChange();
+                          logRelayChange();
                           checkStop();
                       });
     m_ticker.setTimerType (Qt::PreciseTimer);
@@ -145,7 +146,7 @@
     cell::MemberJoinRequest request{ base::CellId (m_settings.cell), selfMember (m_settings),
                                      m_settings.isFounding };
     CellJoiner::Handlers handlers;
-    handlers.mustAsk = [this] { return mustAskToJoin(); };
+    handlers.mustRequest = [this] { return mustRequestToJoin(); };
     handlers.controllers = [this] { return knownControllers(); };
     handlers.onLeaderFound = [this] (const std::string& address)
     { feed ([&] (ControllerCore& core) { core.addContact (address); }); };
@@ -153,14 +154,14 @@
     m_joiner->start();
 }
 
-bool ControllerProcess::mustAskToJoin() const
+bool ControllerProcess::mustRequestToJoin() const
 {
     const consensus::RaftStatus status = m_core->raftStatus();
     const auto self = static_cast<base::MemberId> (m_settings.id);
     if (! consensus::isVoter (status.members, self))
         return true;
-    // A voter that hears no leader for long may have been removed without having learnt it.
-    return status.leader == 0 && m_clock.now() - m_leaderSeenAt > kLeaderlessBeforeAsking;
+    // A voter without contact to a leader for long may have been removed without being notified.
+    return status.leader == 0 && m_clock.now() - m_leaderSeenAt > kLeaderlessTimeBeforeJoinRequest;
 }
 
 std::vector<base::SocketAddress> ControllerProcess::knownControllers() const
@@ -207,7 +208,7 @@
 
 std::string ControllerProcess::storageMetrics() const
 {
-    const StorageWork work = m_storage->work();
+    const StorageCounters work = m_storage->work();
     std::string text;
     appendCounter (text, "fernlift_storage_requests_total", "Writes asked for by consensus.",
                    std::to_string (work.requests));
@@ -224,7 +225,7 @@
     if (m_isFinished)
         return;
     m_core->setTime (m_clock.now(), m_clock.unixNow());
-    if (m_clock.now() - m_tickedAt > kLongestTickPause)
+    if (m_clock.now() - m_tickedAt > kMaxTickPause)
         tick();
     input (*m_core);
     carryOutEffects();
@@ -275,10 +276,10 @@
             [this] (const placement::SendEngineOrder& send) { sendEngineOrder (send); },
             [this] (const placement::PollEngine& poll) { pollEngine (poll); },
             [] (const placement::EngineOrderDone& done) { logDone (done); },
-            [] (const ConfigurationNews& news) { logNews (news); },
+            [] (const ConfigurationEvent& event) { logConfigurationEvent (event); },
             [] (const RequestQuarantined& quarantined) { logQuarantine (quarantined.suspect); },
             [this] (const RunnerMessageUnusable& message)
-            { noteUnusable (message.instance, message.reason); },
+            { recordUnusable (message.instance, message.reason); },
         },
         effect);
 }
@@ -351,7 +352,7 @@
                         { { "instance", order.instance },
                           { "model", order.model },
                           { "adapter", order.adapter },
-                          { "outcome", engine::nameOf (outcome) } });
+                          { "outcome", engine::toString (outcome) } });
             feed ([&] (ControllerCore& core) { core.onEngineOrderAnswer (order, outcome); });
         });
 }
@@ -369,13 +370,13 @@
 
 void ControllerProcess::onMemberMessage (const consensus::Message& message)
 {
-    // An address may have belonged to another member before: its messages are not for this one.
+    // The address may have belonged to another member, whose messages are not for this one.
     if (message.to != static_cast<base::MemberId> (m_settings.id))
         return;
     feed ([&] (ControllerCore& core) { core.onMemberMessage (message); });
 }
 
-void ControllerProcess::noteUnusable (std::string_view source, std::string_view reason)
+void ControllerProcess::recordUnusable (std::string_view source, std::string_view reason)
 {
     m_unusableMessages.add();
     log::write (log::Event::kRunnerMessageUnusable, { { "source", source }, { "error", reason } });
@@ -389,7 +390,7 @@
     finish (base::traitsOf (error.kind).exitCode);
 }
 
-void ControllerProcess::noteLeadership()
+void ControllerProcess::logLeadershipChange()
 {
     const consensus::RaftSummary status = m_core->raftSummary();
     if (status.leader != 0)
@@ -411,7 +412,7 @@
     m_lastLeader = status.leader;
 }
 
-void ControllerProcess::noteRelay()
+void ControllerProcess::logRelayChange()
 {
     const RelayStatus status = m_core->relayStatus();
     if (status.mayServe == m_lastRelayServes)
--- a/src/controller/ControllerQuarantine.cpp
+++ b/src/controller/ControllerQuarantine.cpp
@@ -1,7 +1,8 @@
 /**
- * Requests under which runners ended: the leader puts what routers report into the log, and every
- * member tells its routers what it has applied, so that an end is known at all routers within some
- * tens of milliseconds and outlives leaders. See docs/design/quarantine.md.
+ * Quarantine of requests at which runners crashed. The leader puts the crashes that routers report
+ * into the log, and every member sends its routers the suspects that it has applied, so that a
+ * crash is known at all routers within some tens of milliseconds and survives a change of the
+ * leader. See docs/design/quarantine.md.
  */
 
 #include <algorithm>
@@ -14,48 +15,49 @@
 namespace
 {
 
-/// Ends that come together, as those under all requests of a crashed runner do, go out together.
+/// Interval of suspect updates, so that crashes that arrive together, such as those for all
+/// requests of one runner, are sent together.
 constexpr base::Duration kSuspectInterval = base::milliseconds (10);
-/// A commit takes some 20 ms, but as long as the disks do when they are slow: beside a busy disk
-/// 0.85 s, in which two runners more ended. Routers hear of what takes longer than this before it
-/// is agreed on.
-constexpr base::Duration kHintAfter = base::milliseconds (30);
-/// An end that was not applied by then never will be: the router tells it again, if it has not
-/// given up.
-constexpr base::Duration kUnsettledLifetime = base::seconds (5);
-/// How often the leader looks for suspects whose lifetime, minutes, is over.
+/// Time after which routers are notified of a crash that is not committed yet. A commit takes about
+/// 20 ms, but longer when the disks are slow: with a busy disk it took 0.85 s, during which two
+/// more runners crashed.
+constexpr base::Duration kAnnouncementDelay = base::milliseconds (30);
+/// A crash that was not applied within this time will not be applied: the router reports it again
+/// or has dropped it.
+constexpr base::Duration kUnappliedCrashLifetime = base::seconds (5);
+/// Interval of the search for expired suspects, whose lifetime is minutes.
 constexpr base::Duration kExpiryInterval = base::seconds (10);
 
 }  // namespace
 
-void ControllerCore::Implementation::noteReporter (RouterSession& session,
-                                                   const cell::SuspectReport& report)
+void ControllerCore::Implementation::recordReporter (RouterSession& session,
+                                                     const cell::SuspectReport& report)
 {
-    for (const cell::RunnerEndReport& end : report.ends)
-        session.reportedSuspects[end.request.digest] = m_now;
+    for (const cell::RunnerCrashReport& crash : report.crashes)
+        session.reportedSuspects[crash.request.digest] = m_now;
     m_suspectsSend.request();
 }
 
 void ControllerCore::Implementation::onSuspectReport (const cell::SuspectReport& report)
 {
     const cell::QuarantineTable& table = m_state.quarantine();
-    for (const cell::RunnerEndReport& end : report.ends)
+    for (const cell::RunnerCrashReport& crash : report.crashes)
     {
-        const cell::Suspect* known = table.find (end.request.digest);
-        const bool isNews = known == nullptr || ! known->contains (end.instance);
-        // One that was leaving ended by its plan.
-        if (! isNews || isLeaving (end.instance))
+        const cell::Suspect* known = table.find (crash.request.digest);
+        const bool isNew = known == nullptr || ! known->contains (crash.instance);
+        // A runner that ended while it was leaving did not crash.
+        if (! isNew || isLeaving (crash.instance))
             continue;
-        m_leader->unsettledEnds.push_back ({ end, m_now, false });
+        m_leader->unappliedCrashes.push_back ({ crash, m_now, false });
         const base::UnixMilliseconds now = cellTime();
-        m_leader->suspects.ends.push_back ({ end.request, end.instance,
-                                             now - end.sentAgoMilliseconds,
-                                             now - end.endedAgoMilliseconds });
+        m_leader->suspects.crashes.push_back ({ crash.request, crash.instance,
+                                                now - crash.sentAgoMilliseconds,
+                                                now - crash.crashedAgoMilliseconds });
     }
-    for (const std::string& digest : report.acquitted)
+    for (const std::string& digest : report.cleared)
     {
         if (table.find (digest) != nullptr)
-            m_leader->suspects.acquitted.push_back (digest);
+            m_leader->suspects.cleared.push_back (digest);
     }
 }
 
@@ -71,46 +73,47 @@
 
 void ControllerCore::Implementation::proposeSuspectsIfDue()
 {
-    cell::NoteSuspects& pending = m_leader->suspects;
+    cell::RecordSuspects& pending = m_leader->suspects;
     const bool mustExpire =
         m_now >= m_leader->nextSuspectExpiryAt && m_state.quarantine().hasExpired (cellTime());
     if (m_now >= m_leader->nextSuspectExpiryAt)
         m_leader->nextSuspectExpiryAt = m_now + kExpiryInterval;
-    if (pending.ends.empty() && pending.acquitted.empty() && ! mustExpire)
+    if (pending.crashes.empty() && pending.cleared.empty() && ! mustExpire)
         return;
-    cell::NoteSuspects command = std::exchange (pending, {});
+    cell::RecordSuspects command = std::exchange (pending, {});
     command.proposedAt = cellTime();
     propose (command, ForNothing{});
 }
 
-void ControllerCore::Implementation::hintAtSuspects()
+void ControllerCore::Implementation::announceLateCrashes()
 {
-    std::erase_if (m_leader->unsettledEnds, [this] (const UnsettledEnd& end)
-                   { return m_now - end.receivedAt >= kUnsettledLifetime; });
-    const bool isAnyLate =
-        std::ranges::any_of (m_leader->unsettledEnds, [this] (const UnsettledEnd& end)
-                             { return ! end.isHinted && m_now - end.receivedAt >= kHintAfter; });
+    std::erase_if (m_leader->unappliedCrashes, [this] (const UnappliedCrash& crash)
+                   { return m_now - crash.receivedAt >= kUnappliedCrashLifetime; });
+    const bool isAnyLate = std::ranges::any_of (
+        m_leader->unappliedCrashes, [this] (const UnappliedCrash& crash)
+        { return ! crash.isAnnounced && m_now - crash.receivedAt >= kAnnouncementDelay; });
     if (! isAnyLate)
         return;
-    std::map<std::string, std::set<std::string>> instances;  // By digest.
-    for (const UnsettledEnd& end : m_leader->unsettledEnds)
-        instances[end.report.request.digest].insert (end.report.instance);
+    std::map<std::string, std::set<std::string>>
+        instances;  // Crashed instances by digest of the request.
+    for (const UnappliedCrash& crash : m_leader->unappliedCrashes)
+        instances[crash.report.request.digest].insert (crash.report.instance);
     cell::SuspectReport hint;
-    for (UnsettledEnd& end : m_leader->unsettledEnds)
+    for (UnappliedCrash& crash : m_leader->unappliedCrashes)
     {
-        const std::string& digest = end.report.request.digest;
+        const std::string& digest = crash.report.request.digest;
         const bool isRepeated =
             instances[digest].size() > 1 || m_state.quarantine().find (digest) != nullptr;
-        const base::Duration age = m_now - end.receivedAt;
-        if (end.isHinted || ! isRepeated)
+        const base::Duration age = m_now - crash.receivedAt;
+        if (crash.isAnnounced || ! isRepeated)
             continue;
-        end.isHinted = true;
-        cell::RunnerEndReport report = end.report;
+        crash.isAnnounced = true;
+        cell::RunnerCrashReport report = crash.report;
         report.sentAgoMilliseconds += base::toMilliseconds (age);
-        report.endedAgoMilliseconds += base::toMilliseconds (age);
-        hint.ends.push_back (std::move (report));
+        report.crashedAgoMilliseconds += base::toMilliseconds (age);
+        hint.crashes.push_back (std::move (report));
     }
-    if (! hint.ends.empty())
+    if (! hint.crashes.empty())
         sendToAllOf (m_leader->sessions, std::move (hint));
 }
 
@@ -123,28 +126,28 @@
     m_effects.emplace_back (BroadcastToRouters{ std::move (connections), std::move (message) });
 }
 
-void ControllerCore::Implementation::noteSuspects (const cell::NoteSuspects& command)
+void ControllerCore::Implementation::onSuspectsApplied (const cell::RecordSuspects& command)
 {
-    std::erase_if (m_leader->unsettledEnds,
-                   [&] (const UnsettledEnd& end)
+    std::erase_if (m_leader->unappliedCrashes,
+                   [&] (const UnappliedCrash& crash)
                    {
                        const cell::Suspect* suspect =
-                           m_state.quarantine().find (end.report.request.digest);
-                       return suspect != nullptr && suspect->contains (end.report.instance);
+                           m_state.quarantine().find (crash.report.request.digest);
+                       return suspect != nullptr && suspect->contains (crash.report.instance);
                    });
-    for (const cell::RunnerEnd& end : command.ends)
+    for (const cell::RunnerCrash& crash : command.crashes)
     {
-        const cell::Suspect* suspect = m_state.quarantine().find (end.request.digest);
-        const bool isNews = suspect != nullptr && suspect->isInQuarantine()
-                            && suspect->ends.back().instance == end.instance;
-        if (isNews)
+        const cell::Suspect* suspect = m_state.quarantine().find (crash.request.digest);
+        const bool isNewlyQuarantined = suspect != nullptr && suspect->isInQuarantine()
+                                        && suspect->crashes.back().instance == crash.instance;
+        if (isNewlyQuarantined)
             m_effects.emplace_back (RequestQuarantined{ *suspect });
     }
 }
 
 void ControllerCore::Implementation::sendSuspectsTo (RouterSessions& sessions)
 {
-    // Called after each input: as long as nothing ends under requests it costs no look at routers.
+    // Called after each input: without changes it must not iterate over the routers.
     const base::LogIndex version = m_state.quarantine().version();
     if (std::exchange (m_suspectsVersion, version) != version)
         m_suspectsSend.request();
@@ -153,10 +156,10 @@
     std::map<base::LogIndex, std::vector<RouterConnection>> behind;
     for (auto& [connection, session] : sessions.sessions())
     {
-        // Another controller has them from the log.
+        // Another controller gets the suspects from the log.
         if (session.isRelay)
             continue;
-        answerReporter (connection, session);
+        sendReportedSuspects (connection, session);
         if (! session.reportedSuspects.empty())
             m_suspectsSend.request();
         if (session.suspectVersion >= version)
@@ -173,8 +176,8 @@
     }
 }
 
-void ControllerCore::Implementation::answerReporter (RouterConnection connection,
-                                                     RouterSession& session)
+void ControllerCore::Implementation::sendReportedSuspects (RouterConnection connection,
+                                                           RouterSession& session)
 {
     if (session.reportedSuspects.empty())
         return;
@@ -185,13 +188,13 @@
                        const auto& [digest, reportedAt] = reported;
                        const cell::Suspect* suspect = m_state.quarantine().find (digest);
                        if (suspect == nullptr)
-                           return m_now - reportedAt >= kUnsettledLifetime;
+                           return m_now - reportedAt >= kUnappliedCrashLifetime;
                        update.upserts.push_back (suspect->row());
                        return true;
                    });
     if (update.upserts.empty())
         return;
-    // Some rows, and not the whole table: also to a router that was sent nothing yet.
+    // The update has single rows, not the whole table, also for a router without a table.
     update.fromVersion = std::max<base::LogIndex> (session.suspectVersion, 1);
     update.toVersion = m_state.quarantine().version();
     sendToRouter (connection, std::move (update));
--- a/src/controller/ControllerRelay.cpp
+++ b/src/controller/ControllerRelay.cpp
@@ -1,7 +1,7 @@
 /**
- * Duties of a member that does not lead: it serves routers and takes heartbeats on behalf of the
- * leader, so that the leader's work grows with the controllers and not with the routers. See
- * RouterRelay.h.
+ * Duties of a member that does not lead: it serves routers and accepts heartbeats on behalf of the
+ * leader, so that the leader's work grows with the number of controllers and not with the number of
+ * routers. See RouterRelay.h.
  */
 
 #include <algorithm>
@@ -14,15 +14,17 @@
 namespace
 {
 
-/// The lease of the leader is renewed this often, so that those passed on are nearly as long.
+/// Interval at which the lease of the leader is renewed; short, so that the leases passed on are
+/// nearly as long.
 constexpr base::Duration kRenewInterval = base::milliseconds (250);
-/// Without a leader plain heartbeats are taken and kept for so long: it is elected within 0.6 s,
-/// and a runner that is turned away opens connections to one controller after the other. Well below
-/// the 3.5 s after which the leader calls a runner silent, should this member be cut off.
-constexpr base::Duration kHeartbeatsKeptFor = base::milliseconds (1500);
-/// The same while consensus hears from a leader: turned away, the runners of all members would call
-/// the new leader at the time when it learns what it needs to serve.
-constexpr base::Duration kHeartbeatsKeptForLeader = base::milliseconds (3000);
+/// Time without a connection to the leader for which heartbeats are still accepted and kept. An
+/// election takes up to 0.6 s, and a runner that is turned away opens connections to one controller
+/// after the other. It is well below the 3.5 s after which the leader considers a runner silent, in
+/// case this member is cut off.
+constexpr base::Duration kHeartbeatRetention = base::milliseconds (1500);
+/// The same time while consensus has a leader. Otherwise the runners of all members would connect
+/// to the new leader while it is still collecting what it needs to serve.
+constexpr base::Duration kHeartbeatRetentionWithLeader = base::milliseconds (3000);
 
 }  // namespace
 
@@ -55,7 +57,7 @@
     }
     else if (const auto* suspects = std::get_if<cell::SuspectReport> (&message))
     {
-        noteReporter (*session, *suspects);
+        recordReporter (*session, *suspects);
         if (m_relay->session.isConnected())
             m_effects.emplace_back (SendToLeader{ message });
     }
@@ -76,8 +78,8 @@
     if (! mayServe)
         return false;
     RouterSession& session = m_relay->sessions.open (connection, hello, m_now);
-    greetWithRates (connection, session, hello);
-    takeInstanceVersion (session, hello, m_relay->instances.term());
+    sendInitialRates (connection, session, hello);
+    applyInstanceVersion (session, hello, m_relay->instances.term());
     if (! m_relay->instances.hasTable() && hello.configurationVersion == 0)
     {
         sendLastKnownState (connection);
@@ -91,12 +93,12 @@
     return true;
 }
 
-void ControllerCore::Implementation::takeInstanceVersion (RouterSession& session,
-                                                          const cell::RouterHello& hello,
-                                                          base::Term term)
+void ControllerCore::Implementation::applyInstanceVersion (RouterSession& session,
+                                                           const cell::RouterHello& hello,
+                                                           base::Term term)
 {
-    // A router that comes from another controller goes on with the table that it has, also when it
-    // is newer than the one here: an older one would show runners that have left since.
+    // A router that comes from another controller continues with the table it holds, also when that
+    // is newer than the one here: an older one would contain runners that have left since.
     if (hello.instanceTerm == term)
         session.instanceVersion = hello.instanceVersion;
 }
@@ -117,26 +119,26 @@
         m_relay->configurationSend.request();
     if (session.instanceVersion != m_relay->instances.version())
         m_relay->instanceTable.request();
-    passLeaseOn (connection, session, request);
-    stateIfNews();
+    forwardLease (connection, session, request);
+    requestLeaseIfConfirmed();
 }
 
-void ControllerCore::Implementation::passLeaseOn (RouterConnection connection,
-                                                  RouterSession& session,
-                                                  const cell::LeaseRequest& request)
+void ControllerCore::Implementation::forwardLease (RouterConnection connection,
+                                                   RouterSession& session,
+                                                   const cell::LeaseRequest& request)
 {
     const base::TimePoint end = relayedLeaseEnd();
     if (end <= m_now)
     {
         ++m_counters.leasesWithheld;
-        // Once it had a lease, another controller may still have one.
+        // After a lease has expired here, another controller may still have one.
         if (end != base::TimePoint{})
             sendToRouter (connection, cell::NotLeaderReply{});
         else
-            m_relay->unanswered[connection] = request;
+            m_relay->pendingLeaseRequests[connection] = request;
         return;
     }
-    if (session.statedInstanceVersion < m_relay->instances.requiredVersion())
+    if (session.reportedInstanceVersion < m_relay->instances.requiredVersion())
     {
         ++m_counters.leasesWithheld;
         return;
@@ -148,38 +150,38 @@
     sendToRouter (connection, std::move (grant));
 }
 
-/// The leader may wait to hear of what a router has just stated.
-void ControllerCore::Implementation::stateIfNews()
+/// The leader may be waiting for confirmations that routers have just sent.
+void ControllerCore::Implementation::requestLeaseIfConfirmed()
 {
     const std::uint64_t version = m_state.configuration().identity().version;
-    const bool isNews =
-        m_relay->sessions.confirmedVersion (version, {}, m_now) > m_relay->statedVersion
+    const bool hasAdvanced =
+        m_relay->sessions.confirmedVersion (version, {}, m_now) > m_relay->reportedVersion
         || m_relay->sessions.confirmedInstanceVersion (m_relay->instances.version(), m_now)
-               > m_relay->statedInstanceVersion;
-    if (isNews)
+               > m_relay->reportedInstanceVersion;
+    if (hasAdvanced)
         m_relay->session.requestSoon (m_now);
 }
 
 void ControllerCore::Implementation::relayRouterGone (RouterConnection connection)
 {
-    m_relay->unanswered.erase (connection);
+    m_relay->pendingLeaseRequests.erase (connection);
     m_relay->sessions.close (connection);
-    m_relay->demands.onRouterGone (connection);
-    m_relay->loadSum.onReporterGone (connection);
-    m_relay->quotas.onRouterGone (connection);
+    m_relay->demands.onRouterDisconnected (connection);
+    m_relay->loadSum.onReporterDisconnected (connection);
+    m_relay->quotas.onRouterDisconnected (connection);
 }
 
 bool ControllerCore::Implementation::relayHeartbeat (const InstanceHeartbeat& heartbeat)
 {
     m_relay->hasRunners = true;
     const cell::ServiceInstance* known = m_state.instances().find (heartbeat.instance.id);
-    // The acknowledgement of a drain is a promise, and the leader's to give.
+    // The acknowledgement of a drain is a guarantee that only the leader can give.
     const bool isPlain =
         ! heartbeat.instance.isDraining && (known == nullptr || ! known->isDraining);
-    const base::Duration keptFor =
-        m_status.leader != 0 ? kHeartbeatsKeptForLeader : kHeartbeatsKeptFor;
+    const base::Duration retention =
+        m_status.leader != 0 ? kHeartbeatRetentionWithLeader : kHeartbeatRetention;
     const bool mayKeep =
-        m_relay->session.isConnected() || m_now - m_relay->leaderlessSince < keptFor;
+        m_relay->session.isConnected() || m_now - m_relay->leaderlessSince < retention;
     if (! isPlain || ! mayKeep)
         return false;
     const bool isKnown = known != nullptr && ! m_state.instances().isNews (heartbeat.instance);
@@ -196,15 +198,16 @@
     sendRelayedInstances();
     sendSuspectsTo (m_relay->sessions);
     relayLoads();
-    sendRatesTo (m_relay->sessions, m_relay->rateNews);
+    sendRatesTo (m_relay->sessions, m_relay->rateUpdateState);
     if (! m_relay->session.isConnected())
         return;
     if (auto demands = m_relay->demands.takeDue (m_now); ! demands.empty())
         m_effects.emplace_back (SendToLeader{ cell::EngineDemandReport{ std::move (demands) } });
     if (auto quota = m_relay->quotas.takeRequest (m_now))
         m_effects.emplace_back (SendToLeader{ std::move (*quota) });
-    if (auto sightings = m_relay->heartbeats.takeDue (m_now); ! sightings.empty())
-        m_effects.emplace_back (SendToLeader{ cell::InstanceSightings{ std::move (sightings) } });
+    if (auto relayedHeartbeats = m_relay->heartbeats.takeDue (m_now); ! relayedHeartbeats.empty())
+        m_effects.emplace_back (
+            SendToLeader{ cell::RelayedHeartbeats{ std::move (relayedHeartbeats) } });
 }
 
 void ControllerCore::Implementation::followLeader()
@@ -224,10 +227,10 @@
     if (std::holds_alternative<cell::ConnectController> (*due))
         m_effects.emplace_back (ConnectToLeader{ address });
     else
-        stateToLeader (std::get<cell::LeaseRequest> (*due));
+        sendStateToLeader (std::get<cell::LeaseRequest> (*due));
 }
 
-void ControllerCore::Implementation::stateToLeader (cell::LeaseRequest request)
+void ControllerCore::Implementation::sendStateToLeader (cell::LeaseRequest request)
 {
     const cell::ConfigurationIdentity& applied = m_state.configuration().identity();
     request.configurationVersion = m_relay->sessions.confirmedVersion (applied.version, {}, m_now);
@@ -237,8 +240,8 @@
     request.instanceVersion =
         m_relay->sessions.confirmedInstanceVersion (m_relay->instances.version(), m_now);
     request.routers = m_relay->sessions.countRouters();
-    m_relay->statedVersion = request.configurationVersion;
-    m_relay->statedInstanceVersion = request.instanceVersion;
+    m_relay->reportedVersion = request.configurationVersion;
+    m_relay->reportedInstanceVersion = request.instanceVersion;
     m_effects.emplace_back (SendToLeader{ std::move (request) });
 }
 
@@ -258,9 +261,9 @@
     hello.instanceTerm = m_relay->instances.term();
     hello.instanceVersion = m_relay->needsWholeTable ? 0 : m_relay->instances.version();
     m_effects.emplace_back (SendToLeader{ std::move (hello) });
-    m_relay->demands.tellAll();
-    m_relay->loadSum.tellAll();
-    m_relay->heartbeats.tellAll();
+    m_relay->demands.resendAll();
+    m_relay->loadSum.resendAll();
+    m_relay->heartbeats.resendAll();
     m_relay->quotas.onLeaderLost();
     m_relay->rates.onLeaderLost();
     runRelay();
@@ -282,21 +285,21 @@
 {
     if (m_leader)
         return;
-    m_relay->session.onHeard (m_now);
-    takeLeaderRates (message);
+    m_relay->session.onMessageReceived (m_now);
+    applyLeaderRates (message);
     if (std::holds_alternative<cell::NotLeaderReply> (message))
     {
-        // This member hears from the others who leads.
+        // This member gets the identity of the leader from consensus.
         m_relay->session.onNotLeader ({}, m_now, m_relay->random);
     }
     else if (const auto* grant = std::get_if<cell::LeaseGrant> (&message))
     {
         m_relay->session.onGrant (*grant);
         m_relay->session.requestBy (m_now + kRenewInterval);
-        for (const auto& [connection, request] : std::exchange (m_relay->unanswered, {}))
+        for (const auto& [connection, request] : std::exchange (m_relay->pendingLeaseRequests, {}))
         {
             if (RouterSession* session = m_relay->sessions.find (connection))
-                passLeaseOn (connection, *session, request);
+                forwardLease (connection, *session, request);
         }
     }
     else if (const auto* quota = std::get_if<cell::QuotaGrant> (&message))
@@ -306,7 +309,7 @@
     }
     else if (const auto* instances = std::get_if<cell::InstanceUpdate> (&message))
     {
-        takeRelayedInstances (*instances);
+        applyRelayedInstances (*instances);
     }
     else if (const auto* loads = std::get_if<cell::InstanceLoadUpdate> (&message))
     {
@@ -319,12 +322,13 @@
     runRelay();
 }
 
-void ControllerCore::Implementation::takeRelayedInstances (const cell::InstanceUpdate& update)
+void ControllerCore::Implementation::applyRelayedInstances (const cell::InstanceUpdate& update)
 {
     const base::Term earlier = m_relay->instances.term();
     if (! m_relay->instances.apply (update))
     {
-        // A gap: a new connection gets the whole table. Until then what routers must have stands.
+        // Updates were missed: a new connection gets the whole table. Until then the version that
+        // routers must hold stays in force.
         m_relay->needsWholeTable = true;
         m_relay->session.onLost (m_now, m_relay->random);
         return;
@@ -341,7 +345,7 @@
 
 void ControllerCore::Implementation::sendRelayedInstances()
 {
-    const InstanceMirror& instances = m_relay->instances;
+    const RelayInstanceTable& instances = m_relay->instances;
     if (! instances.hasTable())
         return;
     const std::size_t routers = m_relay->sessions.sessions().size();
@@ -358,7 +362,8 @@
         m_relay->wholeTable.request();
 }
 
-/// This member leads from now on. Its routers find another controller well within their leases.
+/// Called when this member becomes the leader. Its routers find another controller well within
+/// their leases.
 void ControllerCore::Implementation::endRelay()
 {
     if (! m_relay)
--- a/src/controller/ControllerRelayTest.cpp
+++ b/src/controller/ControllerRelayTest.cpp
@@ -1,4 +1,4 @@
-// Routers that are served by controllers which do not lead, in a whole cell.
+// Tests of controllers that serve routers without leading, in a cell of controllers.
 
 #include <gtest/gtest.h>
 
@@ -35,7 +35,7 @@
 
     bool apply (std::uint64_t version)
     {
-        const auto answer = m_cell.askControl (
+        const auto answer = m_cell.sendControlRequest (
             m_leader, ReplaceConfiguration{ std::to_string (version) + " " }, seconds (4));
         return answer && answer->verdict == ControlVerdict::kDone;
     }
@@ -59,7 +59,7 @@
         beat.models = std::move (models);
         return beat;
     }
-    /// Value of a line of a member's metrics.
+    /// Value of a metric of a member; -1 when it is missing.
     double metric (base::MemberId member, const std::string& name)
     {
         const std::string text = m_cell.core (member).metricsText();
@@ -72,7 +72,7 @@
     base::MemberId m_follower = 0;
 };
 
-TEST_F (ControllerRelayTest, RoutersAreServedByAControllerThatDoesNotLead)
+TEST_F (ControllerRelayTest, RelayServesRouters)
 {
     ASSERT_TRUE (apply (1));
     EXPECT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
@@ -85,7 +85,7 @@
     EXPECT_EQ (m_cell.router (0).connectedTo, m_follower);
 }
 
-TEST_F (ControllerRelayTest, AChangeIsConfirmedAsSoonAsTheRoutersHaveIt)
+TEST_F (ControllerRelayTest, ChangeIsConfirmedOnceRoutersHaveIt)
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
@@ -95,7 +95,7 @@
     EXPECT_TRUE (allServe (2));
 }
 
-TEST_F (ControllerRelayTest, AChangeWaitsForARouterThatDoesNotHearOfIt)
+TEST_F (ControllerRelayTest, ChangeWaitsForLeaseOfUnreachableRouter)
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
@@ -104,33 +104,33 @@
     EXPECT_FALSE (m_cell.router (3).admits (m_cell.now()));
 }
 
-TEST_F (ControllerRelayTest, AMemberThatHearsTheLeaderKeepsHeartbeatsUntilItIsConnected)
+TEST_F (ControllerRelayTest, RelayKeepsHeartbeatsUntilConnectedToLeader)
 {
     ASSERT_TRUE (apply (1));
     for (const base::MemberId member : { m_follower, 6 - m_leader - m_follower })
-        ASSERT_TRUE (m_cell.askControl (member, heartbeat (1)));
+        ASSERT_TRUE (m_cell.sendControlRequest (member, heartbeat (1)));
     m_cell.run (seconds (1));
     m_cell.refusesLeaderLinks = true;
     m_cell.kill (m_leader);
     m_cell.run (milliseconds (2500));
     const base::MemberId leader = m_cell.leader();
     ASSERT_NE (leader, 0U);
-    const base::MemberId relay = 6 - leader - m_leader;  // Of members 1 to 3.
-    const auto answer = m_cell.askControl (relay, heartbeat (2));
+    const base::MemberId relay = 6 - leader - m_leader;  // The third of the members 1 to 3.
+    const auto answer = m_cell.sendControlRequest (relay, heartbeat (2));
     ASSERT_TRUE (answer);
-    EXPECT_EQ (answer->verdict, ControlVerdict::kDone) << "it sends the runner to the leader";
-    // Not for ever: the leader would call the runner silent.
+    EXPECT_EQ (answer->verdict, ControlVerdict::kDone) << "the relay must keep the heartbeat";
+    // The time is limited, since the leader would consider the runner silent.
     m_cell.run (seconds (3));
-    const auto later = m_cell.askControl (relay, heartbeat (3));
+    const auto later = m_cell.sendControlRequest (relay, heartbeat (3));
     ASSERT_TRUE (later);
     EXPECT_EQ (later->verdict, ControlVerdict::kNotLeader);
 }
 
-TEST_F (ControllerRelayTest, ARelayOfAnEarlierBuildGetsTheWholeTableOfANewLeader)
+TEST_F (ControllerRelayTest, RelayOfEarlierBuildReceivesWholeTableOfNewLeader)
 {
     ASSERT_TRUE (apply (1));
     for (const base::MemberId member : { m_follower, 6 - m_leader - m_follower })
-        ASSERT_TRUE (m_cell.askControl (member, heartbeat (1)));
+        ASSERT_TRUE (m_cell.sendControlRequest (member, heartbeat (1)));
     m_cell.run (seconds (1));
     const TestRouter& router = m_cell.router (0);
     const std::uint64_t earlierVersion = router.instanceVersion;
@@ -157,7 +157,7 @@
     EXPECT_EQ (rowsAfterHello (0), 1U) << "the table has one row";
 }
 
-TEST_F (ControllerRelayTest, RoutersOutliveAChangeOfTheLeader)
+TEST_F (ControllerRelayTest, RoutersServeThroughLeaderChange)
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
@@ -172,7 +172,7 @@
     EXPECT_FALSE (hasGap) << "leases outlast an election";
 }
 
-TEST_F (ControllerRelayTest, RoutersOfAControllerThatIsCutOffGoToAnother)
+TEST_F (ControllerRelayTest, RoutersOfIsolatedControllerMoveToAnother)
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
@@ -182,14 +182,14 @@
         [&] { return allServe (1) && m_cell.router (0).connectedTo != m_follower; }, seconds (5)));
 }
 
-TEST_F (ControllerRelayTest, AHeartbeatReachesTheLeaderAndItsHoldingsTheRouters)
+TEST_F (ControllerRelayTest, RelayedHeartbeatUpdatesModelsAtRouters)
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
-    const auto registered = m_cell.askControl (m_leader, heartbeat (1));
+    const auto registered = m_cell.sendControlRequest (m_leader, heartbeat (1));
     ASSERT_TRUE (registered && registered->verdict == ControlVerdict::kDone);
     m_cell.run (milliseconds (500));
-    const auto taken = m_cell.askControl (m_follower, heartbeat (2, { { "m1", 1, {} } }));
+    const auto taken = m_cell.sendControlRequest (m_follower, heartbeat (2, { { "m1", 1, {} } }));
     ASSERT_TRUE (taken);
     EXPECT_EQ (taken->verdict, ControlVerdict::kDone);
     EXPECT_TRUE (m_cell.runUntil (
@@ -202,53 +202,53 @@
         seconds (2)));
 }
 
-TEST_F (ControllerRelayTest, AnyControllerTakesTheFirstHeartbeatOfARunner)
+TEST_F (ControllerRelayTest, AnyControllerAcceptsFirstHeartbeatOfRunner)
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
-    const auto taken = m_cell.askControl (m_follower, heartbeat (1, { { "m1", 1, {} } }));
+    const auto taken = m_cell.sendControlRequest (m_follower, heartbeat (1, { { "m1", 1, {} } }));
     ASSERT_TRUE (taken);
     EXPECT_EQ (taken->verdict, ControlVerdict::kDone);
     EXPECT_TRUE (m_cell.runUntil ([&] { return m_cell.router (0).instances.contains ("i-1"); },
                                   seconds (1)));
 }
 
-TEST_F (ControllerRelayTest, ABusyLeaderSendsHeartbeatsToControllersThatFollowIt)
+TEST_F (ControllerRelayTest, BusyLeaderRedirectsHeartbeatsToRelays)
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
-    ASSERT_TRUE (m_cell.askControl (m_leader, heartbeat (1)));
-    const auto few = m_cell.askControl (m_leader, heartbeat (2));
+    ASSERT_TRUE (m_cell.sendControlRequest (m_leader, heartbeat (1)));
+    const auto few = m_cell.sendControlRequest (m_leader, heartbeat (2));
     ASSERT_TRUE (few);
     EXPECT_EQ (few->leaderAddress, "c" + std::to_string (m_leader) + ":2");
     for (std::uint64_t sequence = 3; sequence < 200; ++sequence)
-        ASSERT_TRUE (m_cell.askControl (m_leader, heartbeat (sequence)));
-    const auto many = m_cell.askControl (m_leader, heartbeat (200));
+        ASSERT_TRUE (m_cell.sendControlRequest (m_leader, heartbeat (sequence)));
+    const auto many = m_cell.sendControlRequest (m_leader, heartbeat (200));
     ASSERT_TRUE (many);
     EXPECT_EQ (many->verdict, ControlVerdict::kDone);
     EXPECT_EQ (many->leaderAddress, "c" + std::to_string (m_follower) + ":2");
 }
 
-TEST_F (ControllerRelayTest, ARunnerThatHasLeftDoesNotComeBackByALateHeartbeat)
+TEST_F (ControllerRelayTest, LateHeartbeatDoesNotRestoreDeregisteredRunner)
 {
     ASSERT_TRUE (apply (1));
     ASSERT_TRUE (m_cell.runUntil ([&] { return allServe (1); }, seconds (2)));
-    ASSERT_TRUE (m_cell.askControl (m_leader, heartbeat (1)));
-    ASSERT_TRUE (m_cell.askControl (m_leader, InstanceDeregistration{ "i-1" }));
+    ASSERT_TRUE (m_cell.sendControlRequest (m_leader, heartbeat (1)));
+    ASSERT_TRUE (m_cell.sendControlRequest (m_leader, InstanceDeregistration{ "i-1" }));
     m_cell.run (milliseconds (500));
-    m_cell.askControl (m_follower, heartbeat (2));
+    m_cell.sendControlRequest (m_follower, heartbeat (2));
     m_cell.run (seconds (1));
     EXPECT_FALSE (m_cell.router (0).instances.contains ("i-1"));
 }
 
-TEST_F (ControllerRelayTest, ADrainIsForTheLeader)
+TEST_F (ControllerRelayTest, RelayRefersDrainToLeader)
 {
     ASSERT_TRUE (apply (1));
-    ASSERT_TRUE (m_cell.askControl (m_leader, heartbeat (1)));
+    ASSERT_TRUE (m_cell.sendControlRequest (m_leader, heartbeat (1)));
     m_cell.run (milliseconds (500));
     InstanceHeartbeat draining = heartbeat (2);
     draining.instance.isDraining = true;
-    const auto answer = m_cell.askControl (m_follower, draining);
+    const auto answer = m_cell.sendControlRequest (m_follower, draining);
     ASSERT_TRUE (answer);
     EXPECT_EQ (answer->verdict, ControlVerdict::kNotLeader);
 }
--- a/src/controller/ControllerRunners.cpp
+++ b/src/controller/ControllerRunners.cpp
@@ -1,4 +1,4 @@
-// Duties of the leader towards runners: polls, reconciliation and orders.
+// Duties of the leader towards runners: polling, reconciliation and orders.
 
 #include <algorithm>
 #include <utility>
@@ -21,32 +21,33 @@
     if (! holdsLease())
         return;
     proposeSuspectsIfDue();
-    hintAtSuspects();
+    announceLateCrashes();
     pollMachineList();
     pollRunners();
     for (const base::RunnerId& runner : m_leader->orders.waitingRunners())
         sendOrders (runner);
     sendTablesIfDue();
     shareLoads();
-    sendRatesTo (m_leader->sessions, m_leader->rateNews);
+    sendRatesTo (m_leader->sessions, m_leader->rateUpdateState);
     if (m_now < m_leader->nextRoutineAt)
         return;
     m_leader->nextRoutineAt = m_now + kRoutineInterval;
     m_leader->demands.expire (m_now);
     runInstanceRoutine();
-    forgetLoadsOfGone();
-    forgetRatesOfGone();
+    removeLoadsOfGoneInstances();
+    removeRatesOfGoneInstances();
     shareRates();
-    tellPlacementOfRates();
+    updatePlacementRates();
     changeMembersIfDue();
     m_leader->isPlacementDue = true;
     placeIfDue();
     if (m_options.plantedFault == cell::PlantedFault::kReplicaReleasedOnSilence)
     {
-        const auto sights = m_leader->watch.sights();  // A copy: removeRunner changes it.
-        for (const auto& [runner, sight] : sights)
+        const auto observations =
+            m_leader->watch.observations();  // A copy: removeRunner changes it.
+        for (const auto& [runner, observation] : observations)
         {
-            if (sight.report && ! m_leader->watch.isResponsive (runner, m_now))
+            if (observation.report && ! m_leader->watch.isResponsive (runner, m_now))
                 removeRunner (runner);
         }
     }
@@ -66,15 +67,15 @@
 {
     for (const base::RunnerId& runner : m_leader->watch.takeDuePolls (m_now))
     {
-        const RunnerSight* sight = m_leader->watch.find (runner);
+        const RunnerObservation* observation = m_leader->watch.find (runner);
         const cell::Runner* known = m_state.replicas().findRunner (runner);
-        if (! sight->listed && known == nullptr)
+        if (! observation->listed && known == nullptr)
         {
             m_leader->watch.onReportFailed (runner, m_now);
             continue;
         }
         const std::string& address =
-            sight->listed ? sight->listed->address : known->machine.address;
+            observation->listed ? observation->listed->address : known->machine.address;
         m_effects.emplace_back (PollRunner{ runner, address });
     }
 }
@@ -106,7 +107,7 @@
         return;
     ++m_counters.reports;
     m_leader->watch.onReport (runner, report, m_now);
-    noteUse (report);
+    recordUse (report);
     observe (runner);
     reconcile (runner);
     drain();
@@ -120,7 +121,7 @@
     m_leader->watch.onReportFailed (runner, m_now);
 }
 
-void ControllerCore::Implementation::noteUse (const engine::Report& report)
+void ControllerCore::Implementation::recordUse (const engine::Report& report)
 {
     for (const engine::ReplicaReport& replica : report.replicas)
     {
@@ -134,10 +135,11 @@
 {
     if (m_leader->busyRunners.count (runner) != 0)
         return;
-    const RunnerSight* sight = m_leader->watch.find (runner);
-    if (sight == nullptr)
+    const RunnerObservation* observation = m_leader->watch.find (runner);
+    if (observation == nullptr)
         return;
-    std::optional<cell::ObserveRunner> command = observationOf (runner, *sight, m_state.replicas());
+    std::optional<cell::ObserveRunner> command =
+        observationOf (runner, *observation, m_state.replicas());
     if (! command)
         return;
     command->proposedAt = cellTime();
@@ -179,8 +181,8 @@
     {
         failReplica (replica, "the engine reports it failed or no longer holds it");
     }
-    for (const StrayReplica& stray : findings.strays)
-        proposeStray (stray);
+    for (const OrphanedReplica& orphan : findings.orphans)
+        proposeOrphanUnload (orphan);
 }
 
 void ControllerCore::Implementation::failReplica (base::ReplicaId id, const std::string& reason)
@@ -216,21 +218,21 @@
         m_leader->busyReplicas.insert (replica);
 }
 
-void ControllerCore::Implementation::proposeStray (const StrayReplica& stray)
+void ControllerCore::Implementation::proposeOrphanUnload (const OrphanedReplica& orphan)
 {
-    const std::pair key (stray.runner, stray.report.replica);
-    std::erase_if (m_leader->strayPauses,
+    const std::pair key (orphan.runner, orphan.report.replica);
+    std::erase_if (m_leader->orphanUnloadDelays,
                    [&] (const auto& entry) { return m_now >= entry.second; });
-    if (m_leader->busyStrays.count (key) != 0 || m_leader->strayPauses.count (key) != 0)
+    if (m_leader->busyOrphans.count (key) != 0 || m_leader->orphanUnloadDelays.count (key) != 0)
         return;
-    if (m_leader->orders.hasStray (stray.runner, stray.report.replica))
+    if (m_leader->orders.hasOrphan (orphan.runner, orphan.report.replica))
         return;
-    const cell::DecideUnload command{ stray.report.replica, "held by an engine but not decided",
+    const cell::DecideUnload command{ orphan.report.replica, "held by an engine but not decided",
                                       cellTime() };
-    if (! propose (command, ForStray{ stray }))
+    if (! propose (command, ForOrphan{ orphan }))
         return;
-    ++m_counters.strayReplicas;
-    m_leader->busyStrays.insert (key);
+    ++m_counters.orphanedReplicas;
+    m_leader->busyOrphans.insert (key);
 }
 
 void ControllerCore::Implementation::sendOrders()
@@ -289,7 +291,7 @@
     const bool isCurrent = replica != nullptr && replica->fence == order.fence;
     if (answer.refusal == base::ErrorKind::kIncarnationMismatch)
     {
-        // The next report shows the new incarnation; until then the order waits.
+        // The order waits until a report shows the new incarnation.
         m_leader->orders.onFailed (runner, order.fence, m_now);
         return;
     }
@@ -312,7 +314,7 @@
     {
         failReplica (order.replica, "order refused: " + refusal);
     }
-    // A stale load was taken earlier or never will be: the next report tells which.
+    // A stale load was either accepted earlier or never will be; the next report shows which.
 }
 
 void ControllerCore::Implementation::onOrderFailed (const base::RunnerId& runner,
--- a/src/controller/CreditShareTest.cpp
+++ b/src/controller/CreditShareTest.cpp
@@ -19,7 +19,7 @@
     return replica;
 }
 
-void ask (DemandTable& demands, DemandSource source, const std::string& target)
+void addDemand (DemandTable& demands, DemandSource source, const std::string& target)
 {
     cell::Demand demand;
     demand.target = target;
@@ -27,13 +27,13 @@
     demands.report (source, { { demand } }, base::TimePoint{});
 }
 
-RC_GTEST_PROP (CreditSharePropertyTest, CreditsOfAskersAddUpToTheSlots, ())
+RC_GTEST_PROP (CreditSharePropertyTest, CreditsOfSourcesWithDemandAddUpToTheSlots, ())
 {
     const auto slots = *rc::gen::inRange<std::uint32_t> (1, 40);
     const auto sources = *rc::gen::inRange<DemandSource> (1, 12);
     const std::vector<std::string> targets = { "a", "b", "c" };
-    const auto asks = *rc::gen::container<std::vector<bool>> (sources * targets.size(),
-                                                              rc::gen::arbitrary<bool>());
+    const auto hasDemand = *rc::gen::container<std::vector<bool>> (sources * targets.size(),
+                                                                   rc::gen::arbitrary<bool>());
     DemandTable demands;
     std::vector<cell::RoutableReplica> replicas;
     replicas.reserve (targets.size());
@@ -44,9 +44,9 @@
     {
         for (std::size_t target = 0; target < targets.size(); ++target)
         {
-            if (! asks[source * targets.size() + target])
+            if (! hasDemand[source * targets.size() + target])
                 continue;
-            ask (demands, source, targets[target]);
+            addDemand (demands, source, targets[target]);
             ++pairs;
         }
     }
@@ -58,7 +58,7 @@
         {
             const std::uint32_t credits = share.creditsFor (source, replica);
             RC_ASSERT (credits >= 1U);
-            if (demands.asks (source, replica.target))
+            if (demands.hasDemand (source, replica.target))
                 sum += credits;
         }
     }
@@ -66,10 +66,10 @@
         RC_ASSERT (sum == std::max (slots, pairs));
 }
 
-TEST (CreditShareTest, OnlyAskerGetsEverySlot)
+TEST (CreditShareTest, OnlySourceWithDemandGetsEverySlot)
 {
     DemandTable demands;
-    ask (demands, 1, "a");
+    addDemand (demands, 1, "a");
     const CreditShare share ({ replicaOf ("a", "r", 8), replicaOf ("b", "r", 8) }, demands, 5);
     EXPECT_EQ (share.creditsFor (1, replicaOf ("a", "r", 8)), 8U);
     EXPECT_EQ (share.creditsFor (2, replicaOf ("a", "r", 8)), 1U);
@@ -78,8 +78,8 @@
 TEST (CreditShareTest, TargetsOnOneRunnerShareItsSlots)
 {
     DemandTable demands;
-    ask (demands, 1, "a");
-    ask (demands, 2, "b");
+    addDemand (demands, 1, "a");
+    addDemand (demands, 2, "b");
     const std::vector replicas = { replicaOf ("a", "r", 8), replicaOf ("b", "r", 8),
                                    replicaOf ("a", "s", 8) };
     const CreditShare share (replicas, demands, 2);
--- a/src/controller/DemandTableTest.cpp
+++ b/src/controller/DemandTableTest.cpp
@@ -29,7 +29,7 @@
     base::TimePoint m_now{ base::seconds (1) };
 };
 
-TEST_F (DemandTableTest, AddsUpSourcesAndReplacesWhatEachSaid)
+TEST_F (DemandTableTest, AddsUpSourcesAndReplacesEarlierReports)
 {
     report (1, demandOf ("a", 3, 1, 5));
     report (2, demandOf ("a", 2, 0, 1));
@@ -41,7 +41,7 @@
     EXPECT_EQ (m_table.sourcesOf ("a"), (std::vector<DemandSource>{ 1, 2 }));
 }
 
-TEST_F (DemandTableTest, EndsWithAStatementOfNoneWithTheSourceOrWithTime)
+TEST_F (DemandTableTest, RemovesDemandOnEmptyReportRemovedSourceOrExpiry)
 {
     report (1, demandOf ("a", 1, 0));
     report (1, demandOf ("a", 0, 0));
@@ -55,7 +55,7 @@
     EXPECT_TRUE (m_table.totals().empty());
 }
 
-TEST_F (DemandTableTest, RunningRequestsKeepTheUrgencyTheyWaitedWith)
+TEST_F (DemandTableTest, RunningRequestsKeepTheirWaitingUrgency)
 {
     report (1, demandOf ("a", 1, 0, 0));
     report (1, demandOf ("a", 0, 1));
@@ -66,12 +66,12 @@
 
 TEST_F (DemandTableTest, NumberOfTargetsIsBounded)
 {
-    for (std::size_t number = 0; number < DemandTable::kMaximumTargets; ++number)
+    for (std::size_t number = 0; number < DemandTable::kMaxTargets; ++number)
     {
         report (1, demandOf (std::to_string (number), 1, 0));
     }
     report (1, demandOf ("one more", 1, 0));
-    EXPECT_EQ (m_table.totals().size(), DemandTable::kMaximumTargets);
+    EXPECT_EQ (m_table.totals().size(), DemandTable::kMaxTargets);
     report (2, demandOf ("1", 4, 0));
     EXPECT_EQ (m_table.total ("1").waiting, 5U);
 }
--- a/src/controller/EngineDemandSum.cpp
+++ b/src/controller/EngineDemandSum.cpp
@@ -7,9 +7,9 @@
 namespace
 {
 
-/// Requests that begin to wait at many routers within this time are told together.
+/// Requests that begin to wait at many routers within this time are reported together.
 constexpr base::Duration kUrgentInterval = base::milliseconds (20);
-/// Half of the shortest interval at which routers report.
+/// Half of the shortest report interval of routers.
 constexpr base::Duration kSteadyInterval = base::milliseconds (250);
 
 }  // namespace
@@ -43,7 +43,7 @@
     }
 }
 
-void EngineDemandSum::onRouterGone (std::uint64_t router)
+void EngineDemandSum::onRouterDisconnected (std::uint64_t router)
 {
     for (auto& [target, total] : m_totals)
     {
@@ -52,7 +52,7 @@
     }
 }
 
-void EngineDemandSum::tellAll()
+void EngineDemandSum::resendAll()
 {
     for (auto& [target, total] : m_totals)
         total.isChanged = total.isUrgent = true;
--- a/src/controller/InstanceLoadSum.cpp
+++ b/src/controller/InstanceLoadSum.cpp
@@ -7,10 +7,11 @@
 namespace
 {
 
-/// What a router knows is at most two of these and one interval of a router's reports old.
+/// Data at a router is at most two of these intervals and one report interval of a router old.
 constexpr base::Duration kReportInterval = base::milliseconds (50);
-/// Per row of a report: the leader reads at most 10,000 a second of each controller.
-constexpr base::Duration kReportIntervalForRow = std::chrono::microseconds (100);
+/// Interval per row of a report: the leader reads at most 10,000 rows per second from each
+/// controller.
+constexpr base::Duration kReportIntervalPerRow = std::chrono::microseconds (100);
 
 }  // namespace
 
@@ -20,7 +21,7 @@
         return;
     const auto total = m_totals.try_emplace (instance).first;
     total->second.inFlight += after.inFlight - before.inFlight;
-    total->second.unreadTokens += after.unreadTokens - before.unreadTokens;
+    total->second.pendingPrefillTokens += after.pendingPrefillTokens - before.pendingPrefillTokens;
     if (total->second == Use{})
         m_totals.erase (total);
     m_changed.insert (instance);
@@ -30,11 +31,11 @@
 void InstanceLoadSum::onReport (std::uint64_t reporter, const cell::InstanceLoadReport& report,
                                 base::TimePoint now)
 {
-    setHeard (reporter, true);
+    setReporterActive (reporter, true);
     std::map<std::string, Use>& uses = m_reporters[reporter].uses;
     for (const cell::InstanceUse& row : report.uses)
     {
-        const Use use{ row.inFlight, row.unreadTokens };
+        const Use use{ row.inFlight, row.pendingPrefillTokens };
         const Use before = std::exchange (uses[row.instance], use);
         replace (row.instance, before, use);
         if (use == Use{})
@@ -57,22 +58,22 @@
     }
 }
 
-void InstanceLoadSum::onReporterGone (std::uint64_t reporter)
+void InstanceLoadSum::onReporterDisconnected (std::uint64_t reporter)
 {
-    setHeard (reporter, false);
+    setReporterActive (reporter, false);
     m_reporters.erase (reporter);
 }
 
-void InstanceLoadSum::setHeard (std::uint64_t reporter, bool isHeard)
+void InstanceLoadSum::setReporterActive (std::uint64_t reporter, bool isActive)
 {
     const auto found = m_reporters.find (reporter);
-    if (found == m_reporters.end() || std::exchange (found->second.isHeard, isHeard) == isHeard)
+    if (found == m_reporters.end() || std::exchange (found->second.isActive, isActive) == isActive)
         return;
     for (const auto& [instance, use] : found->second.uses)
-        replace (instance, isHeard ? Use{} : use, isHeard ? use : Use{});
+        replace (instance, isActive ? Use{} : use, isActive ? use : Use{});
 }
 
-void InstanceLoadSum::tellAll()
+void InstanceLoadSum::resendAll()
 {
     for (const auto& [instance, use] : m_totals)
         m_changed.insert (instance);
@@ -91,14 +92,14 @@
     if (rows == 0)
         return std::nullopt;
     const base::Duration interval = std::max<base::Duration> (
-        kReportInterval, static_cast<std::int64_t> (rows) * kReportIntervalForRow);
+        kReportInterval, static_cast<std::int64_t> (rows) * kReportIntervalPerRow);
     if (! m_reporting.takeDue (now, interval))
         return std::nullopt;
     cell::InstanceLoadReport report;
     for (const std::string& instance : std::exchange (m_changed, {}))
     {
         const Use use = useOf (instance);
-        report.uses.push_back ({ instance, use.inFlight, use.unreadTokens });
+        report.uses.push_back ({ instance, use.inFlight, use.pendingPrefillTokens });
     }
     for (const auto& [key, pace] : std::exchange (m_paces, {}))
         report.paces.push_back ({ key.first, key.second, pace.pauses, pace.microseconds });
--- a/src/controller/PeerListener.cpp
+++ b/src/controller/PeerListener.cpp
@@ -4,7 +4,7 @@
 #include <QTcpSocket>
 #include <utility>
 
-#include "consensus/Durable.h"
+#include "consensus/ConsensusCodec.h"
 #include "log/Log.h"
 #include "wire/Codec.h"
 
@@ -13,9 +13,10 @@
 namespace
 {
 
-constexpr std::size_t kMaximumConnections = 8192;
+constexpr std::size_t kMaxConnections = 8192;
 constexpr int kListenBacklog = 1024;
-/// Routers renew their lease and leaders send heartbeats far more often than this.
+/// Time without messages after which a connection is closed. Lease renewals of routers and
+/// heartbeats of leaders arrive far more often.
 constexpr base::Duration kIdleTimeout = base::seconds (60);
 
 }  // namespace
@@ -58,7 +59,7 @@
     {
         accepted->setParent (nullptr);
         std::unique_ptr<QTcpSocket> socket (accepted);
-        if (m_connections.size() >= kMaximumConnections)
+        if (m_connections.size() >= kMaxConnections)
             continue;
         const RouterConnection number = ++m_lastNumber;
         wire::FrameConnectionOptions options;
@@ -73,7 +74,7 @@
 
 void PeerListener::onFrame (RouterConnection number, const wire::Frame& frame)
 {
-    const bool isSound = base::handleErrors (
+    const bool isValid = base::handleErrors (
         [&]() -> base::Result<bool>
         {
             BOOST_LEAF_CHECK (dispatch (number, frame));
@@ -84,7 +85,7 @@
             log::write (log::Event::kPeerMessageInvalid, { { "error", error.message } });
             return false;
         });
-    if (! isSound)
+    if (! isValid)
         forget (number);
 }
 
@@ -111,7 +112,8 @@
         case wire::Channel::kControllerToRouter:
             break;
     }
-    return base::fail (base::ErrorKind::kMessageInvalid, "a controller does not take this channel");
+    return base::fail (base::ErrorKind::kMessageInvalid,
+                       "a controller does not receive on this channel");
 }
 
 void PeerListener::forget (RouterConnection number)
@@ -122,7 +124,7 @@
     const bool isRouter = found->second.isRouter;
     m_connections.erase (found);
     if (isRouter)
-        m_handlers.onRouterGone (number);
+        m_handlers.onRouterDisconnected (number);
 }
 
 }  // namespace fernlift::controller
--- a/src/controller/PeerTransport.cpp
+++ b/src/controller/PeerTransport.cpp
@@ -12,13 +12,14 @@
 {
 
 constexpr base::Duration kFirstBackoff = base::milliseconds (20);
-constexpr base::Duration kLongestBackoff = base::milliseconds (500);
-constexpr std::size_t kMaximumWaitingBytes = 1024UL * 1024;
+constexpr base::Duration kMaxBackoff = base::milliseconds (500);
+constexpr std::size_t kMaxWaitingBytes = 1024UL * 1024;
 constexpr double kBackoffSpread = 0.5;
-/// Members elect another leader after 0.6 s without its heartbeats. On a connection that swallows
-/// them, the leader would be voted out again and again until it opens another one. Packets that are
-/// lost are sent again within 0.2 s and 0.6 s.
-constexpr base::Duration kLongestSilence = base::milliseconds (1000);
+/// Time without acknowledgement after which a connection is closed. Members elect another leader
+/// after 0.6 s without heartbeats; on a connection that loses all data the leader would be deposed
+/// again and again until it opens another one. Single lost packets are retransmitted after 0.2 s
+/// and 0.6 s.
+constexpr base::Duration kMaxSilence = base::milliseconds (1000);
 
 }  // namespace
 
@@ -30,7 +31,7 @@
     if (peer.connection && peer.connection->isOpen())
     {
         peer.connection->send (wire::Channel::kMember, payload);
-        // Heartbeats must not wait behind the other sockets of a busy event loop.
+        // Heartbeats must not wait for the other sockets of a busy event loop.
         peer.connection->flush();
         return;
     }
@@ -38,7 +39,7 @@
         return;
     if (! peer.connection)
         connect (address, peer);
-    if (peer.unsentBytes + payload.size() > kMaximumWaitingBytes)
+    if (peer.unsentBytes + payload.size() > kMaxWaitingBytes)
         return;
     peer.unsentBytes += payload.size();
     peer.unsent.push_back (std::move (payload));
@@ -53,7 +54,7 @@
     handlers.onConnected = [this, address] { onConnected (address); };
     handlers.onClosed = [this, address] { onClosed (address); };
     wire::FrameConnectionOptions options;
-    options.unacknowledgedTimeout = kLongestSilence;
+    options.unacknowledgedTimeout = kMaxSilence;
     peer.connection =
         wire::FrameConnection::connectTo (parsed, options, std::move (handlers), nullptr);
 }
@@ -77,14 +78,14 @@
     peer.unsent.clear();
     peer.unsentBytes = 0;
     peer.isBackingOff = true;
-    const auto pause = std::chrono::duration_cast<base::milliseconds> (nextBackoff (peer));
-    QTimer::singleShot (pause, &m_context,
+    const auto delay = std::chrono::duration_cast<base::milliseconds> (nextBackoff (peer));
+    QTimer::singleShot (delay, &m_context,
                         [this, address] { m_peers[address].isBackingOff = false; });
 }
 
 base::Duration PeerTransport::nextBackoff (Peer& peer)
 {
-    peer.backoff = std::clamp (2 * peer.backoff, kFirstBackoff, kLongestBackoff);
+    peer.backoff = std::clamp (2 * peer.backoff, kFirstBackoff, kMaxBackoff);
     const double factor = 1.0 - kBackoffSpread * m_random.uniformReal();
     return std::chrono::duration_cast<base::Duration> (peer.backoff * factor);
 }
--- a/src/controller/TestRouterTest.cpp
+++ b/src/controller/TestRouterTest.cpp
@@ -1,4 +1,5 @@
-// The routers of TestCell.h. Compiled into the test binary only.
+// Implementation of TestRouter and of the routers' part of TestCell, declared in TestCell.h.
+// Compiled into the test binary only.
 
 #include <algorithm>
 
@@ -14,7 +15,7 @@
 
 }  // namespace
 
-bool TestRouter::knows (const std::string& target) const
+bool TestRouter::hasReplica (const std::string& target) const
 {
     return std::any_of (table.begin(), table.end(),
                         [&] (const auto& entry) { return entry.first.second == target; });
@@ -88,7 +89,8 @@
     if (router.connectedTo)
     {
         const RouterConnection old = router.connection;
-        with (*router.connectedTo, [&] (ControllerCore& core) { core.onRouterGone (old); });
+        runOn (*router.connectedTo,
+               [&] (ControllerCore& core) { core.onRouterDisconnected (old); });
     }
     router.connectedTo = member;
     router.connection = m_nextConnection++;
@@ -124,8 +126,8 @@
               {
                   if (router.isCut || node (member).isCut || router.connection != connection)
                       return;
-                  with (member,
-                        [&] (ControllerCore& core) { core.onRouterMessage (connection, message); });
+                  runOn (member, [&] (ControllerCore& core)
+                         { core.onRouterMessage (connection, message); });
               });
 }
 
@@ -158,7 +160,7 @@
         }
         router.configurationVersion = update->version;
         router.configurationDigest = update->digest;
-        router.nextLeaseAt = m_now;  // States it at once.
+        router.nextLeaseAt = m_now;  // The next lease request reports the version at once.
     }
     else if (const auto* grant = std::get_if<cell::LeaseGrant> (&message))
     {
@@ -190,8 +192,8 @@
     }
     else if (const auto* hint = std::get_if<cell::SuspectReport> (&message))
     {
-        router.suspectHints.insert (router.suspectHints.end(), hint->ends.begin(),
-                                    hint->ends.end());
+        router.suspectHints.insert (router.suspectHints.end(), hint->crashes.begin(),
+                                    hint->crashes.end());
     }
     else if (const auto* rates = std::get_if<cell::InstanceRateUpdate> (&message))
     {
@@ -213,7 +215,7 @@
                        [] (const auto& item)
                        {
                            const cell::InstanceLoad& load = item.second;
-                           return load.inFlight == 0 && load.unreadTokens == 0
+                           return load.inFlight == 0 && load.pendingPrefillTokens == 0
                                   && load.speedPercent == 100 && load.slowdownPercent == 100;
                        });
     }
@@ -222,7 +224,7 @@
         const bool isWhole = instances->fromVersion == 0;
         const bool fits = instances->term == router.instanceTerm
                           && instances->fromVersion == router.instanceVersion;
-        // As InstanceDirectory does: a table of an earlier leader is not taken.
+        // As in InstanceDirectory: a table of an earlier leader is not applied.
         const bool isEarlier = instances->term < router.instanceTerm;
         if (isEarlier || (! isWhole && ! fits))
         {
--- a/src/ctl/Documentation.cpp
+++ b/src/ctl/Documentation.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr int kNumbersOfModule = 1000;
+constexpr int kNumbersPerModule = 1000;
 
 const std::map<int, std::string_view>& moduleTitles()
 {
@@ -81,14 +81,14 @@
     int module = 0;
     for (const log::EventTraits& event : sorted)
     {
-        if (event.number / kNumbersOfModule != module)
+        if (event.number / kNumbersPerModule != module)
         {
-            module = event.number / kNumbersOfModule;
+            module = event.number / kNumbersPerModule;
             page += "\n## " + titleOf (module) + "\n\n"
                     + headerRow ({ "Number", "Name", "Severity", "Message", "What to do" });
         }
         page += row ({ std::to_string (event.number), std::string (event.name),
-                       std::string (log::nameOf (event.severity)), std::string (event.summary),
+                       std::string (log::toString (event.severity)), std::string (event.summary),
                        std::string (event.action) });
     }
     return page;
@@ -112,7 +112,7 @@
     for (const base::ErrorTraits& error : errors)
     {
         page += row ({ "`" + std::string (error.name) + "`", std::to_string (error.httpStatus),
-                       "`" + std::string (base::nameOf (error.execution)) + "`",
+                       "`" + std::string (base::toString (error.execution)) + "`",
                        error.retryable ? "yes" : "no", std::to_string (error.exitCode),
                        std::string (error.meaning) });
     }
--- a/src/dispatch/RetryBudget.h
+++ b/src/dispatch/RetryBudget.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Limits retries to a share of first attempts, so that retries cannot multiply an overload.
+/// Limits retries to a share of first attempts, so that retries do not amplify an overload.
 
 #include <cstdint>
 #include <string_view>
@@ -11,20 +11,22 @@
 class RetryBudget
 {
 public:
-    /// `share` of first attempts may be retried; `reserve` retries are allowed without any.
+    /// Allows `share` retries per first attempt, and `reserve` retries before any first attempt.
     explicit RetryBudget (double share, double reserve = 10);
 
-    /// From now on at most `reserve` retries are kept for later, however many first attempts there
-    /// were: within any time no more retries are possible than `share` of the first attempts in it
-    /// and the reserve. Budgets that each take their part of one reserve keep a bound together.
+    /// Sets the maximum number of unused retries to `reserve`, however many first attempts there
+    /// were. The number of retries within any period is then at most `share` of the first attempts
+    /// in that period plus `reserve`. When one reserve is divided among several budgets, the same
+    /// bound with the whole reserve holds for all of them together.
     void limitReserve (double reserve);
 
     void onFirstAttempt();
-    /// Whether a retry would be allowed now.
+    /// Whether a retry is allowed now.
     [[nodiscard]] bool allowsRetry() const { return m_balance >= 1; }
-    /// Takes one retry from the budget; false when it is spent.
+    /// Takes one retry from the budget; false if the budget is spent.
     bool tryRetry();
-    /// Takes one retry from the budget if there is any left. For work that goes on in any case.
+    /// Takes one retry from the budget; an empty budget stays empty. For retries that are made
+    /// whether or not the budget allows them.
     void chargeRetry();
 
 private:
@@ -33,8 +35,9 @@
     double m_balance;
 };
 
-/// Part of a reserve of retries for one of those that share it. Below one retry each, in large
-/// cells, whole retries go to some of them, by a lot of their names: a part of one allows none.
+/// Part that the sharer called `name` has of a common reserve of retries. In large cells an equal
+/// part is less than one retry and would allow none; each sharer then has one retry or none,
+/// depending on a hash of its name.
 [[nodiscard]] double partOfReserve (double reserve, std::uint32_t sharers, std::string_view name);
 
 }  // namespace fernlift::dispatch
--- a/src/engine/EngineApiTest.cpp
+++ b/src/engine/EngineApiTest.cpp
@@ -13,8 +13,8 @@
 std::uint64_t anyInteger()
 {
     return *rc::gen::oneOf (rc::gen::inRange<std::uint64_t> (0, 1000),
-                            rc::gen::inRange<std::uint64_t> (0, kMaximumJsonInteger + 1),
-                            rc::gen::just (kMaximumJsonInteger));
+                            rc::gen::inRange<std::uint64_t> (0, kMaxJsonInteger + 1),
+                            rc::gen::just (kMaxJsonInteger));
 }
 
 std::uint32_t anyCount() { return *rc::gen::arbitrary<std::uint32_t>(); }
@@ -101,7 +101,7 @@
     return list;
 }
 
-/// The message a parse fails with; empty when it succeeds.
+/// Error message of a failed parse; empty if it succeeds.
 template <class Parse>
 std::string problemOf (const Parse& parse)
 {
--- a/src/http/RequestReader.cpp
+++ b/src/http/RequestReader.cpp
@@ -14,8 +14,8 @@
 
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr std::string_view kHeaderEnd = "\r\n\r\n";
-constexpr std::size_t kMaximumHeaderFields = 128;
-constexpr std::size_t kMaximumChunkLine = 256;
+constexpr std::size_t kMaxHeaderFields = 128;
+constexpr std::size_t kMaxChunkLine = 256;
 constexpr int kHexadecimal = 16;
 
 bool isTokenCharacter (char character)
@@ -48,7 +48,7 @@
     return text.substr (first, text.find_last_not_of (" \t") - first + 1);
 }
 
-/// The whole of `text` as a number; nothing on any other character or on overflow.
+/// Parses all of `text` as a number; nothing on any other character or on overflow.
 std::optional<std::size_t> parseNumber (std::string_view text, int numberBase)
 {
     std::size_t number = 0;
@@ -59,7 +59,7 @@
     return number;
 }
 
-/// Whether a comma-separated list of tokens names `token`.
+/// Whether a comma-separated list of tokens contains `token`.
 bool listContains (std::string_view list, std::string_view token)
 {
     while (! list.empty())
@@ -72,7 +72,7 @@
     return false;
 }
 
-/// Fields that are not passed on because the reader has dealt with them.
+/// Fields that the reader handles itself and leaves out of the canonical form.
 bool isFramingField (std::string_view name)
 {
     return equalsIgnoringCase (name, "Transfer-Encoding")
@@ -183,10 +183,10 @@
         fail (ErrorKind::kInvalidRequest, "a header field is malformed");
         return false;
     }
-    if (m_headers.fields().size() >= kMaximumHeaderFields)
+    if (m_headers.fields().size() >= kMaxHeaderFields)
     {
         fail (ErrorKind::kHeaderTooLarge,
-              "more than " + std::to_string (kMaximumHeaderFields) + " header fields");
+              "more than " + std::to_string (kMaxHeaderFields) + " header fields");
         return false;
     }
     m_headers.add (std::string (name), std::string (trim (value)));
@@ -248,7 +248,8 @@
                            && equalsIgnoringCase (m_headers.value ("Transfer-Encoding"), "chunked");
     if (! isChunked || m_isVersion10)
     {
-        fail (ErrorKind::kUnsupportedFraming, "the only transfer coding understood is chunked");
+        fail (ErrorKind::kUnsupportedFraming,
+              "unsupported transfer coding: only chunked is supported");
         return;
     }
     m_bodyPart = BodyPart::kChunkSize;
@@ -283,7 +284,7 @@
     const std::size_t feedPosition = bytes.find ('\n');
     const std::size_t taken =
         feedPosition == std::string_view::npos ? bytes.size() : feedPosition + 1;
-    if (m_line.size() + taken > kMaximumChunkLine)
+    if (m_line.size() + taken > kMaxChunkLine)
     {
         fail (ErrorKind::kInvalidRequest, "a line of the chunked body is too long");
         return taken;
--- a/src/lab/CallRecord.cpp
+++ b/src/lab/CallRecord.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr std::array kAllEnds{ CallEnd::kWhole, CallEnd::kNotConnected, CallEnd::kBroken,
+constexpr std::array kAllEnds{ CallEnd::kComplete, CallEnd::kNotConnected, CallEnd::kBroken,
                                CallEnd::kTimeout };
 constexpr std::string_view kChat = "chat";
 constexpr std::string_view kApplication = "application";
@@ -36,7 +36,7 @@
 {
     for (const CallEnd end : kAllEnds)
     {
-        if (nameOf (end) == name)
+        if (toString (end) == name)
         {
             return end;
         }
@@ -72,7 +72,7 @@
     record.execution = textOf (object, "execution");
     record.errorKind = textOf (object, "error_kind");
     record.textDigest = textOf (object, "text_sha256");
-    record.isAnswerWhole = object.value (QLatin1String ("whole")).toBool();
+    record.isAnswerComplete = object.value (QLatin1String ("whole")).toBool();
     record.isResent = object.value (QLatin1String ("resent")).toBool();
     return record;
 }
@@ -94,12 +94,12 @@
         { QStringLiteral ("sent_us"), static_cast<qint64> (record.sentMicroseconds) },
         { QStringLiteral ("first_byte_us"), static_cast<qint64> (record.firstByteMicroseconds) },
         { QStringLiteral ("end_us"), static_cast<qint64> (record.endMicroseconds) },
-        { QStringLiteral ("end"), text (nameOf (record.end)) },
+        { QStringLiteral ("end"), text (toString (record.end)) },
         { QStringLiteral ("status"), record.status },
         { QStringLiteral ("execution"), text (record.execution) },
         { QStringLiteral ("error_kind"), text (record.errorKind) },
         { QStringLiteral ("text_sha256"), text (record.textDigest) },
-        { QStringLiteral ("whole"), record.isAnswerWhole },
+        { QStringLiteral ("whole"), record.isAnswerComplete },
         { QStringLiteral ("resent"), record.isResent },
     };
     return QJsonDocument (object).toJson (QJsonDocument::Compact).toStdString();
--- a/src/lab/FaultProxy.cpp
+++ b/src/lab/FaultProxy.cpp
@@ -14,9 +14,9 @@
 {
 
 constexpr qint64 kReadBufferBytes = 64LL * 1024;
-constexpr qint64 kMaximumUnwrittenBytes = 256LL * 1024;
+constexpr qint64 kMaxUnwrittenBytes = 256LL * 1024;
 
-/// Closes with a reset instead of an orderly end.
+/// Closes the connection with a TCP reset instead of an orderly shutdown.
 void resetSocket (QTcpSocket& socket)
 {
     const linger noLinger{ .l_onoff = 1, .l_linger = 0 };
@@ -168,7 +168,7 @@
     return faults;
 }
 
-/// One caller's connection with its connection to the target.
+/// A caller's connection and the matching connection to the target.
 class FaultProxy::Link
 {
 public:
@@ -213,7 +213,7 @@
         resetSocket (m_target);
     }
 
-    /// Moves what may pass, then ends what has ended.
+    /// Forwards the bytes that may pass, then closes the side whose peer has closed.
     void pump()
     {
         if (m_isPumping)
@@ -255,8 +255,8 @@
             pipe.push (
                 now, std::string_view (bytes.constData(), static_cast<std::size_t> (bytes.size())));
         }
-        const bool canWrite = to.state() == QAbstractSocket::ConnectedState
-                              && to.bytesToWrite() < kMaximumUnwrittenBytes;
+        const bool canWrite =
+            to.state() == QAbstractSocket::ConnectedState && to.bytesToWrite() < kMaxUnwrittenBytes;
         if (! canWrite)
         {
             return false;
--- a/src/lab/FleetProgram.cpp
+++ b/src/lab/FleetProgram.cpp
@@ -35,9 +35,9 @@
     "  replace NODE   End a process and start it without its files; a controller gets a new id.\n"
     "  measure NAME   Measure real controllers: failover, claims or apply.\n"
     "  demo           Show the main job on an embedded fleet.\n";
-constexpr std::int64_t kMostTrials = 10'000;
-constexpr std::int64_t kMostRouters = 1'000;
-constexpr std::int64_t kMostSeconds = 3'600;
+constexpr std::int64_t kMaxTrials = 10'000;
+constexpr std::int64_t kMaxRouters = 1'000;
+constexpr std::int64_t kMaxSeconds = 3'600;
 constexpr base::Duration kDetachTimeout = base::seconds (60);
 constexpr base::Duration kStopTimeout = base::seconds (90);
 
@@ -68,11 +68,11 @@
             .addStringList ("controller_flags", &measure.controllerFlags,
                             "measure: flag passed on to the controllers, for example "
                             "--heartbeat-interval-ms=20.")
-            .addInteger ("trials", &measure.trials, 1, kMostTrials,
+            .addInteger ("trials", &measure.trials, 1, kMaxTrials,
                          "measure: failures of each kind, or applies.")
-            .addInteger ("measured_routers", &measure.routers, 1, kMostRouters,
+            .addInteger ("measured_routers", &measure.routers, 1, kMaxRouters,
                          "measure apply: routers that hold leases.")
-            .addInteger ("seconds", &measure.seconds, 1, kMostSeconds,
+            .addInteger ("seconds", &measure.seconds, 1, kMaxSeconds,
                          "measure claims: time of each load.");
         config::addLoggingSettings (schema, &logging);
     }
@@ -106,7 +106,7 @@
     if (! waitUntil ([&] { return isFleetRunning (folders.run); }, kDetachTimeout))
     {
         return base::fail (base::ErrorKind::kInternal,
-                           "the fleet did not start; see " + folders.run + "/fleet.log");
+                           "the fleet did not start in time; see " + folders.run + "/fleet.log");
     }
     std::cout << "running; state in " << folders.run << "/state.json\n";
     return 0;
@@ -117,7 +117,7 @@
     const FleetFolders folders = settings.folders();
     if (isFleetRunning (folders.run))
     {
-        return base::fail (base::ErrorKind::kUsage, "a fleet runs already in " + folders.run);
+        return base::fail (base::ErrorKind::kUsage, "a fleet is already running in " + folders.run);
     }
     if (settings.isDetached)
     {
@@ -146,7 +146,7 @@
     BOOST_LEAF_CHECK (sendFleetCommand (run, { "stop", "" }));
     if (! waitUntil ([&] { return ! isFleetRunning (run); }, kStopTimeout))
     {
-        return base::fail (base::ErrorKind::kRequestTimeout, "the fleet still runs");
+        return base::fail (base::ErrorKind::kRequestTimeout, "the fleet did not stop in time");
     }
     return 0;
 }
@@ -199,7 +199,7 @@
                                    || verb == "restart" || verb == "replace");
     if (! isStatus && ! isNodeCommand)
     {
-        return base::fail (base::ErrorKind::kUsage, "no such command; --help lists them");
+        return base::fail (base::ErrorKind::kUsage, "unknown command; --help lists the commands");
     }
     BOOST_LEAF_AUTO (answer, sendFleetCommand (settings.folders().run,
                                                { verb, hasArgument ? positionals[1] : "" }));
--- a/src/lab/LoadProgram.cpp
+++ b/src/lab/LoadProgram.cpp
@@ -26,8 +26,8 @@
     "  run            Make the calls of a trace and write their history (--history).\n"
     "  report FILE... Print latencies and ends by request class.\n"
     "  check FILE...  Check histories against the ledgers of back ends (--ledger).\n";
-constexpr std::int64_t kMostTokens = 1'000'000;
-constexpr double kHighestRate = 1e6;
+constexpr std::int64_t kMaxTokens = 1'000'000;
+constexpr double kMaxRate = 1e6;
 constexpr base::Duration kLongest = std::chrono::hours (24);
 
 struct LoadSettings
@@ -57,12 +57,12 @@
                             "run: NAME[,class=C][,weight=W][,kind=chat|application][,once].")
             .addChoice ("trace", &trace, { "constant", "daily", "storm", "month-end" },
                         "run: shape of the rate over time.")
-            .addReal ("rate", &rate, 0.001, kHighestRate, "run: highest calls per second.")
+            .addReal ("rate", &rate, 0.001, kMaxRate, "run: highest calls per second.")
             .addDuration ("length_ms", &length, base::milliseconds (1), kLongest,
                           "run: time of load.")
             .addReal ("streaming_share", &streamingShare, 0, 1, "run: share of streamed answers.")
-            .addInteger ("min_tokens", &minimumTokens, 1, kMostTokens, "run: shortest answer.")
-            .addInteger ("max_tokens", &maximumTokens, 1, kMostTokens, "run: longest answer.")
+            .addInteger ("min_tokens", &minimumTokens, 1, kMaxTokens, "run: shortest answer.")
+            .addInteger ("max_tokens", &maximumTokens, 1, kMaxTokens, "run: longest answer.")
             .addInteger ("seed", &seed, 0, INT64_MAX, "run: seed of the trace.")
             .addString ("history", &history, "run: file for the history of calls; empty: none.")
             .addString ("id_prefix", &idPrefix, "run: begin of request ids; new for each run.")
@@ -141,7 +141,7 @@
 {
     if (files.empty())
     {
-        return base::fail (base::ErrorKind::kUsage, "no history file is given");
+        return base::fail (base::ErrorKind::kUsage, "no history file given");
     }
     std::vector<CallRecord> all;
     for (const std::string& file : files)
@@ -159,7 +159,8 @@
     return 0;
 }
 
-/// NAME=IP:PORT of a running back end, or NAME=FILE that it left at a planned stop.
+/// Reads a ledger from NAME=IP:PORT of a running back end, or from NAME=FILE that a back end wrote
+/// at a planned stop.
 base::Result<std::vector<LedgerRun>> readLedger (const std::string& text)
 {
     const std::size_t equals = text.find ('=');
@@ -194,7 +195,7 @@
                         .isLedgerComplete = ! settings.allowsLostLedgers });
     for (const Violation& violation : violations)
     {
-        std::cout << nameOf (violation.kind) << ' ' << violation.requestId << ' '
+        std::cout << toString (violation.kind) << ' ' << violation.requestId << ' '
                   << violation.detail << '\n';
     }
     std::cout << history.size() << " calls, " << ledger.size() << " runs, " << violations.size()
@@ -206,7 +207,7 @@
 {
     if (positionals.empty())
     {
-        return base::fail (base::ErrorKind::kUsage, "no command is given; --help lists them");
+        return base::fail (base::ErrorKind::kUsage, "no command given; --help lists the commands");
     }
     const std::string command = positionals.front();
     positionals.erase (positionals.begin());
@@ -222,7 +223,8 @@
     {
         return checkHistories (settings, positionals);
     }
-    return base::fail (base::ErrorKind::kUsage, "'" + command + "': --help lists the commands");
+    return base::fail (base::ErrorKind::kUsage,
+                       "'" + command + "': unknown command; --help lists the commands");
 }
 
 }  // namespace
--- a/src/placement/EngineIndexTest.cpp
+++ b/src/placement/EngineIndexTest.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// An engine of the service "llm" that takes requests.
+/// A usable engine of the service "llm".
 EngineState engineOf (const std::string& id)
 {
     EngineState engine;
@@ -22,12 +22,12 @@
 std::vector<std::string> holdersOf (EngineIndex& index, const std::string& model)
 {
     std::vector<std::string> ids;
-    for (const EngineIndex::Holder& holder : index.placesOf ("llm", model).holders)
+    for (const EngineIndex::Holder& holder : index.locationsOf ("llm", model).holders)
         ids.push_back (holder.engine->id);
     return ids;
 }
 
-TEST (EngineIndexTest, HoldersWithTheMostFreeAdapterPlacesComeFirst)
+TEST (EngineIndexTest, SortsHoldersByFreeAdapterSlots)
 {
     EngineState first = engineOf ("e1");
     first.models["m1"].adapters = { "a1", "a2" };
@@ -42,7 +42,7 @@
     EXPECT_EQ (holdersOf (index, "m1"), (std::vector<std::string>{ "e1", "e2" }));
 }
 
-TEST (EngineIndexTest, AnAdapterIsThereWhileAnyHolderHasItOrGetsIt)
+TEST (EngineIndexTest, HasAnAdapterThatAHolderHasOrIsLoading)
 {
     EngineState engine = engineOf ("e1");
     engine.models["m1"];
@@ -62,7 +62,7 @@
     EXPECT_FALSE (index.hasAdapter ("llm", "m1", "a1"));
 }
 
-TEST (EngineIndexTest, WhatRoutersAreNotToldOfIsNotThere)
+TEST (EngineIndexTest, OmitsWithdrawnModelsAndUnusableEngines)
 {
     EngineState engine = engineOf ("e1");
     engine.models["m1"].adapters = { "a1" };
@@ -79,17 +79,17 @@
     EXPECT_TRUE (holdersOf (index, "m2").empty());
 }
 
-TEST (EngineIndexTest, CopiesInMemoryAndOnDiskCountOnce)
+TEST (EngineIndexTest, CountsACopyInMemoryAndOnDiskOnce)
 {
     EngineState engine = engineOf ("e1");
     engine.inMemory = { "m1" };
     engine.onDisk = { "m1", "m2" };
     EngineIndex index;
     index.update (engine);
-    EXPECT_EQ (index.placesOf ("llm", "m1").copies.size(), 1U);
-    EXPECT_EQ (index.placesOf ("llm", "m2").copies.size(), 1U);
+    EXPECT_EQ (index.locationsOf ("llm", "m1").copies.size(), 1U);
+    EXPECT_EQ (index.locationsOf ("llm", "m2").copies.size(), 1U);
     index.remove (engine);
-    EXPECT_TRUE (index.placesOf ("llm", "m1").copies.empty());
+    EXPECT_TRUE (index.locationsOf ("llm", "m1").copies.empty());
 }
 
 }  // namespace
--- a/src/placement/EnginePlacementFiguresTest.cpp
+++ b/src/placement/EnginePlacementFiguresTest.cpp
@@ -1,6 +1,6 @@
-// Cost of one decision of EnginePlacement at the size of a large deployment: 140 engines, 288
+// Measures the duration of a decision of EnginePlacement in a large deployment: 140 engines, 288
 // models and 69 routers that report demand, for some models that no engine holds. Prints the
-// figure; no time is asserted.
+// durations without asserting them.
 
 #include <gtest/gtest.h>
 
@@ -65,12 +65,12 @@
     return rows;
 }
 
-EngineHoldings holdingsOf (int engine)
+EngineHeldModels heldModelsOf (int engine)
 {
-    EngineHoldings holdings;
+    EngineHeldModels heldModels;
     for (int offset = 0; offset < 2; ++offset)
-        holdings.models.push_back ({ modelName ((2 * engine + offset) % (kModels - 20)), 1, {} });
-    return holdings;
+        heldModels.models.push_back ({ modelName ((2 * engine + offset) % (kModels - 20)), 1, {} });
+    return heldModels;
 }
 
 void reportDemand (EnginePlacement& placement, base::TimePoint now)
@@ -86,7 +86,7 @@
     }
 }
 
-TEST (EnginePlacementFigures, PrintsTheCostOfADecisionAtALargeSize)
+TEST (EnginePlacementFigures, PrintsTheDurationOfADecisionInALargeDeployment)
 {
     EnginePlacementOptions options;
     options.ordersFrom = [] (const std::string&) { return base::TimePoint{}; };
@@ -96,7 +96,7 @@
     const auto rows = largeTable();
     placement.refresh (rows, now);
     for (int number = 0; number < kEngines; ++number)
-        placement.onHeartbeat (engineName (number), holdingsOf (number), now);
+        placement.onHeartbeat (engineName (number), heldModelsOf (number), now);
 
     constexpr int kRounds = 200;
     const auto began = std::chrono::steady_clock::now();
@@ -116,9 +116,10 @@
     EXPECT_GT (commands, 0U);
 }
 
-/// A burst of rare models and adapters: every engine may take an order, has copies of eight other
-/// models, and thirty models and thirty adapters are waited for that nobody holds.
-TEST (EnginePlacementFigures, PrintsTheCostOfADecisionInABurst)
+/// A burst of requests for rare models and adapters. Each engine may be sent an order and has
+/// copies of eight other models; requests wait for thirty models and thirty adapters that no engine
+/// holds.
+TEST (EnginePlacementFigures, PrintsTheDurationOfADecisionInABurst)
 {
     constexpr int kWaiting = 30;
     constexpr int kCopies = 8;
@@ -129,14 +130,14 @@
     placement.setServices (1, { largeService() });
     const auto rows = largeTable();
     placement.refresh (rows, now);
-    const auto tell = [&] (int number)
+    const auto sendHeartbeat = [&] (int number)
     {
-        EngineHoldings holdings = holdingsOf (number);
+        EngineHeldModels heldModels = heldModelsOf (number);
         for (int copy = 0; copy < kCopies; ++copy)
-            holdings.onDisk.insert (modelName ((number + 37 * copy) % (kModels - 20)));
-        placement.onHeartbeat (engineName (number), holdings, now);
+            heldModels.onDisk.insert (modelName ((number + 37 * copy) % (kModels - 20)));
+        placement.onHeartbeat (engineName (number), heldModels, now);
         engine::ServiceReport report;
-        for (const cell::HeldModel& model : holdings.models)
+        for (const cell::HeldModel& model : heldModels.models)
             report.models.push_back ({ model.model, 1, {} });
         placement.onReport (engineName (number), report, now);
     };
@@ -153,11 +154,11 @@
     std::size_t commands = 0;
     for (int round = 0; round < kRounds; ++round)
     {
-        now += base::seconds (10);  // Nothing of the round before is under way any more.
+        now += base::seconds (10);  // No order of the previous round is pending any more.
         placement.refresh ({}, now);
         placement.refresh (rows, now);
         for (int number = 0; number < kEngines; ++number)
-            tell (number);
+            sendHeartbeat (number);
         placement.onDemand (1, demands, now);
         now += base::seconds (1);
         const auto began = std::chrono::steady_clock::now();
--- a/src/placement/KeepAlive.cpp
+++ b/src/placement/KeepAlive.cpp
@@ -7,8 +7,8 @@
 namespace
 {
 
-/// A replica is kept idle at least this long, but never longer than the bound given.
-constexpr base::Duration kShortestKeepAlive = base::seconds (10);
+/// Minimum of the keep-alive time, unless the upper limit of the caller is shorter.
+constexpr base::Duration kMinKeepAlive = base::seconds (10);
 constexpr double kSecondsPerHour = 3600.0;
 constexpr std::int64_t kAssumedMegabytesPerSecond = 1000;
 constexpr base::Duration kAssumedLoadOverhead = base::seconds (1);
@@ -23,12 +23,12 @@
     const double idleCostPerSecond =
         acceleratorShare * prices.idleAcceleratorHour / kSecondsPerHour;
     const double longestSeconds = std::chrono::duration<double> (longest).count();
-    // Free idle time is kept for as long as allowed.
+    // Also covers prices without idle cost, which would divide by zero below.
     if (coldStartCost >= idleCostPerSecond * longestSeconds)
         return longest;
     const std::chrono::duration<double> breakEven (coldStartCost / idleCostPerSecond);
     const auto kept = std::chrono::duration_cast<base::Duration> (breakEven);
-    return std::clamp (kept, std::min (kShortestKeepAlive, longest), longest);
+    return std::clamp (kept, std::min (kMinKeepAlive, longest), longest);
 }
 
 base::Duration assumedLoadTime (config::Megabytes memory)
--- a/src/placement/Needs.cpp
+++ b/src/placement/Needs.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// Requests one replica is taken to run at once while its runner's slots are unknown.
+/// Assumed slots per replica of a target without usable replicas, whose runner is not known yet.
 constexpr std::uint32_t kAssumedSlots = 8;
 
 std::uint32_t slotsPerReplica (const Plan& plan, const std::vector<const ReplicaView*>& usable)
@@ -17,12 +17,12 @@
     std::uint32_t slots = 0;
     for (const ReplicaView* view : usable)
     {
-        slots = std::max (slots, plan.roomOf (view->replica.runner)->runner->slots);
+        slots = std::max (slots, plan.plannedRunnerOf (view->replica.runner)->runner->slots);
     }
     return slots == 0 ? kAssumedSlots : slots;
 }
 
-/// Replicas that the present requests would fill.
+/// Number of replicas needed for the current requests.
 std::uint32_t requestedReplicas (const Plan& plan, const std::string& name,
                                  const std::vector<const ReplicaView*>& usable)
 {
@@ -33,7 +33,7 @@
     const std::uint32_t slots = slotsPerReplica (plan, usable);
     const std::uint32_t wanted = (requests + slots - 1) / slots;
     const auto present = static_cast<std::uint32_t> (usable.size());
-    // Without waiting requests the present replicas are enough, if there is one at all.
+    // Without waiting requests the present replicas are sufficient, unless there are none.
     return demand.waiting > 0 ? wanted : std::min (wanted, std::max (present, 1U));
 }
 
@@ -45,7 +45,8 @@
            + " running with " + std::to_string (present) + " usable replicas";
 }
 
-/// Urgency of a need; never more urgent than what protects a replica of the target once loaded.
+/// Urgency of a need. Never more urgent than the urgency that protects a loaded replica of the
+/// target from eviction.
 int urgencyOf (const Plan& plan, const Target& target, const TargetDemand& demand)
 {
     return demand.waiting > 0 ? demand.mostUrgent : plan.urgencyOf (target.name());
@@ -64,7 +65,7 @@
         Need need;
         need.target = target;
         need.isRequested = number < requested;
-        need.urgency = need.isRequested ? urgencyOf (plan, target, demand) : kLeastUrgency;
+        need.urgency = need.isRequested ? urgencyOf (plan, target, demand) : kMinUrgency;
         need.nearestDeadlineMilliseconds = need.isRequested
                                                ? demand.nearestDeadlineMilliseconds
                                                : std::numeric_limits<std::int64_t>::max();
--- a/src/placement/StorePace.cpp
+++ b/src/placement/StoreLoadLimiter.cpp
@@ -1,4 +1,4 @@
-#include "placement/StorePace.h"
+#include "placement/StoreLoadLimiter.h"
 
 #include <algorithm>
 #include <set>
@@ -8,18 +8,21 @@
 namespace
 {
 
-/// A load that takes this many times the usual time per megabyte shows a slow store.
+/// A load that takes more than this multiple of the nominal time per megabyte shows a slow store.
 constexpr double kSlowFactor = 2.0;
-/// A slow load moves the usual time up by this factor, so that a store that stays slow becomes the
-/// usual and the concurrency recovers.
-constexpr double kForgetting = 1.1;
+/// Growth of the nominal time with each slow load. The nominal time of a store that stays slow thus
+/// adapts, and the concurrency recovers.
+constexpr double kNominalGrowth = 1.1;
 
 }  // namespace
 
-std::uint32_t StorePace::startsAllowed() const { return static_cast<std::uint32_t> (m_tokens); }
+std::uint32_t StoreLoadLimiter::startsAllowed() const
+{
+    return static_cast<std::uint32_t> (m_tokens);
+}
 
-void StorePace::observe (const config::WeightStoreLimits& limits,
-                         const std::vector<ReplicaView>& replicas, base::TimePoint now)
+void StoreLoadLimiter::observe (const config::WeightStoreLimits& limits,
+                                const std::vector<ReplicaView>& replicas, base::TimePoint now)
 {
     refill (limits, now);
     std::set<base::ReplicaId> loading;
@@ -44,7 +47,7 @@
     findOverdue (now);
 }
 
-void StorePace::refill (const config::WeightStoreLimits& limits, base::TimePoint now)
+void StoreLoadLimiter::refill (const config::WeightStoreLimits& limits, base::TimePoint now)
 {
     const double burst = std::max (limits.loadsPerSecond, 1.0);
     if (m_limit != limits.concurrentLoads)
@@ -59,50 +62,51 @@
     m_refilledAt = now;
 }
 
-void StorePace::onReady (const Load& load, base::TimePoint now)
+void StoreLoadLimiter::onReady (const Load& load, base::TimePoint now)
 {
     const double sample =
         base::toSeconds (now - load.startedAt) / static_cast<double> (load.memory);
-    noteSample (sample, load, now);
+    addSample (sample, load, now);
 }
 
-void StorePace::noteSample (double secondsPerMegabyte, const Load& load, base::TimePoint now)
+void StoreLoadLimiter::addSample (double secondsPerMegabyte, const Load& load, base::TimePoint now)
 {
-    if (m_usualSecondsPerMegabyte <= 0)
+    if (m_nominalSecondsPerMegabyte <= 0)
     {
-        m_usualSecondsPerMegabyte = secondsPerMegabyte;
+        m_nominalSecondsPerMegabyte = secondsPerMegabyte;
         return;
     }
-    if (secondsPerMegabyte > kSlowFactor * m_usualSecondsPerMegabyte)
+    if (secondsPerMegabyte > kSlowFactor * m_nominalSecondsPerMegabyte)
     {
-        m_usualSecondsPerMegabyte *= kForgetting;
-        // Loads that began before the last decrease tell nothing of the present concurrency.
+        m_nominalSecondsPerMegabyte *= kNominalGrowth;
+        // Loads that began before the last decrease do not show the effect of the current
+        // concurrency.
         if (load.startedAt >= m_slowedAt)
-            slowDown (now);
+            reduceConcurrency (now);
         return;
     }
-    m_usualSecondsPerMegabyte = std::min (m_usualSecondsPerMegabyte, secondsPerMegabyte);
+    m_nominalSecondsPerMegabyte = std::min (m_nominalSecondsPerMegabyte, secondsPerMegabyte);
     m_concurrency = std::min (m_concurrency + 1, m_limit);
 }
 
-void StorePace::findOverdue (base::TimePoint now)
+void StoreLoadLimiter::findOverdue (base::TimePoint now)
 {
-    if (m_usualSecondsPerMegabyte <= 0)
+    if (m_nominalSecondsPerMegabyte <= 0)
         return;
     const bool isOverdue = std::any_of (
         m_loads.begin(), m_loads.end(),
         [&] (const auto& entry)
         {
             const Load& load = entry.second;
-            const double usual = m_usualSecondsPerMegabyte * static_cast<double> (load.memory);
+            const double nominal = m_nominalSecondsPerMegabyte * static_cast<double> (load.memory);
             return load.startedAt >= m_slowedAt
-                   && base::toSeconds (now - load.startedAt) > kSlowFactor * usual;
+                   && base::toSeconds (now - load.startedAt) > kSlowFactor * nominal;
         });
     if (isOverdue)
-        slowDown (now);
+        reduceConcurrency (now);
 }
 
-void StorePace::slowDown (base::TimePoint now)
+void StoreLoadLimiter::reduceConcurrency (base::TimePoint now)
 {
     m_concurrency = std::max (m_concurrency / 2, 1U);
     m_slowedAt = now;
--- a/src/proxy/RequestIdentity.cpp
+++ b/src/proxy/RequestIdentity.cpp
@@ -11,7 +11,8 @@
 
 constexpr std::size_t kDigestDigits = 32;
 
-/// Everything but the body. Lengths keep one part from running into the next.
+/// Text of all parts except the body. The length before each part makes the concatenation
+/// unambiguous.
 std::string headOf (const ParsedRequest& request, std::string_view caller)
 {
     std::string text;
@@ -27,7 +28,7 @@
 
 }  // namespace
 
-std::uint64_t outlineOf (const ParsedRequest& request, std::string_view caller)
+std::uint64_t fingerprintOf (const ParsedRequest& request, std::string_view caller)
 {
     return base::stableHash (headOf (request, caller));
 }
@@ -36,7 +37,7 @@
 {
     std::string text = headOf (request, caller);
     cell::RequestIdentity identity;
-    identity.outline = base::stableHash (text);
+    identity.fingerprint = base::stableHash (text);
     text.append (request.body);
     identity.digest = base::sha256Hex (text).substr (0, kDigestDigits);
     return identity;
--- a/src/quota/UnassistedShareTest.cpp
+++ b/src/quota/FallbackShareTest.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "quota/UnassistedShare.h"
+#include "quota/FallbackShare.h"
 
 namespace fernlift::quota
 {
@@ -24,15 +24,15 @@
     return tolerance;
 }
 
-TEST (UnassistedShareTest, NothingIsAdmittedBeforeTheNumberOfRoutersIsKnown)
+TEST (FallbackShareTest, NothingIsAdmittedBeforeTheNumberOfRoutersIsKnown)
 {
-    UnassistedShare share (tolerance());
+    FallbackShare share (tolerance());
     base::Random random (1);
     EXPECT_FALSE (share.admits (tenant(), 1, kStart, random));
 }
 
-/// The other half goes on to be granted by controllers that do not lead.
-TEST (UnassistedShareTest, AllRoutersTogetherKeepToHalfOfTheLimit)
+/// Controllers that do not lead continue to grant the other half.
+TEST (FallbackShareTest, AllRoutersTogetherStayWithinHalfOfTheLimit)
 {
     constexpr int kRouters = 80;
     constexpr std::uint64_t kUnits = 9000;
@@ -40,9 +40,9 @@
     double admitted = 0;
     for (int router = 0; router < kRouters; ++router)
     {
-        UnassistedShare share (tolerance());
+        FallbackShare share (tolerance());
         share.setRouters (kRouters);
-        // Four times the limit, for one window.
+        // The routers request four times the limit for one window.
         for (int i = 0; i < 28; ++i)
         {
             const base::TimePoint now = kStart + base::milliseconds (285) * i;
@@ -52,25 +52,25 @@
     const config::TenantQuota quota = tenant().quota;
     const double limit = quota.ratePerSecond * 8 + quota.burst + tolerance().unitsFor (quota);
     EXPECT_LE (admitted, limit / 2);
-    constexpr double kLeastUse = 0.9;
-    EXPECT_GE (admitted, kLeastUse * quota.ratePerSecond * 8 / 2);
+    constexpr double kMinUse = 0.9;
+    EXPECT_GE (admitted, kMinUse * quota.ratePerSecond * 8 / 2);
 }
 
-TEST (UnassistedShareTest, NothingGrowsWhileAControllerGrants)
+TEST (FallbackShareTest, NothingGrowsWhileAControllerGrants)
 {
-    UnassistedShare share (tolerance());
+    FallbackShare share (tolerance());
     share.setRouters (1);
     base::Random random (1);
-    // The first draw takes all that there is at once.
+    // The first draw spends the whole initial share.
     [[maybe_unused]] const bool first = share.admits (tenant(), 1'000'000'000, kStart, random);
-    share.onAssisted (kStart + base::seconds (5));
+    share.onControllerAnswer (kStart + base::seconds (5));
     EXPECT_FALSE (share.admits (tenant(), 9000, kStart + base::seconds (5), random));
     EXPECT_TRUE (share.admits (tenant(), 9000, kStart + base::seconds (6), random));
 }
 
-TEST (UnassistedShareTest, SmallRequestsPassWithoutADraw)
+TEST (FallbackShareTest, SmallRequestsPassWithoutADraw)
 {
-    UnassistedShare share (tolerance());
+    FallbackShare share (tolerance());
     share.setRouters (80);
     base::Random random (1);
     EXPECT_TRUE (share.admits (tenant(), 200, kStart, random));
--- a/src/sim/SimProgram.cpp
+++ b/src/sim/SimProgram.cpp
@@ -26,8 +26,8 @@
     "  sweep    Run seeds one after the other and report violations.\n"
     "  planted  Sweep once for each planted fault until it is found.\n"
     "  replay   Run one seed again and print its events.\n";
-constexpr std::int64_t kMostSeeds = 100'000'000;
-constexpr std::int64_t kMostThreads = 256;
+constexpr std::int64_t kMaxSeeds = 100'000'000;
+constexpr std::int64_t kMaxThreads = 256;
 
 struct Arguments
 {
@@ -38,7 +38,7 @@
     bool isLong = false;
     bool hasHourCut = false;
     bool hasFaults = true;
-    std::string plantedFault = std::string (nameOf (PlantedFault::kNone));
+    std::string plantedFault = std::string (toString (PlantedFault::kNone));
     log::Options logging;
 
     void declare (config::SettingsSchema& schema);
@@ -46,20 +46,20 @@
 
 std::vector<std::string> namesOfPlantedFaults()
 {
-    std::vector<std::string> names{ std::string (nameOf (PlantedFault::kNone)) };
+    std::vector<std::string> names{ std::string (toString (PlantedFault::kNone)) };
     for (const PlantedFault fault : allPlantedFaults())
-        names.emplace_back (nameOf (fault));
+        names.emplace_back (toString (fault));
     return names;
 }
 
 void Arguments::declare (config::SettingsSchema& schema)
 {
     schema.setPositionals ("COMMAND")
-        .addInteger ("seeds", &seeds, 1, kMostSeeds, "sweep, planted: seeds to run.")
-        .addInteger ("first", &first, 0, kMostSeeds, "sweep, planted: first seed.")
-        .addInteger ("threads", &threads, 1, kMostThreads, "sweep, planted: threads.")
+        .addInteger ("seeds", &seeds, 1, kMaxSeeds, "sweep, planted: seeds to run.")
+        .addInteger ("first", &first, 0, kMaxSeeds, "sweep, planted: first seed.")
+        .addInteger ("threads", &threads, 1, kMaxThreads, "sweep, planted: threads.")
         .addBoolean ("long", &isLong, "sweep: run 10,000 seeds.")
-        .addInteger ("seed", &seed, 0, kMostSeeds, "replay: seed to run.")
+        .addInteger ("seed", &seed, 0, kMaxSeeds, "replay: seed to run.")
         .addChoice ("planted_fault", &plantedFault, namesOfPlantedFaults(),
                     "sweep, replay: a deliberate fault that must be found.")
         .addBoolean ("hour_cut", &hasHourCut,
@@ -105,7 +105,8 @@
     return report.failures.empty() ? 0 : kViolated;
 }
 
-/// Sweeps once for each planted fault until it is found, and prints what found it.
+/// Runs a sweep for each planted fault until an invariant is violated. Prints the number of seeds
+/// needed and the violated invariant.
 int findPlantedFaults (const Arguments& arguments)
 {
     bool isEachFound = true;
@@ -119,7 +120,7 @@
         options.stopsAtFirstViolation = true;
         const SweepReport report = runSweep (options);
         isEachFound = isEachFound && ! report.failures.empty();
-        const std::string name (nameOf (fault));
+        const std::string name (toString (fault));
         if (report.failures.empty())
         {
             std::printf ("| %s | not found in %lld seeds | |\n", name.c_str(),
