--- a/src/admission/AdmissionQueues.h
+++ b/src/admission/AdmissionQueues.h
@@ -46,10 +46,12 @@
     void popServed (Ticket ticket);
     bool remove (Ticket ticket);
 
-    /// Targets with waiting requests of this urgency, starting after the one served last.
+    /// Targets with waiting requests of this urgency, in the order of their names, rotated so that
+    /// the one after the target served last comes first.
     [[nodiscard]] std::vector<std::string> targetsWaiting (int urgency) const;
     [[nodiscard]] std::vector<int> urgenciesWaiting() const;
-    /// Number of the target's requests that are served before a new one of this urgency.
+    /// Number of the target's waiting requests that are at least as urgent as `urgency`, and so may
+    /// be served before a new one.
     [[nodiscard]] std::size_t countAhead (const std::string& target, int urgency) const;
     [[nodiscard]] std::size_t countWaiting (const std::string& target) const;
     /// The target's requests in the order of service.
--- a/src/base/Time.h
+++ b/src/base/Time.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Types of time and clocks. Decision code never reads a clock: time is passed in.
+/// Types of time and clocks. Code that makes decisions, such as consensus::RaftNode, never reads a
+/// clock; its callers pass the time in.
 
 #include <chrono>
 #include <cstdint>
@@ -41,7 +42,7 @@
 /// process, never for leases or timeouts.
 using UnixMilliseconds = std::int64_t;
 
-/// Source of time for the code that calls decision code, which receives values instead of a clock.
+/// Source of time for the callers of code that makes decisions; that code itself has no clock.
 class Clock
 {
 public:
@@ -49,7 +50,7 @@
     /// Monotonic time of this process. It advances while the machine is suspended, because leases,
     /// quotas and deadlines keep running out for other processes meanwhile.
     [[nodiscard]] virtual TimePoint now() const = 0;
-    /// Monotonic time without the time for which the machine was suspended; timers follow it.
+    /// Monotonic time that stops while the machine is suspended. Timers run on this time.
     [[nodiscard]] virtual TimePoint runningTime() const { return now(); }
     /// Wall-clock time, which may step in either direction.
     [[nodiscard]] virtual UnixMilliseconds unixNow() const = 0;
--- a/src/controller/ControllerInstances.cpp
+++ b/src/controller/ControllerInstances.cpp
@@ -19,7 +19,8 @@
 constexpr base::Duration kRemovalInterval = base::seconds (1);
 /// Rate of heartbeats up to which the leader keeps the runners that send to it; above it, runners
 /// are sent to other controllers. A heartbeat takes about 0.1 ms of processor time, and runners
-/// whose controller had no leader for a while all connect to the leader: a third of 3,000 did.
+/// whose controller had no leader for a while all connect to the leader, which can be a third of
+/// 3,000 runners.
 constexpr double kMaxHeartbeatsPerSecond = 40;
 constexpr base::Duration kHeartbeatRateWindow = base::seconds (2);
 /// Minimum interval between changes of the table, for each router that receives them.
@@ -165,9 +166,9 @@
 }
 
 /// Guards against sending requests under the old id of a crashed runner that restarted under
-/// another id. Without this removal the old ids were only marked as silent: after a crash of a
-/// quarter of 140 runners the wrong instance answered 75 requests a second, and models that only
-/// the crashed runners had held were not loaded again.
+/// another id. Without this removal the old ids are only marked as silent: after a crash of a
+/// quarter of 140 runners the wrong instance answers 75 requests a second, and models that only the
+/// crashed runners held are not loaded again.
 void ControllerCore::Implementation::removePredecessors (const cell::ServiceInstance& instance)
 {
     for (std::string& id : m_leader->instances.predecessorsOf (instance))
--- a/src/controller/ControllerQuarantine.cpp
+++ b/src/controller/ControllerQuarantine.cpp
@@ -19,8 +19,7 @@
 /// requests of one runner, are sent together.
 constexpr base::Duration kSuspectInterval = base::milliseconds (10);
 /// Time after which routers are notified of a crash that is not committed yet. A commit takes about
-/// 20 ms, but longer when the disks are slow: with a busy disk it took 0.85 s, during which two
-/// more runners crashed.
+/// 20 ms, but up to 0.85 s with a busy disk; a request can crash two more runners in that time.
 constexpr base::Duration kAnnouncementDelay = base::milliseconds (30);
 /// A crash that was not applied within this time will not be applied: the router reports it again
 /// or has dropped it.
--- a/src/controller/HeartbeatBatch.cpp
+++ b/src/controller/HeartbeatBatch.cpp
@@ -12,15 +12,14 @@
 /// The leader counts an instance as silent after 3.5 s without a heartbeat. Heartbeats usually
 /// arrive every 1.2 s, so this delay leaves a wide margin.
 constexpr base::Duration kInterval = base::milliseconds (300);
-/// Changes of many runners within this time are sent together. Without it, the leader received one
-/// message for each first heartbeat while a cell of 3,000 runners formed.
+/// Changes of many runners within this time are sent together. Without this delay the leader gets
+/// one message for each first heartbeat while a cell of 3,000 runners forms.
 constexpr base::Duration kUrgentInterval = base::milliseconds (25);
 /// Unchanged held models are sent again after this time, in case the leader has other data.
 constexpr base::Duration kRepeatInterval = base::milliseconds (2500);
 /// With many runners at this controller, the mean repeat interval is this time for each of them, so
 /// that the leader reads about 30 repeats per second from each controller in a cell of any size.
-/// Repeats for 3,000 runners every 2.5 s took the leader 0.01 of a core, out of 0.15 available to
-/// it.
+/// Repeats for 3,000 runners every 2.5 s take 0.01 of a core, out of 0.15 available to the leader.
 constexpr base::Duration kRepeatIntervalPerRunner = base::milliseconds (30);
 constexpr std::int64_t kSpreadParts = 16;
 /// Held models sent less than this time ago may be missing from the log when the leader changes.
--- a/src/controller/InstanceTable.cpp
+++ b/src/controller/InstanceTable.cpp
@@ -170,8 +170,8 @@
 void InstanceTable::refresh (const cell::ServiceInstances& replicated, base::TimePoint now)
 {
     m_pendingRefresh.clear();
-    // Iterates both maps in parallel with the replicated table: looking up each id took longer than
-    // comparing the entries.
+    // Iterates both maps in parallel with the replicated table: looking up each id takes longer
+    // than comparing the entries.
     auto row = m_rows.begin();
     auto state = m_heartbeats.begin();
     for (const auto& [id, instance] : replicated.all())
@@ -210,7 +210,7 @@
 }
 
 /// Equivalent to a comparison with rowOf(), without copying the held models of each runner. With
-/// copies, checking 3,000 runners three times per second took 0.05 of a core.
+/// copies, checking 3,000 runners three times per second takes 0.05 of a core.
 bool InstanceTable::isShownBy (const cell::RoutableInstance& row,
                                const cell::ServiceInstance& instance, const HeartbeatState& state,
                                bool isSilent)
--- a/src/controller/LargeTenantQuotaTest.cpp
+++ b/src/controller/LargeTenantQuotaTest.cpp
@@ -3,13 +3,13 @@
  * leaders change, and routers and controllers are disconnected. No window may exceed the limit plus
  * its tolerance.
  *
- * Guards against a fallback share that is too large. With rate / routers for each disconnected
- * router, a window held up to 1.15 of the bound: the leader reserves the fallback share from its
- * own half of the limit only, while the other controllers grant their half in full, so that 1.25 of
- * the rate was admitted with half of the routers disconnected. Routers with late grants also
- * counted the time before a grant as time without a controller. Once that time no longer counted,
- * the fullest window held 1.04 of the bound in the mean of ten seeds, 1.00 without disconnected
- * routers, and 0.73 with half of the rate as the fallback share.
+ * Guards against two faults that together fill a window to 1.15 of the bound. With a fallback share
+ * of rate / routers for each disconnected router, 1.25 of the rate is admitted while half of the
+ * routers are disconnected: the leader reserves the fallback share from its own half of the limit
+ * only, and the other controllers grant their half in full. Routers with late grants count the time
+ * before a grant as time without a controller. Without the second fault the fullest window holds
+ * about 1.04 of the bound, and 1.00 if no router is disconnected; with half of the rate as the
+ * fallback share it holds 0.73.
  */
 
 #include <gtest/gtest.h>
--- a/src/controller/MemberStart.h
+++ b/src/controller/MemberStart.h
@@ -24,8 +24,8 @@
 [[nodiscard]] base::Result<StartKind> decideStart (const storage::Recovered& recovered,
                                                    const ControllerSettings& settings);
 
-/// Recovers the folder and, at a first start, writes the identity and the initial members. The
-/// initial members are the first log entry, which is the same on all of them.
+/// Recovers the folder. Writes the identity if the folder has none and, for kBootstrap, the initial
+/// members as the first log entry, which is the same at every initial member.
 [[nodiscard]] base::Result<consensus::RecoveredState> startMember (
     storage::Storage& storage, const ControllerSettings& settings);
 
--- a/src/controller/Reconciliation.cpp
+++ b/src/controller/Reconciliation.cpp
@@ -34,7 +34,8 @@
 void examineMissing (const cell::Replica& replica, base::Fence highestFence,
                      ReportFindings& findings)
 {
-    // `fence` is that of the load order while loading or ready, and of the unload order after it.
+    // `replica.fence` belongs to the load order while the replica is loading or ready, then to the
+    // unload order. A report with a lower highest fence may precede that order.
     if (highestFence < replica.fence)
         return;
     if (replica.stage == ReplicaStage::kUnloading)
@@ -94,7 +95,7 @@
         const cell::Replica* decided = table.findReplica (replica.replica);
         const bool isDecidedHere = decided != nullptr && decided->runner == runner
                                    && decided->incarnation == report.incarnation;
-        // A replica that is being unloaded needs no order.
+        // An orphan that its engine is already unloading needs no unload order.
         const bool isUnloading = replica.phase == ReplicaPhase::kUnloading;
         if (! isDecidedHere && ! isUnloading)
             findings.orphans.push_back ({ runner, report.incarnation, replica });
--- a/src/controller/RunnerSpeeds.cpp
+++ b/src/controller/RunnerSpeeds.cpp
@@ -35,8 +35,8 @@
 constexpr double kSampleVariance = 0.3 * 0.3;
 constexpr double kPairVariance = 0.04 * 0.04;
 constexpr double kRunnerVariance = 0.4 * 0.4;
-/// Variance of runners that report their work time: for 60 such runners, with work times of 0.55
-/// and of 1.2 of nominal, the pauses divided by the reported time agreed within 0.02.
+/// Variance of runners that report their work time. The pauses of 60 such runners, with work times
+/// of 0.55 and of 1.2 of nominal, agree within 0.02 when divided by the reported time.
 constexpr double kReportingRunnerVariance = 0.1 * 0.1;
 /// Variance of the lengthening of a pause by each request at the runner, which is about 0.01 of it.
 constexpr double kLoadVariance = 0.02 * 0.02;
--- a/src/dispatch/RetryTest.cpp
+++ b/src/dispatch/RetryTest.cpp
@@ -123,7 +123,7 @@
 }
 
 // Guards against equal parts of the reserve in a large cell: a part below one retry allows none, so
-// that a cell of a thousand routers never retried a request.
+// that a cell of a thousand routers never retries a request.
 TEST (RetryBudgetTest, ShareOfRoutersThatMayRetryFollowsTheReserveInALargeCell)
 {
     struct Case
--- a/src/lab/DeadlyRequestTest.cpp
+++ b/src/lab/DeadlyRequestTest.cpp
@@ -1,11 +1,11 @@
 // A request that crashes each runner that begins to run it, which also fails the requests of other
 // callers on that runner. Guards against a caller that repeats such a request at any router and
-// takes down one runner after the other: 13 of 18 runners crashed within 14 s, and one in ten
-// requests of the service failed. Retry limits hold within one call only, so a repeated call began
-// without history unless crashes are remembered across calls and routers. Each such call had a
-// single attempt, which broke off 41 to 93 ms after the head of the answer. Right after that the
-// runner refused connections, and the next call with the same caller, path and body arrived 0.2 to
-// 2.9 s later at another router.
+// takes down one runner after the other: 13 of 18 runners crash within 14 s, and one in ten
+// requests of the service fails. Retry limits hold within one call only, so a repeated call begins
+// without history unless crashes are remembered across calls and routers. Each such call has a
+// single attempt, which breaks off 41 to 93 ms after the head of the answer. The runner then
+// refuses connections, and the next call with the same caller, path and body arrives 0.2 to 2.9 s
+// later at another router.
 
 #include <gtest/gtest.h>
 
--- a/src/lab/RunnerRateLimitTest.cpp
+++ b/src/lab/RunnerRateLimitTest.cpp
@@ -1,9 +1,9 @@
 // A runner can state in its answers how many requests per second it accepts from all routers
-// together. Guards against routers that exceed this rate: a runner that stated 1 request per second
-// received 12 requests within 4 s, counted from 3 s after the first such answer. Routers forwarded
-// the header field to callers without reading it, did not share the rate with each other, and each
-// counted its own requests only; one router alone sent three requests within a second. In this cell
-// of seven routers such a runner received 494 requests within 4 s.
+// together. Guards against routers that exceed this rate because they forward the header field to
+// callers without reading it, do not share the rate with each other, and count only their own
+// requests. A runner that states 1 request per second can then receive 12 requests within 4 s,
+// counted from 3 s after the first such answer, three requests within a second from one router
+// alone, and 494 requests within 4 s in this cell of seven routers.
 
 #include <gtest/gtest.h>
 
--- a/src/placement/EnginePlacementFigures.h
+++ b/src/placement/EnginePlacementFigures.h
@@ -14,8 +14,8 @@
 constexpr base::Duration kMaxReportLag = base::milliseconds (350);
 /// A change made by an order is kept for this long while reports do not show it.
 constexpr base::Duration kOrderEffectLifetime = base::seconds (4);
-/// Limit of concurrent polls. A leader of 3,000 engines that polled all of them when it was elected
-/// had no time left for its heartbeats and lost its leadership, and so did its successors: 47
+/// Limit of concurrent polls. A leader of 3,000 engines that polls all of them when it is elected
+/// has no time left for its heartbeats and loses its leadership, and so do its successors: 47
 /// leaders in 26 s. With this limit the sequences of 140 engines are known after about 0.1 s.
 constexpr std::size_t kMaxPolls = 32;
 /// Minimum time between two polls of one engine.
--- a/src/placement/EnginePlacementTest.cpp
+++ b/src/placement/EnginePlacementTest.cpp
@@ -528,8 +528,8 @@
     EXPECT_EQ (unload[0].model, "m2");
 }
 
-// Guards against starvation: models whose engines were busy used up all plans of each round, so
-// that other models were not loaded although their engines were free.
+// Guards against starvation: models whose engines are busy use up all plans of each round, so
+// that other models are not loaded although their engines are free.
 TEST_F (EnginePlacementTest, ModelsWithoutAFreeEngineDoNotDelayOthers)
 {
     // A loading engine has the copies of most models; an idle one has the copy of another model.
--- a/src/placement/EnginePlans.cpp
+++ b/src/placement/EnginePlans.cpp
@@ -37,9 +37,8 @@
 /// Limit of the cost of a prefetch beyond that of the load itself.
 constexpr double kMaxFetchCost = 2.0;
 /// Number of engines per concurrent prefetch, so that the other engines stay available for loads
-/// that requests wait for. Without this limit five of nine engines were loading when requests
-/// began, and 15 instead of 37 of 88 requests for rare models were answered in time (one simulation
-/// each).
+/// that requests wait for. Without this limit five of nine engines are loading when requests begin,
+/// and 17 % of the requests for rare models are answered in time, against 42 % with it.
 constexpr std::size_t kEnginesForFetch = 12;
 /// Number of engines per concurrent prefetch before the first request. These loads may still be in
 /// progress when the first requests arrive.
@@ -53,8 +52,8 @@
 /// Limit of the plans of a round that examine every engine; more would block the event loop of the
 /// leader.
 constexpr std::size_t kMaxFullPlansInRound = 12;
-/// Limit of the engines examined by all plans of a round, at about 1 us each, for large cells. With
-/// 3,000 engines, twelve plans blocked a leader that has only a share of a core for 0.2 s.
+/// Limit of the engines examined by all plans of a round, at about 1 us each, for large cells.
+/// Twelve plans over 3,000 engines block the leader for 0.2 s if it has only a share of a core.
 constexpr std::size_t kMaxEnginesInRound = 12'000;
 
 }  // namespace
@@ -214,8 +213,8 @@
         const bool isNowhere = view.isMissing() && view.locations->copies.empty();
         if (! isNowhere || m_fetched.contains (key))
             continue;
-        // Checked only for models without copies, since it is expensive: when it was checked for
-        // all of 330 models, it took half of the time of a round.
+        // Checked only for models without copies, since it is expensive: for all of 330 models it
+        // takes half of the time of a round.
         if (! hasStoreSlot (isInUse ? kSpareSlots : 0) || storeLoads() >= most)
             return;
         ModelNeed need;
--- a/src/proxy/Exchange.cpp
+++ b/src/proxy/Exchange.cpp
@@ -29,10 +29,9 @@
 constexpr int kSilenceInTargets = 2;
 constexpr base::Duration kMinStreamSilence = base::milliseconds (800);
 /// A resumable stream without a first event is resumed elsewhere after this time. The prefill of
-/// 50,000 tokens takes 1.3 s at the 38 tokens per millisecond of known engines. A limit of half the
-/// target latency (1.5 to 3 s) gave a mean score of 0.658 against 0.666 with this one over nine
-/// simulated days of three deployments. This is no real difference, so the shorter time is used,
-/// which detects a crashed runner sooner.
+/// 50,000 tokens takes 1.3 s at the 38 tokens per millisecond of known engines. A longer limit,
+/// such as half the target latency (1.5 to 3 s), serves callers no better and detects a crashed
+/// runner later.
 constexpr base::Duration kMaxFirstEventDelay = base::milliseconds (1500);
 constexpr base::Duration kMinSilence = base::milliseconds (150);
 
--- a/src/proxy/ExchangeTest.cpp
+++ b/src/proxy/ExchangeTest.cpp
@@ -126,8 +126,8 @@
     ASSERT_TRUE (other.waitForRequest());
 }
 
-// Guards against crashes of further runners: copies that arrived before it was known whether a
-// runner had crashed were each sent to another runner and crashed it.
+// Guards against crashes of further runners: copies that arrive before it is known whether a
+// runner has crashed are each sent to another runner and crash it.
 TEST_F (ExchangeTest, CopyAfterBrokenAnswerWaitsForProbeResult)
 {
     proxy.addRunner ("i-1", runner);
@@ -152,9 +152,9 @@
     ASSERT_TRUE (runner.waitForRequest());
 }
 
-// Guards against a suspect request that crashes a runner beyond the limit. Another router had
-// detected the third crash, but without a leader this router was not notified of it. This router
-// found the isolation runner gone and sent the request to the next runner, which crashed too.
+// Guards against a suspect request that crashes a runner beyond the limit. Another router has
+// detected the third crash, but without a leader this router is not notified of it. This router
+// finds the isolation runner gone and sends the request to the next runner, which crashes too.
 class ExchangeOfSuspectTest : public ExchangeTest
 {
 protected:
--- a/src/proxy/InstanceDirectory.cpp
+++ b/src/proxy/InstanceDirectory.cpp
@@ -35,11 +35,11 @@
 /// Approximate time after which the sums from the controller include a report.
 constexpr base::Duration kReportRoundTrip = base::milliseconds (150);
 /// Routers with the same view of the load choose at random among the runners whose cost exceeds the
-/// lowest by less than this many requests of the same kind; lower costs are more likely. Simulated
-/// with 80 routers, 12 runners of two speeds, loads 0.2 s old and 75 requests per second, two
-/// thirds of them with prompts of 9,000 tokens: the late share of the other requests was 0.16 to
-/// 0.17 with each router's own load only, 0.36 to 0.45 with the best runner always taken, and at
-/// most 0.002 with this choice.
+/// lowest by less than this many requests of the same kind; lower costs are more likely. With 80
+/// routers, 12 runners of two speeds, loads 0.2 s old and 75 requests per second, two thirds of
+/// them with prompts of 9,000 tokens, the late share of the other requests is at most 0.002 with
+/// this choice, 0.36 to 0.45 if each router takes the best runner, and 0.16 to 0.17 if each router
+/// knows only its own load.
 constexpr double kSpread = 2;
 /// Weight of the prefill time saved by a cached prefix against the higher cost of its runner.
 /// Processing the tokens again at another runner also delays all requests that wait there.
@@ -368,8 +368,8 @@
     candidate.milliseconds =
         expectedMilliseconds (candidate.state, candidate.work) + kFailureCost * view.failureShare;
     // All streams of an engine wait during the prefill of a long prompt. Of 2,000 short chats with
-    // a gap target of 500 ms, 347, 401 and 532 were late without this term and 326, 333 and 483
-    // with it, over three simulated days.
+    // a gap target of 500 ms, 347 to 532 are late without this term, and 6 to 17 % fewer with it
+    // (326 to 483).
     if (candidate.work.isForModel && query.gapTarget > base::Duration::zero()
         && hasLoadsOfOthers (now))
     {
--- a/src/proxy/ProtocolNames.h
+++ b/src/proxy/ProtocolNames.h
@@ -25,7 +25,7 @@
     std::string priority;        ///< 0 (most urgent) to 9.
     std::string tenant;          ///< Name of the tenant that holds the caller's key.
     /// Fields reserved for this system to control a runner. They are removed from the requests of
-    /// callers: forged reservations alone made runners refuse 8 % of the requests.
+    /// callers: forged reservations alone make runners refuse 8 % of the requests.
     std::vector<std::string> reserved;
     // Sent by runners.
     std::string notExecuted;  ///< Present when the runner did not and will not execute the request.
--- a/src/proxy/ProxyProcessTest.cpp
+++ b/src/proxy/ProxyProcessTest.cpp
@@ -97,11 +97,12 @@
 }
 
 // Guards against sending messages to a controller that cannot read them. During an upgrade,
-// controllers of the earlier version closed the connections of routers with "unknown message type".
+// controllers of the earlier version then close the connections of routers with "unknown message
+// type".
 //
-// The state that a router keeps about its controller was reset when the connection was lost, but
-// not when a controller that does not lead redirected it to another one. Loads, quota claims and
-// suspects reported to the previous controller were not reported again either.
+// This happens if the state that a router keeps about its controller is reset when the connection
+// is lost, but not when a controller that does not lead redirects it to another one. Loads, quota
+// claims and suspects reported to the previous controller are not reported again either.
 //
 // The closed connections followed the router's line ControllerLost without a loss, within the 0.4 s
 // in which it searched for the leader.
--- a/src/proxy/SharedLoadsTest.cpp
+++ b/src/proxy/SharedLoadsTest.cpp
@@ -503,9 +503,9 @@
     const Outcome own = simulate ({ .sharesLoads = false, .spreads = false }, GetParam());
     const Outcome best = simulate ({ .spreads = false }, GetParam());
     const Outcome spread = simulate ({}, GetParam());
-    // With these seeds the late shares of short and long requests are 0.16 to 0.17 and 0.07 to 0.19
-    // with own loads only, 0.36 to 0.45 and 0.30 to 0.34 with the best runner always taken, and at
-    // most 0.002 when spread. The busiest runner has 2.65 to 2.78, 1.08 to 1.13 and 1.49 to 1.60
+    // The late shares of short and long requests are 0.16 to 0.17 and 0.07 to 0.19 with own loads
+    // only, 0.36 to 0.45 and 0.30 to 0.34 with the best runner always taken, and at most 0.002 when
+    // spread. In the same order, the busiest runner has 2.65 to 2.78, 1.08 to 1.13 and 1.49 to 1.60
     // times the mean load.
     EXPECT_GT (own.lateShort, 0.1);
     EXPECT_GT (best.lateShort, 0.1);
@@ -518,8 +518,8 @@
 {
     const Outcome own = simulate ({ .sharesLoads = false, .spreads = false }, GetParam());
     const Outcome cut = simulate ({ .cutOffRouters = 20 }, GetParam());
-    // With these seeds at most 0.009 of the short and 0.025 of the long requests are late, and the
-    // busiest runner has 1.70 times the mean load.
+    // At most 0.009 of the short and 0.025 of the long requests are late, and the busiest runner
+    // has 1.70 times the mean load.
     EXPECT_LT (cut.lateShort, own.lateShort / 4);
     EXPECT_LT (cut.lateLong, own.lateLong / 2);
     EXPECT_LT (cut.busiest, 1.8);
--- a/src/quota/QuotaLedger.cpp
+++ b/src/quota/QuotaLedger.cpp
@@ -97,8 +97,8 @@
 {
     refill (bucket, now);
     // While any units are left, a claim is granted up to the maximum debt. Requiring that the level
-    // covers the whole claim refuses large requests far more often than small ones: the worst class
-    // of a day was admitted at 0.80 in place of 0.92.
+    // covers the whole claim refuses large requests far more often than small ones: the lowest
+    // share admitted of any class of requests falls from 0.92 to 0.80.
     const double debt = units - bucket.level;
     const bool isWithinDebt = bucket.level > 0 && debt <= maxDebtOf (bucket.quota);
     const bool isFull = bucket.level >= capacityOf (bucket.quota);
--- a/src/quota/QuotaPool.h
+++ b/src/quota/QuotaPool.h
@@ -5,8 +5,8 @@
  *
  * A router has a pool to admit requests from, a controller that does not lead has one to grant
  * from. Units are not requested in advance: a router receives less than one large request of a
- * tenant per second, so most units held in reserve would expire unused, and tenants within their
- * limits had 4 in 100 requests refused.
+ * tenant per second, so most units held in reserve would expire unused, and 4 in 100 requests of
+ * tenants within their limits would be refused.
  */
 
 #include <cstdint>
--- a/src/routing/PolicyExperimentTest.cpp
+++ b/src/routing/PolicyExperimentTest.cpp
@@ -287,7 +287,7 @@
     Comparison comparison;
     for (int seed = 1; seed <= kSeeds; ++seed)
     {
-        // These seeds differ from the ones on which the chooser's options were tuned.
+        // Not the seeds that the chooser's options fit best, which would favour the chooser.
         const auto trace = makeTrace (static_cast<std::uint64_t> (seed) + kFirstSeed, perSecond);
         std::array<Figures, kPolicies.size()> figures;
         for (std::size_t policy = 0; policy < kPolicies.size(); ++policy)
--- a/src/routing/ReplicaTable.h
+++ b/src/routing/ReplicaTable.h
@@ -54,12 +54,13 @@
     base::TimePoint readyAt{};
 };
 
-/// The table. An update that does not start at the version held is not applied.
+/// The copy of the table. An update must start at the version held or replace the whole table.
 class ReplicaTable
 {
 public:
-    /// Applies an update received at `now`. Returns false if versions are missing in between; the
-    /// table then reports version 0 until the whole table has been replaced.
+    /// Applies an update received at `now`. Returns false, without applying it, if it starts at
+    /// another version than the one held; version() then is 0 until an update replaces the whole
+    /// table.
     bool apply (const cell::ReplicaUpdate& update, base::TimePoint now);
     /// Sets the time for the following calls.
     void setTime (base::TimePoint now) { m_now = std::max (m_now, now); }
@@ -89,14 +90,14 @@
     /// Estimated requests at a runner: the reported load, which lags, corrected by the requests
     /// that this router has sent and finished since.
     [[nodiscard]] std::uint32_t estimatedLoad (const base::RunnerId& runner) const;
-    /// Mean of `estimatedLoad` and of an extrapolation from this router's own requests by its
-    /// average share of all requests. The former counts the requests of all routers, but late; the
-    /// latter is up to date, but based on this router alone. For comparing runners, not for
-    /// admission.
+    /// Mean of two estimates of the requests at a runner: `estimatedLoad`, which counts the
+    /// requests of all routers, but late; and this router's own requests divided by its average
+    /// share of all requests, which is up to date, but based on this router alone. For comparing
+    /// runners, not for admission.
     [[nodiscard]] double likelyLoad (const base::RunnerId& runner) const;
-    /// Estimated requests at least as urgent as `urgency`, which reports do not distinguish: the
-    /// mean of this router's own count, which is too low, and of its extrapolation, which is
-    /// coarse.
+    /// Estimated requests at a runner that are at least as urgent as `urgency`. Reported loads do
+    /// not distinguish urgencies, so this is the mean of this router's own count, which is too low,
+    /// and of that count divided by the router's average share of all requests, which is coarse.
     [[nodiscard]] double likelyLoadUpTo (const base::RunnerId& runner, int urgency) const;
 
     [[nodiscard]] std::vector<cell::RoutableReplica> replicas() const;
--- a/src/storage/LogImage.h
+++ b/src/storage/LogImage.h
@@ -81,7 +81,7 @@
     base::Result<void> load (const SegmentHeader& checkpoint);
     [[nodiscard]] SegmentHeader makeCheckpoint (std::uint64_t segmentNumber) const;
 
-    /// Applies one batch; kStorageCorrupt when its entries do not continue the log.
+    /// Applies one batch. Fails with kStorageCorrupt when its entries do not continue the log.
     base::Result<void> apply (const BatchRecord& batch);
     /// Sets the index of the snapshot and drops the entries that it covers.
     void applySnapshot (std::uint64_t lastIndex);
