--- a/src/sim/Callers.cpp
+++ b/src/sim/Callers.cpp
@@ -332,7 +332,7 @@
         }
         else if (request->hasCallerDisconnected)
         {
-            ++totals.callersDisconnected;
+            ++totals.disconnectedCallers;
         }
         else if (request->isRouterLost)
         {
--- a/src/sim/Callers.h
+++ b/src/sim/Callers.h
@@ -23,7 +23,7 @@
     std::uint64_t served = 0;
     std::uint64_t refusedNotRun = 0;
     std::uint64_t failedUnknown = 0;  ///< Failed after running or with unknown outcome.
-    std::uint64_t callersDisconnected = 0;
+    std::uint64_t disconnectedCallers = 0;
     std::uint64_t lostWithRouter = 0;  ///< Open when their router was killed.
 };
 
--- a/src/sim/Sweep.cpp
+++ b/src/sim/Sweep.cpp
@@ -24,7 +24,7 @@
     sum.requests.served += report.requests.served;
     sum.requests.refusedNotRun += report.requests.refusedNotRun;
     sum.requests.failedUnknown += report.requests.failedUnknown;
-    sum.requests.callersDisconnected += report.requests.callersDisconnected;
+    sum.requests.disconnectedCallers += report.requests.disconnectedCallers;
     sum.requests.lostWithRouter += report.requests.lostWithRouter;
     sum.events += report.events;
     sum.committedEntries += report.committedEntries;
@@ -118,7 +118,7 @@
          << "requests: " << report.requests.sent << " sent, " << report.requests.served
          << " served, " << report.requests.refusedNotRun << " refused (not run), "
          << report.requests.failedUnknown << " failed (ran or unknown), "
-         << report.requests.callersDisconnected << " callers left, "
+         << report.requests.disconnectedCallers << " callers left, "
          << report.requests.lostWithRouter << " lost with their router\nfaults brought about:\n";
     for (std::size_t kind = 0; kind < kFaultKinds; ++kind)
     {
