--- a/src/config/ServiceCatalogue.cpp
+++ b/src/config/ServiceCatalogue.cpp
@@ -94,7 +94,7 @@
 
 }  // namespace
 
-base::Duration Route::patience() const
+base::Duration Route::eventWaitLimit() const
 {
     return std::max<base::Duration> (
         { kMinPatience, targetLatency * kWaitLimitInTargets, gapTarget * kWaitLimitInGaps });
--- a/src/config/ServiceCatalogue.h
+++ b/src/config/ServiceCatalogue.h
@@ -53,7 +53,7 @@
 
     /// Longest time without an event, also before the first one, after which callers abandon a
     /// stream.
-    [[nodiscard]] base::Duration patience() const;
+    [[nodiscard]] base::Duration eventWaitLimit() const;
     /// Whether a request may be run again after it may have run.
     [[nodiscard]] bool isRepeatable() const
     {
--- a/src/config/Tenants.h
+++ b/src/config/Tenants.h
@@ -26,9 +26,9 @@
 struct TenantQuota
 {
     QuotaUnit unit = QuotaUnit::kRequests;
-    double ratePerSecond = 0;       ///< Units per second; 0: unlimited.
-    double burst = 0;               ///< Units allowed at once after an idle time.
-    std::uint64_t plainTokens = 1;  ///< Counted for a request that states no tokens.
+    double ratePerSecond = 0;         ///< Units per second; 0: unlimited.
+    double burst = 0;                 ///< Units allowed at once after an idle time.
+    std::uint64_t defaultTokens = 1;  ///< Counted for a request that states no tokens.
 
     bool operator== (const TenantQuota&) const = default;
     [[nodiscard]] bool isLimited() const { return ratePerSecond > 0; }
--- a/src/http/BackEndPool.cpp
+++ b/src/http/BackEndPool.cpp
@@ -22,7 +22,7 @@
     return std::make_shared<BackEndConnection> (address, m_connectTimeout);
 }
 
-bool BackEndPool::hasResting (const base::SocketAddress& address, base::TimePoint now) const
+bool BackEndPool::hasIdle (const base::SocketAddress& address, base::TimePoint now) const
 {
     const auto idle = m_idle.find (address);
     return idle != m_idle.end()
--- a/src/http/BackEndPool.h
+++ b/src/http/BackEndPool.h
@@ -25,7 +25,7 @@
     [[nodiscard]] std::shared_ptr<BackEndConnection> acquire (const base::SocketAddress& address,
                                                               base::TimePoint now);
     /// Whether acquire() would return an idle connection.
-    [[nodiscard]] bool hasResting (const base::SocketAddress& address, base::TimePoint now) const;
+    [[nodiscard]] bool hasIdle (const base::SocketAddress& address, base::TimePoint now) const;
     /// Returns a connection to the pool, which keeps it only if it is reusable.
     void release (std::shared_ptr<BackEndConnection> connection, base::TimePoint now);
     /// Drops the idle connections to `address`, after another connection to it stopped responding.
--- a/src/proxy/Exchange.cpp
+++ b/src/proxy/Exchange.cpp
@@ -50,7 +50,7 @@
     m_timer.setTimerType (Qt::PreciseTimer);
     QObject::connect (&m_timer, &QTimer::timeout, &m_timer, [this] { onTimer(); });
     m_query.hasConnection = [this] (const base::SocketAddress& address)
-    { return m_context.pool.hasResting (address, now()); };
+    { return m_context.pool.hasIdle (address, now()); };
     m_query.rateCapacity = [this] (const std::string& instance, base::UnixMilliseconds startedAt)
     {
         return RateCapacity{ m_context.rates.waitFor (instance, startedAt, now()),
--- a/src/proxy/TenantQuotas.cpp
+++ b/src/proxy/TenantQuotas.cpp
@@ -41,8 +41,8 @@
         return 1;
     const std::string stated = request.headers.value (names.promptTokens);
     if (stated.empty())
-        return quota.plainTokens;
-    return sumOf (stated).value_or (quota.plainTokens);
+        return quota.defaultTokens;
+    return sumOf (stated).value_or (quota.defaultTokens);
 }
 
 TenantQuotas::TenantQuotas (const quota::QuotaTolerance& tolerance,
--- a/src/proxy/WaitLimit.cpp
+++ b/src/proxy/WaitLimit.cpp
@@ -25,7 +25,7 @@
     if (route.kind != config::RouteKind::kStream)
         return limit;
     return std::min<base::Duration> (limit,
-                                     route.patience() * kStreamWaitPercent / kHundredPercent);
+                                     route.eventWaitLimit() * kStreamWaitPercent / kHundredPercent);
 }
 
 base::Duration retryAfterWait (bool isForModel)
--- a/src/proxy/WaitLimitTest.cpp
+++ b/src/proxy/WaitLimitTest.cpp
@@ -34,14 +34,14 @@
 TEST (WaitLimit, endsBeforeTheCallerGivesUpAStreamThatHasNotBegun)
 {
     const auto route = routeOf (config::RouteKind::kStream, milliseconds (400), milliseconds (300));
-    ASSERT_EQ (route.patience(), milliseconds (2400));
+    ASSERT_EQ (route.eventWaitLimit(), milliseconds (2400));
     EXPECT_EQ (maxWaitForRunner (route, seconds (15)), milliseconds (1440));
 }
 
 TEST (WaitLimit, longStreamTimeoutDoesNotExtendWait)
 {
     const auto route = routeOf (config::RouteKind::kStream, seconds (4), milliseconds (400));
-    ASSERT_EQ (route.patience(), seconds (16));
+    ASSERT_EQ (route.eventWaitLimit(), seconds (16));
     EXPECT_EQ (maxWaitForRunner (route, seconds (10)), milliseconds (4500));
 }
 
