--- a/src/cell/ServiceInstances.cpp
+++ b/src/cell/ServiceInstances.cpp
@@ -53,7 +53,7 @@
                                 });
 }
 
-bool ServiceInstances::isNews (const ServiceInstance& instance) const
+bool ServiceInstances::differsFromRecorded (const ServiceInstance& instance) const
 {
     const ServiceInstance* known = find (instance.id);
     // A start time that was missing so far is a change, too.
@@ -63,7 +63,7 @@
 
 bool ServiceInstances::add (const ServiceInstance& instance)
 {
-    if (! isNews (instance))
+    if (! differsFromRecorded (instance))
         return false;
     ServiceInstance& known = m_instances[instance.id];
     const bool isSame = known.id == instance.id && known.startedAt == 0;
--- a/src/cell/ServiceInstances.h
+++ b/src/cell/ServiceInstances.h
@@ -112,7 +112,7 @@
     /// it is removed, because only an answer shows which of the two still runs.
     bool add (const ServiceInstance& instance);
     /// Whether add() would change anything.
-    [[nodiscard]] bool isNews (const ServiceInstance& instance) const;
+    [[nodiscard]] bool differsFromRecorded (const ServiceInstance& instance) const;
     /// Marks an instance as draining; returns false if it is unknown or already draining.
     bool drain (const std::string& id, base::UnixMilliseconds startedAt = 0);
     /// Sets the models that an instance holds; returns false if the instance is unknown or the
--- a/src/controller/ControllerInstances.cpp
+++ b/src/controller/ControllerInstances.cpp
@@ -70,7 +70,7 @@
     applyHeartbeat (heartbeat);
     m_leader->instanceTable.request();
     const LeavingInstance leaving{ heartbeat.instance.id, false, heartbeat.instance.startedAt };
-    if (m_state.instances().isNews (heartbeat.instance) || known == nullptr)
+    if (m_state.instances().differsFromRecorded (heartbeat.instance) || known == nullptr)
     {
         removePredecessors (heartbeat.instance);
         if (heartbeat.instance.isDraining)
@@ -128,7 +128,8 @@
     const bool isOfOtherService =
         known != nullptr && known->service != instance.service
         && ! cell::isEarlierIncarnation (known->startedAt, instance.startedAt);
-    const bool isOfNoService = m_state.instances().isNews (instance) && ! hasService (instance);
+    const bool isOfNoService =
+        m_state.instances().differsFromRecorded (instance) && ! hasService (instance);
     if (! isOfOtherService && ! isOfNoService)
         return true;
     m_effects.emplace_back (RunnerMessageUnusable{
@@ -207,7 +208,7 @@
             || isOfEarlierIncarnation (heartbeat.instance))
             continue;
         applyHeartbeat (heartbeat);
-        if (known != nullptr && ! m_state.instances().isNews (heartbeat.instance))
+        if (known != nullptr && ! m_state.instances().differsFromRecorded (heartbeat.instance))
             continue;
         removePredecessors (heartbeat.instance);
         hasAdded = propose (additionOf (heartbeat), ForNothing{}) || hasAdded;
--- a/src/controller/ControllerRelay.cpp
+++ b/src/controller/ControllerRelay.cpp
@@ -184,7 +184,8 @@
         m_relay->session.isConnected() || m_now - m_relay->leaderlessSince < retention;
     if (! isPlain || ! mayKeep)
         return false;
-    const bool isKnown = known != nullptr && ! m_state.instances().isNews (heartbeat.instance);
+    const bool isKnown =
+        known != nullptr && ! m_state.instances().differsFromRecorded (heartbeat.instance);
     m_relay->heartbeats.add (heartbeat, isKnown, m_now);
     return true;
 }
